--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -45,7 +45,7 @@
 	if os.Getenv("SCENARIO_LOG") != "" {
 		logf = func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
 	}
-	r, err := Play(text, logf)
+	r, err := playNamed(strings.TrimPrefix(t.Name(), "TestScenarios/"), text, logf)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scenario/script_test.go
+++ b/internal/scenario/script_test.go
@@ -111,6 +111,11 @@
 // expectations hold with each, but for amounts, which are a matter of luck from draw to
 // draw: there the median is held against the bound.
 func Play(text string, logf func(string, ...any)) (*Result, error) {
+	return playNamed("", text, logf)
+}
+
+// playNamed plays a scenario whose digests, if they are asked for, have this name.
+func playNamed(name, text string, logf func(string, ...any)) (*Result, error) {
 	lines, err := parseLines(text)
 	if err != nil {
 		return nil, err
@@ -119,7 +124,7 @@
 	r := &Result{}
 	missed := map[*line][]string{}
 	for i := range seeds {
-		w, expects, err := playOnce(lines, first+uint64(i), logf)
+		w, expects, err := playOnce(name, lines, first+uint64(i), logf)
 		if err != nil {
 			return nil, err
 		}
@@ -143,11 +148,14 @@
 var amounts = map[string]bool{"done-within": true, "lost": true, "starts": true, "up": true, "machines": true, "rented": true,
 	"taken": true, "behind": true}
 
-func playOnce(lines []*line, seed uint64, logf func(string, ...any)) (*World, []*line, error) {
+func playOnce(name string, lines []*line, seed uint64, logf func(string, ...any)) (*World, []*line, error) {
 	w, err := newWorld(lines[0], seed, logf)
 	if err != nil {
 		return nil, nil, err
 	}
+	if w.digest, err = newDigest(name, seed); err != nil {
+		return nil, nil, err
+	}
 	until := micros.Time(0)
 	var expects []*line
 	for _, l := range lines[1:] {
@@ -194,7 +202,7 @@
 		n.start()
 	}
 	w.run(until)
-	return w, expects, nil
+	return w, expects, w.digest.finish(w.state)
 }
 
 func newWorld(l *line, seed uint64, logf func(string, ...any)) (*World, error) {
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -70,6 +70,7 @@
 	zoned    bool        // controllers are in zones too
 	broken   []string
 	logf     func(string, ...any)
+	digest   *digest // of what leaves the nodes; nil: none
 
 	// With controllers that are real processes: how a worker's report is sent, and
 	// the address it listens at.
@@ -218,6 +219,7 @@
 		n.hear(l)
 	}
 	for _, a := range out.Answers {
+		w.digest.answer(n, &a)
 		if then := n.waiting[a.Request]; then != nil {
 			delete(n.waiting, a.Request)
 			then(a)
@@ -270,6 +272,7 @@
 
 func (n *node) callState(c coordination.StateCall) {
 	req := protocol.EncodeState(c.Request)
+	n.w.digest.request(n, "state", req, c.Timeout)
 	n.call("state", c.Timeout, func(reply func(int, []byte)) {
 		n.w.state.handle(n.name, req, reply)
 	}, func(status int, body []byte) {
@@ -280,6 +283,7 @@
 
 func (n *node) callCloud(c coordination.CloudCall) {
 	req := protocol.EncodeCloud(&c)
+	n.w.digest.request(n, "cloud", req, c.Timeout)
 	n.call("cloud", c.Timeout, func(reply func(int, []byte)) {
 		n.w.cloud.handle(req, reply)
 	}, func(status int, body []byte) {
@@ -291,6 +295,7 @@
 func (n *node) callWorker(c coordination.WorkerCall) {
 	w := n.w
 	body := protocol.EncodeCommands(&c)
+	w.digest.command(n, &c, body)
 	m := w.cloud.byAddress[c.Address]
 	target := "nowhere"
 	if m != nil {
@@ -324,6 +329,7 @@
 // tell sends a message to a sibling, over the wire's form.
 func (n *node) tell(p coordination.PeerSend) {
 	raw := protocol.EncodeStatus(p.Status)
+	n.w.digest.status(n, p, raw)
 	o := n.w.node(p.To)
 	if o == nil {
 		return
--- a/internal/scenario/writes_test.go
+++ b/internal/scenario/writes_test.go
@@ -123,7 +123,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, _, err := playOnce(lines, uint64(lines[0].num("seed", 1)), func(string, ...any) {})
+	w, _, err := playOnce("", lines, uint64(lines[0].num("seed", 1)), func(string, ...any) {})
 	if err != nil {
 		t.Fatal(err)
 	}
