--- /dev/null
+++ b/scripts/lint.sh
@@ -0,0 +1,7 @@
+#!/bin/sh
+# Linters over the module: golangci-lint with .golangci.yml, which also checks formatting, and the
+# words that must not come back. golangci-lint is a tool of tools/go.mod.
+set -eu
+cd "$(dirname "$0")/.."
+sh scripts/forbidden-words.sh
+exec go tool -modfile=tools/go.mod golangci-lint run ./...
