--- a/internal/bookkeeping/job.go
+++ b/internal/bookkeeping/job.go
@@ -8,13 +8,13 @@
 	"pipitlatch/internal/micros"
 )
 
-// Kind tells whether a job's tasks end by themselves.
-type Kind uint8
+// JobKind tells whether a job's tasks end by themselves.
+type JobKind uint8
 
 // The kinds of jobs. The protocol has no gangs: tasks of an array are
 // independent of each other.
 const (
-	Array Kind = iota
+	Array JobKind = iota
 	Service
 )
 
@@ -80,55 +80,55 @@
 
 // Job is what a user submitted, and how far it is.
 type Job struct {
-	ID              string      `json:"id"`
-	Class           string      `json:"cl,omitempty"`
-	Team            string      `json:"t,omitempty"`
-	Kind            Kind        `json:"k,omitempty"`
-	Priority        Priority    `json:"pr,omitempty"`
-	Tasks           int         `json:"n"`
-	Need            Resources   `json:"r"`
-	Types           []string    `json:"ty,omitempty"` // nil: any
-	Zone            string      `json:"z,omitempty"`  // "": any
-	OneZone         bool        `json:"oz,omitempty"`
-	Spread          bool        `json:"sp,omitempty"`
-	Spot            bool        `json:"s,omitempty"`
-	Image           string      `json:"i,omitempty"`
-	ImageGB         float64     `json:"ig,omitempty"`
-	Estimate        micros.Time `json:"e,omitempty"`
-	CheckpointEvery micros.Time `json:"ce,omitempty"`
-	SaveTime        micros.Time `json:"sv,omitempty"`
-	Deadline        micros.Time `json:"d,omitempty"` // after submission; 0: none
-	Submitted       micros.Time `json:"at"`          // time of day
-	Phase           Phase       `json:"p,omitempty"`
+	ID                 string      `json:"id"`
+	Class              string      `json:"cl,omitempty"`
+	Team               string      `json:"t,omitempty"`
+	Kind               JobKind     `json:"k,omitempty"`
+	Priority           Priority    `json:"pr,omitempty"`
+	Tasks              int         `json:"n"`
+	Resources          Resources   `json:"r"`
+	InstanceTypes      []string    `json:"ty,omitempty"` // nil: any
+	Zone               string      `json:"z,omitempty"`  // "": any
+	OneZone            bool        `json:"oz,omitempty"`
+	Spread             bool        `json:"sp,omitempty"`
+	Spot               bool        `json:"s,omitempty"`
+	Image              string      `json:"i,omitempty"`
+	ImageGB            float64     `json:"ig,omitempty"`
+	Estimate           micros.Time `json:"e,omitempty"`
+	CheckpointInterval micros.Time `json:"ce,omitempty"`
+	CheckpointDuration micros.Time `json:"sv,omitempty"`
+	Deadline           micros.Time `json:"d,omitempty"` // after submission; 0: none
+	Submitted          micros.Time `json:"at"`          // time of day
+	Phase              Phase       `json:"p,omitempty"`
 
 	// Jobs that must be done before a task of this one starts: those that were not when
 	// it was accepted. A list that is too long for the record is stored in parts, before
-	// the record, under the name WaitKey.
-	WaitsOn   []string    `json:"w,omitempty"`
-	WaitKey   string      `json:"wk,omitempty"`
-	WaitParts int         `json:"wn,omitempty"`
-	Over      micros.Time `json:"o,omitempty"` // time of day at which it was done
+	// the record, under the name DependencyListName.
+	DependsOn          []string    `json:"w,omitempty"`
+	DependencyListName string      `json:"wk,omitempty"`
+	DependencyParts    int         `json:"wn,omitempty"`
+	CompletedAt        micros.Time `json:"o,omitempty"` // time of day at which it was done
 }
 
-// Waits tells whether the job was accepted before all that it needs was done.
-func (j *Job) Waits() bool { return len(j.WaitsOn) > 0 || j.WaitParts > 0 }
+// HasDependencies tells whether the job was accepted before all that it needs was done.
+func (j *Job) HasDependencies() bool { return len(j.DependsOn) > 0 || j.DependencyParts > 0 }
 
-// Final returns the little that must be kept of a job that is over: the team and
+// Tombstone returns the little that must be kept of a job that is over: the team and
 // the need still count while tasks of it are on machines.
-func (j *Job) Final(p Phase) *Job {
-	return &Job{ID: j.ID, Team: j.Team, Tasks: j.Tasks, Need: j.Need, Phase: p, Submitted: j.Submitted}
+func (j *Job) Tombstone(p Phase) *Job {
+	return &Job{ID: j.ID, Team: j.Team, Tasks: j.Tasks, Resources: j.Resources, Phase: p, Submitted: j.Submitted}
 }
 
-// AllowsType tells whether the job's tasks may run on machines of a type.
-func (j *Job) AllowsType(t string) bool {
-	return len(j.Types) == 0 || slices.Contains(j.Types, t)
+// AllowsInstanceType tells whether the job's tasks may run on machines of a type.
+func (j *Job) AllowsInstanceType(t string) bool {
+	return len(j.InstanceTypes) == 0 || slices.Contains(j.InstanceTypes, t)
 }
 
 // SpreadLimit is how many tasks of a spread job one zone may hold.
 func (j *Job) SpreadLimit() int { return (j.Tasks + 1) / 2 }
 
-// MachineType is one entry of the cloud's catalog.
-type MachineType struct {
+// InstanceType is one entry of the cloud's catalog.
+type InstanceType struct {
 	Name      string
 	Capacity  Resources
 	CacheGB   float64
@@ -140,12 +140,12 @@
 }
 
 // Catalog is the cloud's machine types by name.
-type Catalog map[string]*MachineType
+type Catalog map[string]*InstanceType
 
 // Fits tells whether a task of the job fits some machine it is allowed.
 func (c Catalog) Fits(j *Job) bool {
 	for _, t := range c {
-		if j.AllowsType(t.Name) && j.Need.Fits(t.Capacity) && (j.Zone == "" || slices.Contains(t.Zones, j.Zone)) {
+		if j.AllowsInstanceType(t.Name) && j.Resources.Fits(t.Capacity) && (j.Zone == "" || slices.Contains(t.Zones, j.Zone)) {
 			return true
 		}
 	}
--- a/internal/bookkeeping/taskset.go
+++ b/internal/bookkeeping/taskset.go
@@ -8,56 +8,56 @@
 )
 
 const (
-	// ChunkTasks is how many tasks' finished ranges one key holds.
-	ChunkTasks = 1024
-	// ChunkBytes is what a chunk takes at worst, quotes included: with every third task
+	// LargeSegmentTasks is how many tasks' finished ranges one key holds.
+	LargeSegmentTasks = 1024
+	// LargeSegmentBytes is what a chunk takes at worst, quotes included: with every third task
 	// missing, the text has some 8 bytes ("600-601,") for each of them.
-	ChunkBytes = ChunkTasks/3*8 + 64
-	// PartTasks is the same for a part, which fits where a chunk does not: parts are
-	// numbered from FirstPart on, and both kinds may hold tasks of one job.
-	PartTasks = 256
-	// FirstPart is the number of the first part, above those of all chunks.
-	FirstPart = 1 << 20
+	LargeSegmentBytes = LargeSegmentTasks/3*8 + 64
+	// SmallSegmentTasks is the same for a part, which fits where a chunk does not: parts are
+	// numbered from FirstSmallSegment on, and both kinds may hold tasks of one job.
+	SmallSegmentTasks = 256
+	// FirstSmallSegment is the number of the first part, above those of all chunks.
+	FirstSmallSegment = 1 << 20
 )
 
-// Unit is the chunk, or the part, that a task belongs to.
-func Unit(task int, parts bool) int {
+// Segment is the chunk, or the part, that a task belongs to.
+func Segment(task int, parts bool) int {
 	if parts {
-		return FirstPart + task/PartTasks
+		return FirstSmallSegment + task/SmallSegmentTasks
 	}
-	return task / ChunkTasks
+	return task / LargeSegmentTasks
 }
 
-// unitRange is the first task of a chunk or part, and how many it has.
-func unitRange(unit int) (first, count int) {
-	if unit >= FirstPart {
-		return (unit - FirstPart) * PartTasks, PartTasks
+// segmentBounds is the first task of a chunk or part, and how many it has.
+func segmentBounds(unit int) (first, count int) {
+	if unit >= FirstSmallSegment {
+		return (unit - FirstSmallSegment) * SmallSegmentTasks, SmallSegmentTasks
 	}
-	return unit * ChunkTasks, ChunkTasks
+	return unit * LargeSegmentTasks, LargeSegmentTasks
 }
 
-// InUnit tells whether a task belongs to a chunk or part.
-func InUnit(task, unit int) bool {
-	first, count := unitRange(unit)
+// InSegment tells whether a task belongs to a chunk or part.
+func InSegment(task, unit int) bool {
+	first, count := segmentBounds(unit)
 	return task >= first && task < first+count
 }
 
-// TaskSet is a set of task numbers.
-type TaskSet struct {
+// Bitmap is a set of task numbers.
+type Bitmap struct {
 	words []uint64
 	n     int
 }
 
-// NewTaskSet returns an empty set of numbers below size.
-func NewTaskSet(size int) *TaskSet { return &TaskSet{words: make([]uint64, (size+63)/64)} }
+// NewBitmap returns an empty set of numbers below size.
+func NewBitmap(size int) *Bitmap { return &Bitmap{words: make([]uint64, (size+63)/64)} }
 
 // Has tells whether i is in the set.
-func (s *TaskSet) Has(i int) bool {
+func (s *Bitmap) Has(i int) bool {
 	return i >= 0 && i/64 < len(s.words) && s.words[i/64]&(1<<(i%64)) != 0
 }
 
 // Add puts i into the set and tells whether it is new there.
-func (s *TaskSet) Add(i int) bool {
+func (s *Bitmap) Add(i int) bool {
 	if i < 0 || i/64 >= len(s.words) || s.Has(i) {
 		return false
 	}
@@ -67,7 +67,7 @@
 }
 
 // Remove takes i out of the set.
-func (s *TaskSet) Remove(i int) {
+func (s *Bitmap) Remove(i int) {
 	if s.Has(i) {
 		s.words[i/64] &^= 1 << (i % 64)
 		s.n--
@@ -75,10 +75,10 @@
 }
 
 // Len is how many numbers the set has.
-func (s *TaskSet) Len() int { return s.n }
+func (s *Bitmap) Len() int { return s.n }
 
 // Next is the smallest number in the set that is at least i, or -1.
-func (s *TaskSet) Next(i int) int {
+func (s *Bitmap) Next(i int) int {
 	for w := i / 64; w < len(s.words); w++ {
 		word := s.words[w]
 		if w == i/64 {
@@ -92,9 +92,9 @@
 }
 
 // Ranges writes the members of a chunk or part as text, relative to it: "0-5,7".
-func (s *TaskSet) Ranges(unit int) string {
+func (s *Bitmap) Ranges(unit int) string {
 	var b strings.Builder
-	lo, count := unitRange(unit)
+	lo, count := segmentBounds(unit)
 	for i := lo; i < lo+count; {
 		first := s.Next(i)
 		if first < 0 || first >= lo+count {
@@ -118,8 +118,8 @@
 }
 
 // AddRanges adds what Ranges wrote of a chunk or part.
-func (s *TaskSet) AddRanges(unit int, text string) error {
-	lo, count := unitRange(unit)
+func (s *Bitmap) AddRanges(unit int, text string) error {
+	lo, count := segmentBounds(unit)
 	if text == "" {
 		return nil
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,8 +17,8 @@
 
 //go:generate protoc --go_out=. --go_opt=paths=source_relative operator.proto
 
-// Sibling is another controller.
-type Sibling struct {
+// Peer is another controller.
+type Peer struct {
 	Member  string `toml:"member"`
 	Zone    string `toml:"zone"`
 	Address string `toml:"address"`
@@ -128,13 +128,13 @@
 
 // Platform is the settings file that the platform hands to one controller.
 type Platform struct {
-	Member       string    `toml:"member"`
-	Zone         string    `toml:"zone"`
-	Listen       string    `toml:"listen"`
-	InternalAddr string    `toml:"internal_addr"`
-	Siblings     []Sibling `toml:"siblings"`
-	Services     Services  `toml:"services"`
-	Settings     Settings  `toml:"settings"`
+	Member       string   `toml:"member"`
+	Zone         string   `toml:"zone"`
+	Listen       string   `toml:"listen"`
+	InternalAddr string   `toml:"internal_addr"`
+	Peers        []Peer   `toml:"siblings"`
+	Services     Services `toml:"services"`
+	Settings     Settings `toml:"settings"`
 }
 
 // Config is everything a controller is told.
@@ -243,7 +243,7 @@
 	if need := c.ownSockets() + minServe; s.MachineLimits.MaxConnections < max(16, need) {
 		k.bad("settings.machine_limits.max_connections", "must be at least %d for the controllers themselves, is %d", max(16, need), s.MachineLimits.MaxConnections)
 	}
-	if s.Workers.LeaseS > 0 && s.Workers.CancelS > 0 && c.Term() <= 0 {
+	if s.Workers.LeaseS > 0 && s.Workers.CancelS > 0 && c.LeadershipTerm() <= 0 {
 		k.bad("settings.workers.cancel_s", "leaves no term beyond lease_s: %v", s.Workers.CancelS)
 	}
 	c.checkOperator(k)
@@ -259,7 +259,7 @@
 	k.address("internal_addr", c.InternalAddr)
 	k.address("services.cloud", c.Services.Cloud)
 	k.address("services.state", c.Services.State)
-	for i, s := range c.Siblings {
+	for i, s := range c.Peers {
 		if s.Member == "" {
 			k.bad(fmt.Sprintf("siblings[%d].member", i), "missing")
 		}
@@ -408,7 +408,7 @@
 // ownSockets is how many the controllers need among themselves, and for the least of
 // calls: two listeners, one out and a few in for each sibling, calls to workers, state
 // service and cloud.
-func (c *Config) ownSockets() int { return 1 + 5*len(c.Siblings) + 2 + 4 }
+func (c *Config) ownSockets() int { return 1 + 5*len(c.Peers) + 2 + 4 }
 
 // Sockets shares max_connections out: what this process opens itself is bounded
 // and small, so that every worker of a fleet finds room for its reports, also
@@ -416,7 +416,7 @@
 func (c *Config) Sockets() Sockets {
 	most := c.Settings.MachineLimits.MaxConnections
 	s := Sockets{Calls: max(2, most/8), Service: min(64, max(4, most/16))}
-	siblings := 1 + 5*len(c.Siblings) // two listeners, one out and a few in for each
+	siblings := 1 + 5*len(c.Peers) // two listeners, one out and a few in for each
 	s.Serve = max(minServe, most-s.Calls-s.Service-siblings-most/64)
 	return s
 }
@@ -424,31 +424,31 @@
 // finishedBytes is about what a finished job takes in memory, measured.
 const finishedBytes = 400
 
-// KeepFinished is how many finished jobs every controller keeps in memory: a
+// MaxCachedTerminalJobs is how many finished jobs every controller keeps in memory: a
 // sixteenth of it at most, and no more than a start reads in about a second within
 // its share of the state service's requests. Older ones are read when asked for.
-func (c *Config) KeepFinished() int {
+func (c *Config) MaxCachedTerminalJobs() int {
 	s := &c.Settings
 	memory := s.MachineLimits.MemoryMB * 1e6 / 16 / finishedBytes
 	list := s.StateLimits().RPS / float64(max(1, s.Nodes)) * 500
 	return int(min(memory, list))
 }
 
-// Lease is the worker lease.
-func (c *Config) Lease() micros.Time { return micros.FromSeconds(c.Settings.Workers.LeaseS) }
+// AgentLease is the worker lease.
+func (c *Config) AgentLease() micros.Time { return micros.FromSeconds(c.Settings.Workers.LeaseS) }
 
-// LeaseRunOut is how long after a holder's last possible answer a worker's
+// AgentLeaseExpiry is how long after a holder's last possible answer a worker's
 // lease has surely ended: drift on both sides, timer steps and a hop added.
-func (c *Config) LeaseRunOut() micros.Time {
-	l := c.Lease()
+func (c *Config) AgentLeaseExpiry() micros.Time {
+	l := c.AgentLease()
 	return l + l/500 + 500*micros.Millisecond
 }
 
-// Term is how long a holder may answer its workers without news from the state
+// LeadershipTerm is how long a holder may answer its workers without news from the state
 // service. Term + lease_s + margins <= cancel_s: a holder that is cut off alone
 // from the state service does not see a cancellation, and the cancelled tasks
 // must still end in time.
-func (c *Config) Term() micros.Time {
+func (c *Config) LeadershipTerm() micros.Time {
 	cancel := micros.FromSeconds(c.Settings.Workers.CancelS)
-	return cancel - c.LeaseRunOut() - cancel/500 - micros.Second
+	return cancel - c.AgentLeaseExpiry() - cancel/500 - micros.Second
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -55,7 +55,7 @@
 		t.Errorf("got %+v", c.Operator)
 	}
 	// Term + lease + margins stay within cancel_s.
-	if got := c.Term() + c.LeaseRunOut(); got >= 35_000_000 || got < 30_000_000 {
+	if got := c.LeadershipTerm() + c.AgentLeaseExpiry(); got >= 35_000_000 || got < 30_000_000 {
 		t.Errorf("term and lease take %d us", got)
 	}
 }
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -133,7 +133,7 @@
 func (c *Core) admissionChanged(sent micros.Time) {
 	f := c.fair
 	stored := c.replica.Admission
-	if f == nil || stored.Version == 0 {
+	if f == nil || stored.ModRevision == 0 {
 		return
 	}
 	skew := micros.FromSeconds(c.cfg.Settings.SkewMS / 1000)
@@ -146,7 +146,7 @@
 	case errors.Is(err, admission.ErrStale) || c.now-f.oddAt < oddEvery:
 	default:
 		f.oddAt = c.now
-		c.log(levelWarn, "admission epoch ignored", "version", stored.Version, "err", err)
+		c.log(levelWarn, "admission epoch ignored", "version", stored.ModRevision, "err", err)
 	}
 }
 
@@ -170,10 +170,10 @@
 	if e == nil {
 		return
 	}
-	f.writing = c.callState(&storage.Request{Kind: storage.Commit,
+	f.writing = c.callState(&storage.Request{Kind: storage.Txn,
 		// Carried out late, or by a leader that was replaced, it has no effect.
-		Conditions: []storage.Condition{c.asLeader(), {Key: c.keys.Admission(), Version: c.replica.Admission.Version}},
-		Puts:       []storage.Put{{Key: c.keys.Admission(), Value: storage.Encode(e)}},
+		Compares: []storage.Compare{c.asLeader(), {Key: c.keys.Admission(), ModRevision: c.replica.Admission.ModRevision}},
+		Puts:     []storage.Put{{Key: c.keys.Admission(), Value: storage.Encode(e)}},
 	}, storage.Critical, stateTimeout, func(r *storage.Reply) {
 		f.writing = false
 		if r.Outcome != storage.OK {
@@ -218,8 +218,8 @@
 // admissionCapacity is how many jobs can be taken a second, in thousandths: the changes that
 // the state service takes, less what is used for everything but new jobs.
 func (c *Core) admissionCapacity(demand admission.Demand) int64 {
-	total := c.budget.WriteTotal()
-	used := c.budget.Recent().Writes
+	total := c.budget.TotalWriteRate()
+	used := c.budget.RecentUsage().Writes
 	for member, p := range c.peers {
 		if member != c.proc.Member && c.now-p.at < 3*micros.Second {
 			used += p.status.Used.Writes
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -23,11 +23,11 @@
 	c := New(cfg, "1")
 	c.catalog = bookkeeping.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: bookkeeping.Resources{CPU: 8000, Mem: 32_000}}}
 	c.now, c.wall, c.out = micros.Second, micros.Second, &Output{}
-	r := storage.NewReplica(c.keys)
+	r := storage.NewCache(c.keys)
 	r.Revision = 10
 	epoch := &admission.Epoch{Number: 3, Leader: 2, Written: micros.Second, Length: 4 * micros.Second, Validity: 12 * micros.Second,
 		Rest: admission.Window{Start: 0, Width: 1}}
-	if _, _, err := r.Apply(storage.Item{Key: c.keys.Admission(), Value: storage.Encode(epoch), Version: 9}); err != nil {
+	if _, _, err := r.Apply(storage.Item{Key: c.keys.Admission(), Value: storage.Encode(epoch), ModRevision: 9}); err != nil {
 		t.Fatal(err)
 	}
 	c.adoptReplica(r, micros.Second)
@@ -36,7 +36,7 @@
 }
 
 func testJob(n int) *bookkeeping.Job {
-	return &bookkeeping.Job{ID: fmt.Sprintf("wk-%06d", n), Class: "c", Team: "alpha", Tasks: 1, Need: bookkeeping.Resources{CPU: 1000, Mem: 1000}}
+	return &bookkeeping.Job{ID: fmt.Sprintf("wk-%06d", n), Class: "c", Team: "alpha", Tasks: 1, Resources: bookkeeping.Resources{CPU: 1000, Mem: 1000}}
 }
 
 // ask submits a job and completes the reads of the state service that follow.
@@ -66,19 +66,19 @@
 	}{
 		"not known":       {want: Overloaded, barrier: storage.NotFound},
 		"in the archive":  {want: View, barrier: storage.NotFound, archived: true},
-		"cannot be found": {want: Unavailable, barrier: storage.Lost},
+		"cannot be found": {want: Unavailable, barrier: storage.OutcomeUnknown},
 	} {
 		core := newFair(t)
 		core.replica.Archived = true
 		answers := ask(core, 2*micros.Second, known, func(r *storage.Request) *storage.Reply {
 			switch {
-			case r.Kind == storage.Get && r.Key == core.keys.Barrier():
+			case r.Kind == storage.Get && r.Key == core.keys.ReadBarrier():
 				return &storage.Reply{Outcome: c.barrier, Revision: 10}
 			case r.Kind == storage.Get && c.archived:
-				return &storage.Reply{Outcome: storage.OK, Items: []storage.Item{{Key: r.Key, Version: 5, Value: storage.Encode(known.Final(bookkeeping.Done))}}}
+				return &storage.Reply{Outcome: storage.OK, Items: []storage.Item{{Key: r.Key, ModRevision: 5, Value: storage.Encode(known.Tombstone(bookkeeping.Done))}}}
 			case r.Kind == storage.Get:
 				return &storage.Reply{Outcome: storage.NotFound, Revision: 10}
-			case r.Kind == storage.Commit && len(r.Puts) > 0 && r.Puts[0].Key == core.keys.Job(known.ID):
+			case r.Kind == storage.Txn && len(r.Puts) > 0 && r.Puts[0].Key == core.keys.Job(known.ID):
 				t.Errorf("%s: it is stored though it is not admitted", name)
 			}
 			return nil
@@ -104,7 +104,7 @@
 		change(c)
 		stored := false
 		ask(c, c.now, testJob(7), func(r *storage.Request) *storage.Reply {
-			stored = stored || (r.Kind == storage.Commit && len(r.Puts) > 0 && r.Puts[0].Key == c.keys.Job("wk-000007"))
+			stored = stored || (r.Kind == storage.Txn && len(r.Puts) > 0 && r.Puts[0].Key == c.keys.Job("wk-000007"))
 			return nil
 		})
 		if !stored {
@@ -117,13 +117,13 @@
 func TestCancellationsAreNotJudged(t *testing.T) {
 	c := newFair(t)
 	job := testJob(8)
-	if _, _, err := c.replica.Apply(storage.Item{Key: c.keys.Job(job.ID), Value: storage.Encode(job), Version: 11}); err != nil {
+	if _, _, err := c.replica.Apply(storage.Item{Key: c.keys.Job(job.ID), Value: storage.Encode(job), ModRevision: 11}); err != nil {
 		t.Fatal(err)
 	}
 	out := c.Step(c.now, c.now, &Cancel{Request: 1, ID: job.ID})
 	cancelled := false
 	for _, call := range out.State {
-		cancelled = cancelled || (call.Request.Kind == storage.Commit && len(call.Request.Puts) > 0 && call.Request.Puts[0].Key == c.keys.Job(job.ID))
+		cancelled = cancelled || (call.Request.Kind == storage.Txn && len(call.Request.Puts) > 0 && call.Request.Puts[0].Key == c.keys.Job(job.ID))
 	}
 	if !cancelled {
 		t.Errorf("%+v", out)
@@ -137,7 +137,7 @@
 	for i := range 100 {
 		c.now += 50 * micros.Millisecond
 		c.out = &Output{}
-		item := storage.Item{Key: c.keys.Admission(), Value: []byte(`{"n":`), Version: uint64(20 + i)}
+		item := storage.Item{Key: c.keys.Admission(), Value: []byte(`{"n":`), ModRevision: uint64(20 + i)}
 		if _, _, err := c.replica.Apply(item); err != nil {
 			t.Fatal(err)
 		}
@@ -160,7 +160,7 @@
 // newer epoch, the write has no effect.
 func TestEpochIsWrittenAsLeader(t *testing.T) {
 	c := newFair(t)
-	c.replica.Leader = storage.Versioned[storage.Process]{Value: c.proc, Version: 4}
+	c.replica.ClusterLeader = storage.Versioned[storage.Process]{Value: c.proc, ModRevision: 4}
 	c.leader.version = 4
 	c.now += 20 * micros.Second // the epoch that was there has ended
 	for i := range 3000 {
@@ -173,9 +173,9 @@
 		t.Fatalf("%d requests", len(c.out.State))
 	}
 	r := c.out.State[0].Request
-	want := []storage.Condition{{Key: c.keys.Leader(), Version: 4}, {Key: c.keys.Admission(), Version: 9}}
-	if !slices.Equal(r.Conditions, want) {
-		t.Errorf("conditions %+v, want %+v", r.Conditions, want)
+	want := []storage.Compare{{Key: c.keys.ClusterLeader(), ModRevision: 4}, {Key: c.keys.Admission(), ModRevision: 9}}
+	if !slices.Equal(r.Compares, want) {
+		t.Errorf("conditions %+v, want %+v", r.Compares, want)
 	}
 	e, err := admission.Parse(r.Puts[0].Value)
 	if err != nil || e.Number != 4 || e.Leader != 4 {
@@ -200,7 +200,7 @@
 		c := newFair(t)
 		c.now += 100 * micros.Second
 		c.peers["n1"] = &peerView{at: c.now - age, status: told}
-		h := newHolder(c, 0, storage.Versioned[storage.QueueRecord]{Version: 20})
+		h := newHolder(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: 20})
 		if got := h.shares.queue.Lag(flow); got != want {
 			t.Errorf("told %d before: %+v", age, got)
 		}
@@ -214,15 +214,15 @@
 		c := newFair(t)
 		epoch := &admission.Epoch{Number: 4, Leader: 2, Written: c.wall, Length: 4 * micros.Second, Validity: 12 * micros.Second,
 			Rest: admission.Window{Width: width}}
-		if _, _, err := c.replica.Apply(storage.Item{Key: c.keys.Admission(), Value: storage.Encode(epoch), Version: 12}); err != nil {
+		if _, _, err := c.replica.Apply(storage.Item{Key: c.keys.Admission(), Value: storage.Encode(epoch), ModRevision: 12}); err != nil {
 			t.Fatal(err)
 		}
 		c.admissionChanged(c.now)
-		for c.budget.Take(c.now, 1, storage.Prompt) { // until there is room for urgent ones only
+		for c.budget.Allow(c.now, 1, storage.Prompt) { // until there is room for urgent ones only
 		}
 		stored := false
 		answers := ask(c, c.now, testJob(7), func(r *storage.Request) *storage.Reply {
-			stored = stored || (r.Kind == storage.Commit && len(r.Puts) > 0 && r.Puts[0].Key == c.keys.Job("wk-000007"))
+			stored = stored || (r.Kind == storage.Txn && len(r.Puts) > 0 && r.Puts[0].Key == c.keys.Job("wk-000007"))
 			return nil
 		})
 		if stored != want || (!want && (len(answers) != 1 || answers[0].Kind != Overloaded)) {
--- a/internal/coordination/adoption.go
+++ b/internal/coordination/adoption.go
@@ -16,15 +16,15 @@
 // deleted under an earlier leader: as a machine that had no task it holds up no
 // planning, and as one that does not answer it is soon deleted again.
 func (l *leaderState) found(c *Core, r *Report) {
-	c.adoptMachine(r.Machine, r.Address, fleet.Offer{Type: r.Type, Zone: r.Zone, Spot: r.Spot})
+	c.adoptMachine(r.Machine, r.Address, fleet.InstanceKind{InstanceType: r.Type, Zone: r.Zone, Spot: r.Spot})
 }
 
 // adoptMachine notes a machine that is to be assigned to the queue with the
 // greatest need. It has had no task: only machines of a block get any, and they
 // leave it only when they are gone.
-func (c *Core) adoptMachine(id, address string, o fleet.Offer) {
+func (c *Core) adoptMachine(id, address string, o fleet.InstanceKind) {
 	l := &c.leader
-	if _, gone := l.gone[id]; gone || !c.leading() || l.version != c.replica.Leader.Version {
+	if _, gone := l.gone[id]; gone || !c.leading() || l.version != c.replica.ClusterLeader.ModRevision {
 		return
 	}
 	if _, known := c.replica.Machines[id]; !known {
@@ -36,14 +36,14 @@
 // one of those it brings, up before the cloud's answer. It is taken into the rental's
 // block then. Adopted as well, it would be in two blocks, and what one record says of it
 // (that it has had tasks) would be hidden by the other.
-func (c *Core) beingRented(o fleet.Offer) bool {
+func (c *Core) beingRented(o fleet.InstanceKind) bool {
 	for _, out := range c.leader.renting {
 		if out == o {
 			return true
 		}
 	}
 	for _, b := range c.replica.Blocks {
-		if v := b.Value; v.Want > 0 && v.Type == o.Type && v.Zone == o.Zone && v.Spot == o.Spot {
+		if v := b.Value; v.Requested > 0 && v.InstanceType == o.InstanceType && v.Zone == o.Zone && v.Spot == o.Spot {
 			return true
 		}
 	}
@@ -52,7 +52,7 @@
 
 // orphan is a machine without a block.
 type orphan struct {
-	fleet.Offer
+	fleet.InstanceKind
 	address string
 }
 
@@ -69,7 +69,7 @@
 	if c.replica.Revision < l.closed {
 		return // a rental may have become a block that is not seen yet
 	}
-	blocks := map[fleet.Offer]storage.BlockRecord{}
+	blocks := map[fleet.InstanceKind]storage.BlockRecord{}
 	for _, id := range sortedKeys(l.orphans) {
 		o := l.orphans[id]
 		_, known := c.replica.Machines[id]
@@ -78,18 +78,18 @@
 			delete(l.orphans, id)
 			continue
 		}
-		if c.beingRented(o.Offer) {
+		if c.beingRented(o.InstanceKind) {
 			continue
 		}
-		b, ok := blocks[o.Offer]
+		b, ok := blocks[o.InstanceKind]
 		if !ok {
-			b = storage.BlockRecord{Queue: c.neediest(), Type: o.Type, Zone: o.Zone, Spot: o.Spot}
+			b = storage.BlockRecord{Partition: c.neediest(), InstanceType: o.InstanceType, Zone: o.Zone, Spot: o.Spot}
 		}
 		if len(b.Machines) < c.maxBlock() {
-			blocks[o.Offer] = b.With(id, storage.MachineRecord{Address: o.address})
+			blocks[o.InstanceKind] = b.With(id, storage.MachineRecord{Address: o.address})
 		}
 	}
-	if offers := slices.SortedFunc(maps.Keys(blocks), fleet.Offer.Compare); len(offers) > 0 {
+	if offers := slices.SortedFunc(maps.Keys(blocks), fleet.InstanceKind.Compare); len(offers) > 0 {
 		c.adoptBlock(blocks[offers[0]])
 	}
 }
@@ -104,10 +104,10 @@
 		l.adoptKey = c.keys.Block(fmt.Sprintf("a%d-%d", l.version, l.counter))
 	}
 	key := l.adoptKey
-	r := &storage.Request{Kind: storage.Commit, Conditions: []storage.Condition{c.asLeader(), {Key: key}}}
+	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.asLeader(), {Key: key}}}
 	c.putBlock(r, strings.TrimPrefix(key, c.keys.Block("")), b)
 	l.adoptAt = c.now + stateTimeout + micros.Second
-	c.log(levelInfo, "machines adopted", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", len(b.Machines), "queue", b.Queue)
+	c.log(levelInfo, "machines adopted", "type", b.InstanceType, "zone", b.Zone, "spot", b.Spot, "count", len(b.Machines), "queue", b.Partition)
 	if !c.callState(r, storage.Urgent, stateTimeout, func(reply *storage.Reply) {
 		l.adoptAt = c.now + adoptPace
 		if reply.Outcome == storage.OK || reply.Outcome == storage.Conflict {
--- a/internal/coordination/archive.go
+++ b/internal/coordination/archive.go
@@ -41,16 +41,16 @@
 	if n := len(a.ages); n == 0 || c.now-a.ages[n-1].at >= agePace {
 		a.ages = append(a.ages, revisionAt{c.now, c.replica.Revision})
 	}
-	safe := 2*micros.FromSeconds(c.cfg.Settings.Workers.CancelS) + c.cfg.LeaseRunOut()
+	safe := 2*micros.FromSeconds(c.cfg.Settings.Workers.CancelS) + c.cfg.AgentLeaseExpiry()
 	for len(a.ages) > 1 && c.now-a.ages[1].at > safe {
 		a.ages = a.ages[1:]
 	}
-	keep := c.cfg.KeepFinished()
+	keep := c.cfg.MaxCachedTerminalJobs()
 	if !a.moved && c.now >= a.at && c.now-a.ages[0].at > safe && c.stateOK() {
-		if stale := c.replica.StaleParts(a.ages[0].revision, c.cfg.Settings.StateLimits().TxnOps); len(stale) > 0 {
+		if stale := c.replica.OrphanedDependencyParts(a.ages[0].revision, c.cfg.Settings.StateLimits().TxnOps); len(stale) > 0 {
 			a.at = c.now + archivePace
-			a.moved = c.callState(&storage.Request{Kind: storage.Commit, Conditions: []storage.Condition{c.asLeader()}, Deletes: stale},
-				storage.Patient, stateTimeout, func(*storage.Reply) { a.moved = false })
+			a.moved = c.callState(&storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.asLeader()}, Deletes: stale},
+				storage.Deferrable, stateTimeout, func(*storage.Reply) { a.moved = false })
 			return
 		}
 	}
@@ -61,7 +61,7 @@
 	var over []*storage.JobEntry
 	for id, e := range c.replica.Jobs {
 		// A needed job stays at hand while an unfinished one names it.
-		if e.Job.Phase != bookkeeping.Active && len(c.replica.Needed[id]) == 0 {
+		if e.Job.Phase != bookkeeping.Active && len(c.replica.Dependents[id]) == 0 {
 			over = append(over, e)
 		}
 	}
@@ -69,21 +69,21 @@
 	if most <= 0 {
 		return
 	}
-	slices.SortFunc(over, func(x, y *storage.JobEntry) int { return cmp.Compare(x.Version, y.Version) })
-	r := &storage.Request{Kind: storage.Commit, Conditions: []storage.Condition{c.asLeader()}}
+	slices.SortFunc(over, func(x, y *storage.JobEntry) int { return cmp.Compare(x.ModRevision, y.ModRevision) })
+	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.asLeader()}}
 	for _, e := range over[:most] {
-		if e.Version > a.ages[0].revision {
+		if e.ModRevision > a.ages[0].revision {
 			break
 		}
 		key := c.keys.Job(e.Job.ID)
-		r.Conditions = append(r.Conditions, storage.Condition{Key: key, Version: e.Version})
+		r.Compares = append(r.Compares, storage.Compare{Key: key, ModRevision: e.ModRevision})
 		r.Puts = append(r.Puts, storage.Put{Key: c.keys.Archive(e.Job.ID), Value: storage.Encode(e.Job)})
 		r.Deletes = append(r.Deletes, key)
 	}
 	if len(r.Puts) == 0 {
 		return
 	}
-	a.moved = c.callState(r, storage.Patient, stateTimeout, func(*storage.Reply) {
+	a.moved = c.callState(r, storage.Deferrable, stateTimeout, func(*storage.Reply) {
 		a.moved = false
 		a.at = c.now + max(archivePace, micros.FromSeconds(float64(r.Writes())*archivePart/c.cfg.Settings.StateLimits().WriteRPS))
 	})
@@ -105,7 +105,7 @@
 		then(e, true) // it cannot change any more
 		return
 	}
-	if !c.callState(&storage.Request{Kind: storage.Get, Key: c.keys.Archive(id)}, storage.Patient, micros.Second, func(r *storage.Reply) {
+	if !c.callState(&storage.Request{Kind: storage.Get, Key: c.keys.Archive(id)}, storage.Deferrable, micros.Second, func(r *storage.Reply) {
 		switch {
 		case r.Outcome == storage.NotFound:
 			then(nil, true)
--- a/internal/coordination/barrier.go
+++ b/internal/coordination/barrier.go
@@ -32,7 +32,7 @@
 // fresh calls then(true) when the replica is as new as this moment, and
 // then(false), at once where that is known, when it cannot be made so.
 func (c *Core) fresh(then func(ok bool)) {
-	if !c.synced || c.term.Age(c.now) >= staleAfter {
+	if !c.synced || c.term.SinceConfirmed(c.now) >= staleAfter {
 		then(false) // no news for long: waiting would only hold the answer back
 		return
 	}
@@ -54,7 +54,7 @@
 		return
 	}
 	batch := c.waiting
-	ok := c.callState(&storage.Request{Kind: storage.Get, Key: c.keys.Barrier()}, storage.Patient, micros.Second, func(r *storage.Reply) {
+	ok := c.callState(&storage.Request{Kind: storage.Get, Key: c.keys.ReadBarrier()}, storage.Deferrable, micros.Second, func(r *storage.Reply) {
 		c.reading = false
 		if r.Outcome != storage.NotFound {
 			for _, w := range batch {
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -51,7 +51,7 @@
 	c := New(cfg, "1")
 	c.catalog = bookkeeping.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: bookkeeping.Resources{CPU: 32_000, Mem: 256_000},
 		Price: 2, SpotPrice: 1, FetchGBps: 0.5, Boot: 30 * micros.Second}}
-	r := storage.NewReplica(c.keys)
+	r := storage.NewCache(c.keys)
 	version := uint64(0)
 	put := func(key string, v any) {
 		version++
@@ -59,13 +59,13 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, _, err := r.Apply(storage.Item{Key: key, Value: raw, Version: version}); err != nil {
+		if _, _, err := r.Apply(storage.Item{Key: key, Value: raw, ModRevision: version}); err != nil {
 			b.Fatal(err)
 		}
 	}
 	job := func(n int) string { return fmt.Sprintf("wk-%06d", n) }
 	for i := range size / 5 {
-		put(c.keys.Job(job(i)), &bookkeeping.Job{ID: job(i), Class: "c", Team: "alpha", Tasks: 80, Need: bookkeeping.Resources{CPU: 4000, Mem: 4000},
+		put(c.keys.Job(job(i)), &bookkeeping.Job{ID: job(i), Class: "c", Team: "alpha", Tasks: 80, Resources: bookkeeping.Resources{CPU: 4000, Mem: 4000},
 			Estimate: 60 * micros.Second, Deadline: 160 * micros.Second, Spot: true, Image: "i"})
 	}
 	var reports []*Report
@@ -81,11 +81,11 @@
 			}
 			reports = append(reports, rep)
 		}
-		put(c.keys.Block(fmt.Sprint("b", k)), storage.BlockRecord{Type: "m", Zone: "a", Machines: machines})
+		put(c.keys.Block(fmt.Sprint("b", k)), storage.BlockRecord{InstanceType: "m", Zone: "a", Machines: machines})
 	}
-	put(c.keys.Node("n0"), c.proc)
-	put(c.keys.Leader(), c.proc)
-	put(c.keys.Queue(0), storage.QueueRecord{Holder: c.proc})
+	put(c.keys.Member("n0"), c.proc)
+	put(c.keys.ClusterLeader(), c.proc)
+	put(c.keys.Partition(0), storage.PartitionRecord{Leader: c.proc})
 	r.Revision = version
 	c.now = micros.Second
 	c.out = &Output{}
--- a/internal/coordination/cancelling.go
+++ b/internal/coordination/cancelling.go
@@ -188,7 +188,7 @@
 	// A worker that has its last answer by then loses the task to its lease within
 	// cancel_s, and as much time is left for the cloud to delete the machine.
 	// One whose time is over already still gets the moment that a stop takes.
-	a.killBy = max(h.c.newsBefore+h.c.cfg.Term(), h.c.now+killMoment)
+	a.killBy = max(h.c.newsBefore+h.c.cfg.LeadershipTerm(), h.c.now+killMoment)
 	h.kills = append(h.kills, a)
 }
 
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -45,7 +45,7 @@
 	catalogSave  bool // a write is out
 	catalogSaved micros.Time
 
-	budget     *storage.Budget
+	budget     *storage.RateLimiter
 	rejected   rejections // transactions that the state service calls invalid
 	workerOut  int        // direct calls to workers that are out
 	workerMost int        // how many may be, for lack of sockets
@@ -61,8 +61,8 @@
 	// progressKept is how many entries of progress were left when it was last bounded.
 	progressKept int
 	leader       leaderState
-	stats        *bookkeeping.RunTimes
-	faults       *fleet.Faults
+	stats        *bookkeeping.RuntimeStats
+	faults       *fleet.FaultTracker
 	spot         spotLosses
 	reach        reach
 	fair         *fairAdmission // nil: off
@@ -96,14 +96,14 @@
 		cfg: cfg, proc: storage.Process{Member: cfg.Member, Incarnation: incarnation},
 		teams: bookkeeping.Teams(cfg), keys: keys, pending: map[uint64]func(any){},
 		workerMost: max(1, cfg.Sockets().Calls/2), // the other half are idle connections
-		budget:     storage.NewBudget(cfg.Settings.StateLimits().RPS, cfg.Settings.StateLimits().WriteRPS, cfg.Settings.Nodes),
+		budget:     storage.NewRateLimiter(cfg.Settings.StateLimits().RPS, cfg.Settings.StateLimits().WriteRPS, cfg.Settings.Nodes),
 		holders:    map[int]*holder{}, ends: map[storage.Process]micros.Time{},
 		rejected: rejections{}, peers: map[string]*peerView{}, cancelled: newCancellations(), archive: map[string]*storage.JobEntry{}, progress: map[string]JobProgress{},
-		stats: bookkeeping.NewRunTimes(), faults: fleet.NewFaults(), fair: newFairAdmission(cfg),
+		stats: bookkeeping.NewRuntimeStats(), faults: fleet.NewFaultTracker(), fair: newFairAdmission(cfg),
 	}
-	c.session.replica = storage.NewReplica(keys)
-	c.session.term = lease.Term{Length: cfg.Term()}
-	c.leader.exhausted = fleet.NewExhausted()
+	c.session.replica = storage.NewCache(keys)
+	c.session.term = lease.Term{Length: cfg.LeadershipTerm()}
+	c.leader.exhausted = fleet.NewCapacityTracker()
 	return c
 }
 
@@ -176,7 +176,7 @@
 
 // callState sends a request to the state service if the budget allows.
 func (c *Core) callState(r *storage.Request, urgency storage.Urgency, timeout micros.Time, done func(*storage.Reply)) bool {
-	if c.rejected.holdBack(r, c.now) || !c.budget.Take(c.now, r.Writes(), urgency) {
+	if c.rejected.holdBack(r, c.now) || !c.budget.Allow(c.now, r.Writes(), urgency) {
 		return false
 	}
 	id := c.call(func(v any) {
@@ -276,7 +276,7 @@
 
 // stateOK tells whether this controller can serve users now.
 func (c *Core) stateOK() bool {
-	return c.synced && c.catalog != nil && c.term.Age(c.now) < staleAfter
+	return c.synced && c.catalog != nil && c.term.SinceConfirmed(c.now) < staleAfter
 }
 
 // heardWithin tells whether any sibling that meets the condition has been heard
@@ -292,7 +292,7 @@
 
 // heardFromAll tells whether every sibling has been heard of late.
 func (c *Core) heardFromAll() bool {
-	for _, s := range c.cfg.Siblings {
+	for _, s := range c.cfg.Peers {
 		if p := c.peers[s.Member]; p == nil || c.now-p.at >= 3*micros.Second {
 			return false
 		}
@@ -303,7 +303,7 @@
 // alone tells whether neither the state service nor any sibling has been heard of
 // late: then this controller's view may be outdated, whatever it says.
 func (c *Core) alone() bool {
-	return c.term.Age(c.now) >= staleAfter && c.now > c.born+2*micros.Second &&
+	return c.term.SinceConfirmed(c.now) >= staleAfter && c.now > c.born+2*micros.Second &&
 		!c.heardWithin(2*micros.Second, func(*Status) bool { return true })
 }
 
@@ -322,7 +322,7 @@
 		return false // it may only be starting
 	case c.heardWithin(2*micros.Second, func(s *Status) bool { return s.StateOK }):
 		return false
-	case len(c.cfg.Siblings) == 0 || c.heardWithin(2*micros.Second, func(*Status) bool { return true }):
+	case len(c.cfg.Peers) == 0 || c.heardWithin(2*micros.Second, func(*Status) bool { return true }):
 		return true
 	}
 	return c.now-max(c.okAt, c.born) < aloneAfter
@@ -338,7 +338,7 @@
 		return
 	}
 	c.statusAt, c.statusSoon = c.now, false
-	s := &Status{From: c.proc, Revision: c.replica.Revision, StateOK: c.stateOK(), Used: c.budget.Recent(), Reach: c.reach.told(c.now)}
+	s := &Status{From: c.proc, Revision: c.replica.Revision, StateOK: c.stateOK(), Used: c.budget.RecentUsage(), Reach: c.reach.told(c.now)}
 	var others storage.Usage
 	for member, p := range c.peers {
 		if member == c.proc.Member {
@@ -353,7 +353,7 @@
 		// What one that is not heard of uses is not known: an even share only.
 		others = storage.Usage{Requests: 1 << 40, Writes: 1 << 40}
 	}
-	c.budget.Others(others)
+	c.budget.SetPeerUsage(others)
 	for _, n := range sortedKeys(c.holders) {
 		h := c.holders[n]
 		s.Queues = append(s.Queues, h.status())
@@ -362,7 +362,7 @@
 	s.Gone = c.leader.recentlyGone(c.now)
 	s.CancelsHeard = c.cancelsHeard()
 	s.Demand = c.demandToTell()
-	for _, p := range c.cfg.Siblings {
+	for _, p := range c.cfg.Peers {
 		mine := *s
 		mine.Shifts = c.leader.shifts[p.Member]
 		mine.Cancelled, mine.CancelledUpTo = c.noticesTo(p.Member)
--- a/internal/coordination/exceptions.go
+++ b/internal/coordination/exceptions.go
@@ -26,7 +26,7 @@
 		switch o.Kind {
 		case "wait":
 		case "finished":
-			limit -= micros.Time(float64(h.estimate(j)) * h.c.stats.Spread(j.Class))
+			limit -= micros.Time(float64(h.estimate(j)) * h.c.stats.TailRatio(j.Class))
 		default:
 			continue
 		}
@@ -64,5 +64,5 @@
 // whose index knows no teams: it comes before what teams borrow.
 func (h *holder) guaranteed(j *job) bool {
 	t := h.c.teams[j.Team]
-	return t != nil && t.GuaranteeCPU+t.GuaranteeG > 0 && t.Guaranteed(h.usage[j.Team].Add(j.Need.Times(int64(j.waiting.Len()))))
+	return t != nil && t.GuaranteeCPU+t.GuaranteeGPU > 0 && t.WithinGuarantee(h.usage[j.Team].Add(j.Resources.Times(int64(j.waiting.Len()))))
 }
--- a/internal/coordination/finished.go
+++ b/internal/coordination/finished.go
@@ -13,18 +13,18 @@
 		delete(j.live, t)
 	}
 	j.waiting.Remove(t)
-	if j.entry.Finished != nil && j.entry.Finished.Has(t) {
+	if j.entry.Completed != nil && j.entry.Completed.Has(t) {
 		a.stored = true
 		return
 	}
 	j.pending.Add(t)
-	j.chunks[bookkeeping.Unit(t, h.c.finParts())] = true
+	j.chunks[bookkeeping.Segment(t, h.c.finParts())] = true
 }
 
 // finParts tells whether finished ranges are written in parts: where a chunk would not
 // fit at its worst, as soon as no older version is about, which reads chunks only.
 func (c *Core) finParts() bool {
-	return c.replica.Format >= storage.Format && c.cfg.Settings.MaxValue() < bookkeeping.ChunkBytes
+	return c.replica.Format >= storage.Format && c.cfg.Settings.MaxValue() < bookkeeping.LargeSegmentBytes
 }
 
 // partialEvery is how often finished tasks of an unfinished job are stored.
@@ -41,11 +41,11 @@
 		j.storeAt = h.c.now + partialEvery
 		return
 	}
-	r := &storage.Request{Kind: storage.Commit, Conditions: []storage.Condition{
-		{Key: h.c.keys.Queue(h.queue), Version: h.token},
-		{Key: h.c.keys.Job(j.ID), Version: j.version},
+	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{
+		{Key: h.c.keys.Partition(h.queue), ModRevision: h.token},
+		{Key: h.c.keys.Job(j.ID), ModRevision: j.version},
 	}}
-	urgency, written := storage.Patient, map[int]*bookkeeping.TaskSet{}
+	urgency, written := storage.Deferrable, map[int]*bookkeeping.Bitmap{}
 	if whole {
 		urgency = storage.Urgent
 		h.putDone(r, j)
@@ -63,34 +63,34 @@
 
 // putDone adds to a transaction that a job is done; its finished ranges are needed no more.
 func (h *holder) putDone(r *storage.Request, j *job) {
-	over := j.Final(bookkeeping.Done)
-	over.Over = h.c.wall
+	over := j.Tombstone(bookkeeping.Done)
+	over.CompletedAt = h.c.wall
 	r.Puts = append(r.Puts, storage.Put{Key: h.c.keys.Job(j.ID), Value: storage.Encode(over)})
-	for _, chunk := range sortedKeys(j.entry.FinVersion) {
+	for _, chunk := range sortedKeys(j.entry.CompletedRevisions) {
 		if len(r.Deletes)+1 < h.c.cfg.Settings.StateLimits().TxnOps {
-			r.Deletes = append(r.Deletes, h.c.keys.Fin(j.ID, chunk))
+			r.Deletes = append(r.Deletes, h.c.keys.CompletedSegment(j.ID, chunk))
 		}
 	}
 }
 
 // putFinished adds finished ranges to a transaction, and returns what it will have written,
 // by chunk or part.
-func (h *holder) putFinished(r *storage.Request, j *job) map[int]*bookkeeping.TaskSet {
-	all := bookkeeping.NewTaskSet(j.Tasks)
+func (h *holder) putFinished(r *storage.Request, j *job) map[int]*bookkeeping.Bitmap {
+	all := bookkeeping.NewBitmap(j.Tasks)
 	for t := range j.Tasks {
 		if j.finished(t) {
 			all.Add(t)
 		}
 	}
-	written := map[int]*bookkeeping.TaskSet{}
+	written := map[int]*bookkeeping.Bitmap{}
 	for _, chunk := range sortedKeys(j.chunks) {
 		if len(r.Puts) >= h.c.cfg.Settings.StateLimits().TxnOps {
 			break
 		}
-		key := h.c.keys.Fin(j.ID, chunk)
+		key := h.c.keys.CompletedSegment(j.ID, chunk)
 		// The chunk's own version keeps a late copy of an older write from
 		// taking finished tasks back.
-		r.Conditions = append(r.Conditions, storage.Condition{Key: key, Version: j.entry.FinVersion[chunk]})
+		r.Compares = append(r.Compares, storage.Compare{Key: key, ModRevision: j.entry.CompletedRevisions[chunk]})
 		r.Puts = append(r.Puts, storage.Put{Key: key, Value: storage.Encode(all.Ranges(chunk))})
 		written[chunk] = all
 	}
@@ -99,7 +99,7 @@
 
 // stored notes what is in the state service now. The stream brings the same to the replica;
 // the workers may forget it.
-func (h *holder) stored(j *job, whole bool, written map[int]*bookkeeping.TaskSet) {
+func (h *holder) stored(j *job, whole bool, written map[int]*bookkeeping.Bitmap) {
 	j.storeAt = h.c.now + partialEvery
 	for a := range j.attempts {
 		if a.state == Exited && (whole || wrote(written, a.id.Task)) {
@@ -109,7 +109,7 @@
 	for chunk, set := range written {
 		left := false
 		for t := j.pending.Next(0); t >= 0; t = j.pending.Next(t + 1) {
-			left = left || (bookkeeping.InUnit(t, chunk) && !set.Has(t))
+			left = left || (bookkeeping.InSegment(t, chunk) && !set.Has(t))
 		}
 		if !left {
 			delete(j.chunks, chunk)
@@ -124,6 +124,6 @@
 }
 
 // wrote tells whether a task was among those that were written, by chunk or part.
-func wrote(written map[int]*bookkeeping.TaskSet, task int) bool {
-	return has(written[bookkeeping.Unit(task, false)], task) || has(written[bookkeeping.Unit(task, true)], task)
+func wrote(written map[int]*bookkeeping.Bitmap, task int) bool {
+	return has(written[bookkeeping.Segment(task, false)], task) || has(written[bookkeeping.Segment(task, true)], task)
 }
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -32,7 +32,7 @@
 	planPause micros.Time        // until the next plan
 	replicas  int                // service tasks, running or not, as of planAt
 	noRoom    map[roomShape]bool // of this plan
-	needs     []fleet.Need
+	needs     []fleet.CapacityRequest
 	// unknownUse is what machines whose tasks are not known may be running, in this plan.
 	unknownUse bookkeeping.Resources
 	lastTick   micros.Time
@@ -67,8 +67,8 @@
 	*bookkeeping.Job
 	version         uint64
 	entry           *storage.JobEntry
-	waiting         *bookkeeping.TaskSet
-	pending         *bookkeeping.TaskSet // finished, not known to be stored
+	waiting         *bookkeeping.Bitmap
+	pending         *bookkeeping.Bitmap // finished, not known to be stored
 	live            map[int]*attempt
 	attempts        map[*attempt]struct{} // all that machines may still show, ended ones included
 	chunks          map[int]bool          // with pending tasks
@@ -79,24 +79,24 @@
 	ranN            int
 	est             micros.Time // estimate of a task as of estAt
 	estAt           micros.Time
-	wasGuaranteed   bool                 // it was within its team's guarantee when it was planned
-	spared          *bookkeeping.TaskSet // stopped once for another job, and not again
-	double          []*attempt           // second attempts at a live task, being stopped
-	cancelRequested bool                 // a sibling knows it to be cancelled: it starts nothing any more
-	blocked         bool                 // it waits on others
-	ready           micros.Time          // time of day since which it may start
+	wasGuaranteed   bool                // it was within its team's guarantee when it was planned
+	spared          *bookkeeping.Bitmap // stopped once for another job, and not again
+	double          []*attempt          // second attempts at a live task, being stopped
+	cancelRequested bool                // a sibling knows it to be cancelled: it starts nothing any more
+	blocked         bool                // it waits on others
+	ready           micros.Time         // time of day since which it may start
 }
 
 func (j *job) finished(task int) bool {
-	return j.pending.Has(task) || (j.entry.Finished != nil && j.entry.Finished.Has(task))
+	return j.pending.Has(task) || (j.entry.Completed != nil && j.entry.Completed.Has(task))
 }
 
 func (j *job) finishedCount() int {
 	n := j.pending.Len()
-	if j.entry.Finished != nil {
-		n += j.entry.Finished.Len()
+	if j.entry.Completed != nil {
+		n += j.entry.Completed.Len()
 		for t := j.pending.Next(0); t >= 0; t = j.pending.Next(t + 1) {
-			if j.entry.Finished.Has(t) {
+			if j.entry.Completed.Has(t) {
 				n--
 			}
 		}
@@ -127,8 +127,8 @@
 	killBy  micros.Time // of a cancelled job: when it must be shown gone; 0: it is not
 }
 
-func newHolder(c *Core, n int, v storage.Versioned[storage.QueueRecord]) *holder {
-	h := &holder{c: c, queue: n, since: v.Version, token: v.Version, former: v.Value.Former, taken: c.now,
+func newHolder(c *Core, n int, v storage.Versioned[storage.PartitionRecord]) *holder {
+	h := &holder{c: c, queue: n, since: v.ModRevision, token: v.ModRevision, former: v.Value.FormerLeaders, taken: c.now,
 		jobs: map[string]*job{}, usage: map[string]bookkeeping.Resources{}, dirty: true, lastTick: c.now,
 		calmAt: c.now, planPause: planPace, noRoom: map[roomShape]bool{}, zones: map[string]*zoneView{}, marking: map[string]micros.Time{},
 		unknown: map[string]micros.Time{}, cancelledBefore: map[string]bool{}}
@@ -145,7 +145,7 @@
 
 func (c *Core) queueOf(j *bookkeeping.Job) int {
 	if t := c.teams[j.Team]; t != nil {
-		return t.Queue
+		return t.Partition
 	}
 	return 0
 }
@@ -160,7 +160,7 @@
 }
 
 // resync compares everything with a fresh copy of the state.
-func (h *holder) resync(old *storage.Replica) {
+func (h *holder) resync(old *storage.Cache) {
 	for _, id := range sortedKeys(old.Jobs) {
 		h.jobChanged(id)
 	}
@@ -179,21 +179,21 @@
 	v, ok := h.c.replica.Machines[id]
 	m := h.machine(id)
 	switch {
-	case !ok || v.Value.Queue != h.queue:
+	case !ok || v.Value.Partition != h.queue:
 		// The leader removes a block only after the cloud confirmed that the
 		// machine is gone, and a block moves only after its holder let go.
 		h.machineGone(id)
 	case m == nil:
-		m = &machine{id: id, block: v.Value, version: v.Version, addr: v.Value.Address, added: h.c.now, seen: h.c.now,
+		m = &machine{id: id, block: v.Value, version: v.ModRevision, addr: v.Value.Address, added: h.c.now, seen: h.c.now,
 			attempts: map[AttemptID]*attempt{}, idle: h.c.now}
 		// Nobody starts tasks on a machine before the record says so, and a block
 		// that came after the lease was never a predecessor's.
-		m.known = !v.Value.Used || v.Version > h.since
+		m.known = !v.Value.Used || v.ModRevision > h.since
 		i, _ := slices.BinarySearchFunc(h.machines, id, func(m *machine, id string) int { return cmp.Compare(m.id, id) })
 		h.machines = slices.Insert(h.machines, i, m)
 		h.dirty = true
 	default:
-		m.block, m.version = v.Value, v.Version
+		m.block, m.version = v.Value, v.ModRevision
 		h.dirty = true
 	}
 }
@@ -272,30 +272,30 @@
 func (h *holder) jobChanged(id string) {
 	e := h.c.replica.Jobs[id]
 	j := h.jobs[id]
-	if e != nil && e.CancelledBefore && e.Job.Phase == bookkeeping.Active && h.c.queueOf(e.Job) == h.queue {
+	if e != nil && e.CancelledByDependency && e.Job.Phase == bookkeeping.Active && h.c.queueOf(e.Job) == h.queue {
 		h.cancelledBefore[id] = true
 	}
-	if e == nil || e.Job.Phase != bookkeeping.Active || e.CancelledBefore || h.c.queueOf(e.Job) != h.queue {
+	if e == nil || e.Job.Phase != bookkeeping.Active || e.CancelledByDependency || h.c.queueOf(e.Job) != h.queue {
 		if j != nil {
 			h.jobOver(j)
 		}
 		return
 	}
 	if j != nil {
-		j.entry, j.version = e, e.Version
+		j.entry, j.version = e, e.ModRevision
 		h.wait(j)
 		return
 	}
-	j = &job{Job: e.Job, version: e.Version, entry: e, waiting: bookkeeping.NewTaskSet(e.Job.Tasks),
-		pending: bookkeeping.NewTaskSet(e.Job.Tasks), live: map[int]*attempt{}, attempts: map[*attempt]struct{}{}, chunks: map[int]bool{},
-		spared: bookkeeping.NewTaskSet(e.Job.Tasks)}
+	j = &job{Job: e.Job, version: e.ModRevision, entry: e, waiting: bookkeeping.NewBitmap(e.Job.Tasks),
+		pending: bookkeeping.NewBitmap(e.Job.Tasks), live: map[int]*attempt{}, attempts: map[*attempt]struct{}{}, chunks: map[int]bool{},
+		spared: bookkeeping.NewBitmap(e.Job.Tasks)}
 	for t := range e.Job.Tasks {
 		if !j.finished(t) {
 			j.waiting.Add(t)
 		}
 	}
 	j.ready = j.Submitted
-	j.blocked = j.Waits()
+	j.blocked = j.HasDependencies()
 	h.jobs[id] = j
 	i, _ := slices.BinarySearchFunc(h.order, id, func(o *job, id string) int { return cmp.Compare(o.ID, id) })
 	h.order = slices.Insert(h.order, i, j)
@@ -303,7 +303,7 @@
 	j.cancelRequested = j.cancelRequested || h.c.cancelled.known[id]
 	h.wait(j)
 	h.dirty = true
-	h.c.log(levelDebug, "job", "job", id, "class", j.Class, "tasks", j.Tasks, "cpu", j.Need.CPU, "estimate_ms", j.Estimate/micros.Millisecond,
+	h.c.log(levelDebug, "job", "job", id, "class", j.Class, "tasks", j.Tasks, "cpu", j.Resources.CPU, "estimate_ms", j.Estimate/micros.Millisecond,
 		"due_ms", j.Deadline/micros.Millisecond)
 }
 
@@ -454,33 +454,33 @@
 // the new holder only, and that one only after the machine acknowledged it.
 func (c *Core) shift(s Shift) {
 	b, ok := c.replica.Machines[s.Machine]
-	h := c.holders[b.Value.Queue]
+	h := c.holders[b.Value.Partition]
 	if !ok || h == nil || s.To == h.queue || !c.term.Valid(c.now) {
 		return
 	}
-	to, ok := c.replica.Queues[s.To]
+	to, ok := c.replica.Partitions[s.To]
 	m := h.machine(s.Machine)
 	if !ok || m == nil || m.draining != "" || !h.empty(m) {
 		return
 	}
-	from := c.replica.Queues[h.queue]
+	from := c.replica.Partitions[h.queue]
 	rest := c.replica.Blocks[b.Value.Block]
-	moved := storage.BlockRecord{Queue: s.To, Type: b.Value.Type, Zone: b.Value.Zone, Spot: b.Value.Spot}.With(m.id, b.Value.MachineRecord)
+	moved := storage.BlockRecord{Partition: s.To, InstanceType: b.Value.InstanceType, Zone: b.Value.Zone, Spot: b.Value.Spot}.With(m.id, b.Value.MachineRecord)
 	key := c.keys.Block(fmt.Sprintf("m%d-%s", h.token, m.id))
 	h.drain(m, "moving")
-	r := &storage.Request{Kind: storage.Commit,
-		Conditions: []storage.Condition{{Key: c.keys.Queue(h.queue), Version: h.token}, {Key: c.keys.Queue(s.To), Version: to.Version},
-			{Key: c.keys.Block(b.Value.Block), Version: rest.Version}, {Key: key}},
+	r := &storage.Request{Kind: storage.Txn,
+		Compares: []storage.Compare{{Key: c.keys.Partition(h.queue), ModRevision: h.token}, {Key: c.keys.Partition(s.To), ModRevision: to.ModRevision},
+			{Key: c.keys.Block(b.Value.Block), ModRevision: rest.ModRevision}, {Key: key}},
 		Puts: []storage.Put{{Key: key, Value: storage.Encode(moved)},
-			{Key: c.keys.Queue(h.queue), Value: storage.Encode(from.Value)}, {Key: c.keys.Queue(s.To), Value: storage.Encode(to.Value)}}}
+			{Key: c.keys.Partition(h.queue), Value: storage.Encode(from.Value)}, {Key: c.keys.Partition(s.To), Value: storage.Encode(to.Value)}}}
 	if c.putBlock(r, b.Value.Block, rest.Value.Without(m.id)); len(r.Puts) > c.cfg.Settings.StateLimits().TxnOps {
 		m.draining = "" // a record of an older version, too large: the next change splits it
 		return
 	}
-	if !c.callState(r, storage.Patient, stateTimeout, func(r *storage.Reply) {
+	if !c.callState(r, storage.Deferrable, stateTimeout, func(r *storage.Reply) {
 		// Without a clear no, the move may still happen: the machine stays drained
 		// here until the stream tells.
-		if r.Outcome == storage.Conflict || r.Outcome == storage.Refused || r.Outcome == storage.Rejected {
+		if r.Outcome == storage.Conflict || r.Outcome == storage.Unavailable || r.Outcome == storage.Invalid {
 			m.draining = ""
 		}
 	}) {
@@ -488,4 +488,4 @@
 	}
 }
 
-func has(s *bookkeeping.TaskSet, t int) bool { return s != nil && s.Has(t) }
+func has(s *bookkeeping.Bitmap, t int) bool { return s != nil && s.Has(t) }
--- a/internal/coordination/io.go
+++ b/internal/coordination/io.go
@@ -194,7 +194,7 @@
 	Call    uint64
 	Kind    CloudKind
 	Charter string
-	Rental  fleet.Rental
+	Rental  fleet.InstanceRequest
 	Names   []string // CloudDelete
 	After   string   // CloudList
 	Limit   int
@@ -256,7 +256,7 @@
 type QueueStatus struct {
 	Queue   int
 	Token   uint64
-	Needs   []fleet.Need
+	Needs   []fleet.CapacityRequest
 	Release []string // machines to delete
 	Idle    []string // machines that could go to another queue
 	Lost    []string // zones whose machines its holder does not hear
--- a/internal/coordination/large_bench_test.go
+++ b/internal/coordination/large_bench_test.go
@@ -21,7 +21,7 @@
 				now += 10 * micros.Second
 				c.now, c.out = now, &Output{}
 				c.term.Confirm(now)
-				c.holders[0] = newHolder(c, 0, storage.Versioned[storage.QueueRecord]{Version: c.replica.Queues[0].Version})
+				c.holders[0] = newHolder(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: c.replica.Partitions[0].ModRevision})
 				for _, r := range reports {
 					r.Seq++
 					c.tickAt = now
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -18,8 +18,8 @@
 	assignAt   micros.Time
 	assigning  bool
 	counter    int
-	renting    map[string]fleet.Offer // charters with a call or write out
-	retry      map[string]micros.Time // charters: not before
+	renting    map[string]fleet.InstanceKind // charters with a call or write out
+	retry      map[string]micros.Time        // charters: not before
 	deleting   map[string]bool
 	deleteCall bool
 	deleteAt   micros.Time
@@ -36,7 +36,7 @@
 	rentAt     micros.Time
 	cloudLeft  float64 // rentals that may be sent
 	cloudAt    micros.Time
-	exhausted  *fleet.Exhausted
+	exhausted  *fleet.CapacityTracker
 	shifts     map[string][]Shift
 	shiftAt    micros.Time
 	archive    archive
@@ -45,9 +45,9 @@
 }
 
 func (l *leaderState) begin(c *Core) {
-	l.version, l.since = c.replica.Leader.Version, c.now
+	l.version, l.since = c.replica.ClusterLeader.ModRevision, c.now
 	l.assigning, l.deleteCall, l.listing = false, false, false
-	l.renting, l.retry = map[string]fleet.Offer{}, map[string]micros.Time{}
+	l.renting, l.retry = map[string]fleet.InstanceKind{}, map[string]micros.Time{}
 	l.deleting, l.removing, l.orphans = map[string]bool{}, map[string]micros.Time{}, map[string]orphan{}
 	l.closed = c.replica.Revision
 	l.absent = map[string]micros.Time{}
@@ -84,7 +84,7 @@
 		return
 	}
 	l := &c.leader
-	if l.version != c.replica.Leader.Version {
+	if l.version != c.replica.ClusterLeader.ModRevision {
 		l.begin(c)
 	}
 	if c.permit == 0 || !c.term.Valid(c.now) {
@@ -119,16 +119,16 @@
 	if len(todo) == 0 {
 		return
 	}
-	r := &storage.Request{Kind: storage.Commit, Conditions: []storage.Condition{c.asLeader()}}
+	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.asLeader()}}
 	for _, a := range todo {
 		if len(r.Puts) >= c.cfg.Settings.StateLimits().TxnOps {
 			break
 		}
-		m := a.Record.Holder.Member
-		r.Conditions = append(r.Conditions,
-			storage.Condition{Key: c.keys.Queue(a.Queue), Version: c.replica.Queues[a.Queue].Version},
-			storage.Condition{Key: c.keys.Node(m), Version: c.replica.Nodes[m].Version})
-		r.Puts = append(r.Puts, storage.Put{Key: c.keys.Queue(a.Queue), Value: storage.Encode(a.Record)})
+		m := a.Record.Leader.Member
+		r.Compares = append(r.Compares,
+			storage.Compare{Key: c.keys.Partition(a.Partition), ModRevision: c.replica.Partitions[a.Partition].ModRevision},
+			storage.Compare{Key: c.keys.Member(m), ModRevision: c.replica.Members[m].ModRevision})
+		r.Puts = append(r.Puts, storage.Put{Key: c.keys.Partition(a.Partition), Value: storage.Encode(a.Record)})
 	}
 	l.assigning = c.callState(r, storage.Urgent, stateTimeout, func(*storage.Reply) {
 		l.assigning = false
@@ -158,7 +158,7 @@
 		return false
 	}
 	for _, q := range v.status.Queues {
-		if len(q.Lost) == 0 || c.replica.Queues[q.Queue].Value.Holder != p {
+		if len(q.Lost) == 0 || c.replica.Partitions[q.Queue].Value.Leader != p {
 			continue
 		}
 		mine, theirs, most := c.reachOf(p, q.Queue), 0, 0
@@ -182,7 +182,7 @@
 func (c *Core) queues() int {
 	n := 1
 	for _, t := range c.teams {
-		n = max(n, t.Queue+1)
+		n = max(n, t.Partition+1)
 	}
 	return n
 }
@@ -196,8 +196,8 @@
 			continue
 		}
 		for _, q := range p.status.Queues {
-			v := c.replica.Queues[q.Queue]
-			if v.Value.Holder == p.status.From && v.Version == q.Token {
+			v := c.replica.Partitions[q.Queue]
+			if v.Value.Leader == p.status.From && v.ModRevision == q.Token {
 				out = append(out, q)
 			}
 		}
@@ -222,7 +222,7 @@
 	}
 	for _, q := range c.statuses() {
 		for _, m := range q.Release {
-			if b, ok := c.replica.Machines[m]; ok && b.Value.Queue == q.Queue {
+			if b, ok := c.replica.Machines[m]; ok && b.Value.Partition == q.Queue {
 				add(m)
 			}
 		}
@@ -256,7 +256,7 @@
 func (c *Core) machineGone(m string) {
 	c.leader.gone[m] = c.now
 	if v, ok := c.replica.Machines[m]; ok {
-		c.leader.exhausted.Gone(fleet.Offer{Type: v.Value.Type, Zone: v.Value.Zone, Spot: v.Value.Spot})
+		c.leader.exhausted.Terminated(fleet.InstanceKind{InstanceType: v.Value.InstanceType, Zone: v.Value.Zone, Spot: v.Value.Spot})
 	}
 	delete(c.leader.deleting, m)
 	for _, n := range sortedKeys(c.holders) {
@@ -281,14 +281,14 @@
 			continue
 		}
 		b := c.replica.Blocks[name]
-		r := &storage.Request{Kind: storage.Commit, Conditions: []storage.Condition{c.asLeader(), {Key: c.keys.Block(name), Version: b.Version}}}
-		if rest := b.Value.Without(gone[name]...); len(rest.Machines) == 0 && rest.Want == 0 {
+		r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.asLeader(), {Key: c.keys.Block(name), ModRevision: b.ModRevision}}}
+		if rest := b.Value.Without(gone[name]...); len(rest.Machines) == 0 && rest.Requested == 0 {
 			r.Deletes = append(r.Deletes, c.keys.Block(name))
 		} else {
 			c.putBlock(r, name, rest)
 		}
 		l.removing[name] = c.now + stateTimeout + micros.Second
-		if !c.callState(r, storage.Patient, stateTimeout, func(*storage.Reply) { l.removing[name] = c.now + 500*micros.Millisecond }) {
+		if !c.callState(r, storage.Deferrable, stateTimeout, func(*storage.Reply) { l.removing[name] = c.now + 500*micros.Millisecond }) {
 			delete(l.removing, name)
 			return
 		}
@@ -351,9 +351,9 @@
 					c.log(levelInfo, "machine failed", "machine", m.Machine)
 				}
 			case !known && c.now-l.since > micros.Second && m.Age > 2*micros.Second:
-				c.adoptMachine(m.Machine, m.Address, fleet.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot})
+				c.adoptMachine(m.Machine, m.Address, fleet.InstanceKind{InstanceType: m.Type, Zone: m.Zone, Spot: m.Spot})
 			case known:
-				if h := c.holders[b.Value.Queue]; h != nil && m.Address != "" {
+				if h := c.holders[b.Value.Partition]; h != nil && m.Address != "" {
 					if hm := h.machine(m.Machine); hm != nil && hm.addr == "" && m.Running {
 						hm.addr = m.Address
 					}
@@ -387,7 +387,7 @@
 	})
 }
 
-func b0(c *Core, id string) int { return c.replica.Machines[id].Value.Queue }
+func b0(c *Core, id string) int { return c.replica.Machines[id].Value.Partition }
 
 // shiftBlocks moves idle machines of one queue to another that needs them.
 func (c *Core) shiftBlocks() {
@@ -407,10 +407,10 @@
 			}
 			for _, m := range q.Idle {
 				b, ok := c.replica.Machines[m]
-				if !ok || (b.Value.Spot && !slices.ContainsFunc(needy.Needs, func(n fleet.Need) bool { return n.Spot })) {
+				if !ok || (b.Value.Spot && !slices.ContainsFunc(needy.Needs, func(n fleet.CapacityRequest) bool { return n.Spot })) {
 					continue
 				}
-				holder := c.replica.Queues[q.Queue].Value.Holder.Member
+				holder := c.replica.Partitions[q.Queue].Value.Leader.Member
 				if l.shifts == nil {
 					l.shifts = map[string][]Shift{}
 				}
--- a/internal/coordination/lease/lease.go
+++ b/internal/coordination/lease/lease.go
@@ -32,30 +32,30 @@
 // still ours at that time, and nobody else can have acted under a later one before it.
 func (t *Term) ConfirmedSince(at micros.Time) bool { return t.known && t.confirmed > at }
 
-// Age is how long ago the last news was sent for.
-func (t *Term) Age(now micros.Time) micros.Time {
+// SinceConfirmed is how long ago the last news was sent for.
+func (t *Term) SinceConfirmed(now micros.Time) micros.Time {
 	if !t.known {
 		return micros.Max
 	}
 	return now - t.confirmed
 }
 
-// Lapse forgets all news.
-func (t *Term) Lapse() { t.known = false }
+// Invalidate forgets all news.
+func (t *Term) Invalidate() { t.known = false }
 
 // Assignment gives a queue to a process.
 type Assignment struct {
-	Queue  int
-	Record storage.QueueRecord
+	Partition int
+	Record    storage.PartitionRecord
 }
 
 // Assign is what the leader has to change: every queue without a live holder
 // gets one, the live process that reaches most of its machines as far as that is
 // known, then the one with the fewest queues, then the leader itself. One to avoid,
 // the leader included, gets and keeps none while there is another.
-func Assign(r *storage.Replica, queues int, leader storage.Process, avoid func(storage.Process) bool,
+func Assign(r *storage.Cache, queues int, leader storage.Process, avoid func(storage.Process) bool,
 	reach func(storage.Process, int) int) []Assignment {
-	all := r.LiveNodes()
+	all := r.LiveMembers()
 	if !slices.Contains(all, leader) {
 		return nil // our own registration is not in the stream yet
 	}
@@ -66,14 +66,14 @@
 	load := map[storage.Process]int{}
 	usable := func(p storage.Process) bool { return slices.Contains(live, p) }
 	for n := range queues {
-		if q, ok := r.Queues[n]; ok && usable(q.Value.Holder) {
-			load[q.Value.Holder]++
+		if q, ok := r.Partitions[n]; ok && usable(q.Value.Leader) {
+			load[q.Value.Leader]++
 		}
 	}
 	var out []Assignment
 	for n := range queues {
-		q, ok := r.Queues[n]
-		if ok && usable(q.Value.Holder) {
+		q, ok := r.Partitions[n]
+		if ok && usable(q.Value.Leader) {
 			continue
 		}
 		best := live[0]
@@ -86,11 +86,11 @@
 			}
 		}
 		load[best]++
-		rec := storage.QueueRecord{Holder: best}
+		rec := storage.PartitionRecord{Leader: best}
 		if ok {
-			for _, p := range append(slices.Clone(q.Value.Former), q.Value.Holder) {
-				if !r.Dead(p) && p != best && !slices.Contains(rec.Former, p) {
-					rec.Former = append(rec.Former, p)
+			for _, p := range append(slices.Clone(q.Value.FormerLeaders), q.Value.Leader) {
+				if !r.Dead(p) && p != best && !slices.Contains(rec.FormerLeaders, p) {
+					rec.FormerLeaders = append(rec.FormerLeaders, p)
 				}
 			}
 		}
--- a/internal/coordination/plan/place.go
+++ b/internal/coordination/plan/place.go
@@ -11,7 +11,7 @@
 // Machine is a machine as the planner sees it.
 type Machine struct {
 	Key      int // the caller's
-	Type     *bookkeeping.MachineType
+	Type     *bookkeeping.InstanceType
 	Zone     string
 	Spot     bool
 	Line     *Timeline
@@ -63,8 +63,8 @@
 
 func (r *Request) candidate(m *Machine) candidate {
 	j := r.Job
-	if !j.AllowsType(m.Type.Name) || (j.Zone != "" && j.Zone != m.Zone) || (m.Spot && !j.Spot) ||
-		(r.Zone != "" && r.Zone != m.Zone) || !j.Need.Fits(m.Type.Capacity) || (r.Allowed != nil && !r.Allowed(m)) {
+	if !j.AllowsInstanceType(m.Type.Name) || (j.Zone != "" && j.Zone != m.Zone) || (m.Spot && !j.Spot) ||
+		(r.Zone != "" && r.Zone != m.Zone) || !j.Resources.Fits(m.Type.Capacity) || (r.Allowed != nil && !r.Allowed(m)) {
 		return candidate{}
 	}
 	fetch := fetchTime(j, m)
@@ -72,7 +72,7 @@
 	if j.Kind == bookkeeping.Array {
 		length = fetch + micros.Time(float64(r.P)*m.Slowness)
 	}
-	start, ok := m.Line.Gap(j.Need, r.Now, length)
+	start, ok := m.Line.Gap(j.Resources, r.Now, length)
 	if !ok {
 		return candidate{}
 	}
@@ -193,7 +193,7 @@
 			heap.Pop(h) // the job's tasks placed so far leave it no room there
 			continue
 		}
-		m.Line.Reserve(r.Job.Need, c.slot.Start, c.slot.Length)
+		m.Line.Reserve(r.Job.Resources, c.slot.Start, c.slot.Length)
 		if r.Job.Kind == bookkeeping.Service {
 			m.Services++
 		}
--- a/internal/coordination/plan/plan_test.go
+++ b/internal/coordination/plan/plan_test.go
@@ -91,7 +91,7 @@
 }
 
 func machine(key int, spot bool, busyUntil micros.Time) *Machine {
-	kind := &bookkeeping.MachineType{Name: "m", Capacity: bookkeeping.Resources{CPU: 8000, Mem: 64_000}, FetchGBps: 0.5}
+	kind := &bookkeeping.InstanceType{Name: "m", Capacity: bookkeeping.Resources{CPU: 8000, Mem: 64_000}, FetchGBps: 0.5}
 	m := &Machine{Key: key, Type: kind, Zone: "a", Spot: spot, Line: NewTimeline(0, kind.Capacity), Images: func(string) bool { return true }, Slowness: 1, Up: true}
 	if busyUntil > 0 {
 		m.Line.Reserve(need(8), 0, busyUntil)
@@ -105,7 +105,7 @@
 }
 
 func TestPlaceTakesTheLeastTardyGap(t *testing.T) {
-	j := &bookkeeping.Job{Need: need(8), Tasks: 9, Spot: true}
+	j := &bookkeeping.Job{Resources: need(8), Tasks: 9, Spot: true}
 	// Machine 1 is free at 30 s, machine 2 at 12 s: 5 s late against 23 s late.
 	slots, _ := place(j, 10*s, 17*s, 1, machine(1, false, 30*s), machine(2, false, 12*s))
 	if slots[0].Machine.Key != 2 || slots[0].Start != 12*s {
@@ -121,7 +121,7 @@
 }
 
 func TestPlaceAvoidsSpotForTightTasks(t *testing.T) {
-	j := &bookkeeping.Job{Need: need(4), Tasks: 9, Spot: true}
+	j := &bookkeeping.Job{Resources: need(4), Tasks: 9, Spot: true}
 	spot, ordinary := machine(1, true, 0), machine(2, false, 0)
 	spot.LossRate = 0.01
 	if slots, _ := place(j, 10*s, 11*s, 1, spot, ordinary); slots[0].Machine != ordinary {
@@ -135,13 +135,13 @@
 func TestPlaceKeepsConstraints(t *testing.T) {
 	a, b := machine(1, false, 0), machine(2, true, 0)
 	b.Zone = "b"
-	if _, n := place(&bookkeeping.Job{Need: need(4), Tasks: 4}, s, 9*s, 4, b); n != 0 {
+	if _, n := place(&bookkeeping.Job{Resources: need(4), Tasks: 4}, s, 9*s, 4, b); n != 0 {
 		t.Error("a spot machine was used without leave")
 	}
-	if _, n := place(&bookkeeping.Job{Need: need(1), Tasks: 5, Spread: true, Spot: true}, s, 9*s, 5, a); n != 3 {
+	if _, n := place(&bookkeeping.Job{Resources: need(1), Tasks: 5, Spread: true, Spot: true}, s, 9*s, 5, a); n != 3 {
 		t.Errorf("spread: %d of 5 tasks in one zone, want 3", n)
 	}
-	slots, n := place(&bookkeeping.Job{Need: need(4), Tasks: 4, OneZone: true, Spot: true}, s, 9*s, 4, a, b)
+	slots, n := place(&bookkeeping.Job{Resources: need(4), Tasks: 4, OneZone: true, Spot: true}, s, 9*s, 4, a, b)
 	for _, x := range slots {
 		if x.Machine.Zone != slots[0].Machine.Zone {
 			t.Error("one zone: tasks in two")
--- a/internal/coordination/plan/reference_test.go
+++ b/internal/coordination/plan/reference_test.go
@@ -27,7 +27,7 @@
 			break
 		}
 		m := best.slot.Machine
-		m.Line.Reserve(r.Job.Need, best.slot.Start, best.slot.Length)
+		m.Line.Reserve(r.Job.Resources, best.slot.Start, best.slot.Length)
 		if r.Job.Kind == bookkeeping.Service {
 			m.Services++
 		}
@@ -44,7 +44,7 @@
 func drawnFleet(t *rapid.T) []*Machine {
 	var out []*Machine
 	for i := range rapid.IntRange(1, 30).Draw(t, "machines") {
-		kind := &bookkeeping.MachineType{Name: "m", FetchGBps: 0.5,
+		kind := &bookkeeping.InstanceType{Name: "m", FetchGBps: 0.5,
 			Capacity: bookkeeping.Resources{CPU: 8000 << rapid.IntRange(0, 2).Draw(t, "size"), Mem: 64_000}}
 		image := rapid.Bool().Draw(t, "image")
 		m := &Machine{Key: i, Type: kind, Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
@@ -76,7 +76,7 @@
 func TestPlaceLikeThePlainOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := drawnFleet(t)
-		j := &bookkeeping.Job{Need: need(int64(rapid.IntRange(1, 6).Draw(t, "need"))), Tasks: 40, Spot: rapid.Bool().Draw(t, "loaners"),
+		j := &bookkeeping.Job{Resources: need(int64(rapid.IntRange(1, 6).Draw(t, "need"))), Tasks: 40, Spot: rapid.Bool().Draw(t, "loaners"),
 			Image: "i", ImageGB: 2, Spread: rapid.Bool().Draw(t, "spread"), OneZone: rapid.Bool().Draw(t, "one zone")}
 		if rapid.Bool().Draw(t, "service") {
 			j.Kind = bookkeeping.Service
@@ -111,7 +111,7 @@
 		}
 		placed := 0
 		for range 20 {
-			j := &bookkeeping.Job{Need: need(2), Tasks: 100, Spot: true}
+			j := &bookkeeping.Job{Resources: need(2), Tasks: 100, Spot: true}
 			placed += Place(&Request{Job: j, Weight: 2, P: 20 * s, Due: 60 * s, Count: 100, InZone: map[string]int{}}, fleet, func(Slot) {})
 		}
 		if placed != 2000 {
--- a/internal/coordination/reach.go
+++ b/internal/coordination/reach.go
@@ -43,8 +43,8 @@
 		return
 	}
 	var queues []int
-	for n, q := range c.replica.Queues {
-		if h := q.Value.Holder; h != c.proc && c.replica.Live(h) && c.misses(n, h) {
+	for n, q := range c.replica.Partitions {
+		if h := q.Value.Leader; h != c.proc && c.replica.Live(h) && c.misses(n, h) {
 			queues = append(queues, n)
 		}
 	}
@@ -56,7 +56,7 @@
 	for _, n := range queues {
 		byZone := map[string][]string{}
 		for _, id := range sortedKeys(c.replica.Machines) {
-			if m := c.replica.Machines[id].Value; m.Queue == n && m.Used && m.Address != "" {
+			if m := c.replica.Machines[id].Value; m.Partition == n && m.Used && m.Address != "" {
 				byZone[m.Zone] = append(byZone[m.Zone], id)
 			}
 		}
@@ -96,7 +96,7 @@
 func (c *Core) inUse(queue int) map[string]int {
 	out := map[string]int{}
 	for _, m := range c.replica.Machines {
-		if m.Value.Queue == queue && m.Value.Used {
+		if m.Value.Partition == queue && m.Value.Used {
 			out[m.Value.Zone]++
 		}
 	}
@@ -112,7 +112,7 @@
 	}
 	n := 0
 	for zone, machines := range c.inUse(queue) {
-		if c.replica.Queues[queue].Value.Holder == p {
+		if c.replica.Partitions[queue].Value.Leader == p {
 			if !slices.ContainsFunc(v.status.Queues, func(q QueueStatus) bool { return q.Queue == queue && slices.Contains(q.Lost, zone) }) {
 				n += machines
 			}
@@ -127,12 +127,12 @@
 // does not hear it: it would lose the time in which another could take over before its
 // lease ends. Either the holder said so, or it is not heard here and the worker, which
 // shows the holder's token, has left it.
-func (c *Core) outOfReach(r *Report, m storage.Machine, q storage.Versioned[storage.QueueRecord]) bool {
-	p := c.peers[q.Value.Holder.Member]
-	if p == nil || p.status.From != q.Value.Holder || c.now-p.at > 2*micros.Second {
-		return r.Token == q.Version
+func (c *Core) outOfReach(r *Report, m storage.Machine, q storage.Versioned[storage.PartitionRecord]) bool {
+	p := c.peers[q.Value.Leader.Member]
+	if p == nil || p.status.From != q.Value.Leader || c.now-p.at > 2*micros.Second {
+		return r.Token == q.ModRevision
 	}
-	return slices.ContainsFunc(p.status.Queues, func(s QueueStatus) bool { return s.Queue == m.Queue && slices.Contains(s.Lost, m.Zone) })
+	return slices.ContainsFunc(p.status.Queues, func(s QueueStatus) bool { return s.Queue == m.Partition && slices.Contains(s.Lost, m.Zone) })
 }
 
 // zoneView is how a holder hears the machines of one zone.
--- a/internal/coordination/reclaim.go
+++ b/internal/coordination/reclaim.go
@@ -82,8 +82,8 @@
 	j, now := r.j, h.c.now
 	var found []victim
 	for _, m := range h.machines {
-		if m.kind == nil || !h.usable(m) || m.pause > now || !j.AllowsType(m.block.Type) || (j.Zone != "" && j.Zone != m.block.Zone) ||
-			(m.block.Spot && !j.Spot) || !j.Need.Fits(m.kind.Capacity) {
+		if m.kind == nil || !h.usable(m) || m.pause > now || !j.AllowsInstanceType(m.block.InstanceType) || (j.Zone != "" && j.Zone != m.block.Zone) ||
+			(m.block.Spot && !j.Spot) || !j.Resources.Fits(m.kind.Capacity) {
 			continue
 		}
 		if !m.hasImage(j.Image) && (m.kind.FetchGBps <= 0 || now+micros.FromSeconds(j.ImageGB/m.kind.FetchGBps) > by) {
@@ -107,16 +107,16 @@
 	// The least work lost first.
 	slices.SortFunc(own, func(x, y *attempt) int { return cmp.Or(cmp.Compare(h.begun(x), h.begun(y)), x.id.compare(y.id)) })
 	free := h.free(m)
-	had := int(j.Need.Count(free))
+	had := int(j.Resources.Count(free))
 	var found []victim
 	for _, a := range own {
 		if limited {
-			if k := int(j.Need.Count(a.need)); k > 0 {
+			if k := int(j.Resources.Count(a.need)); k > 0 {
 				found = append(found, victim{a, m, k, micros.Seconds(h.begun(a)) * float64(a.need.CPU) / float64(k)})
 			}
 			continue
 		}
-		if k := int(j.Need.Count(free.Add(a.need))); k > had {
+		if k := int(j.Resources.Count(free.Add(a.need))); k > had {
 			found = append(found, victim{a, m, k - had, micros.Seconds(h.begun(a)) * float64(a.need.CPU) / float64(k-had)})
 			free, had = free.Add(a.need), k
 		}
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -14,7 +14,7 @@
 
 // maxBlock is how many machines a block is given.
 func (c *Core) maxBlock() int {
-	return max(1, min(storage.MaxBlock, (c.cfg.Settings.MaxValue()-200)/storage.MachineBytes))
+	return max(1, min(storage.MaxBlockMachines, (c.cfg.Settings.MaxValue()-200)/storage.MachineRecordBytes))
 }
 
 // putBlock adds the write of a block's record to a request: in several blocks where it is
@@ -30,7 +30,7 @@
 					key = c.keys.Block(fmt.Sprintf("%s+%d", name, n))
 				}
 			}
-			r.Conditions = append(r.Conditions, storage.Condition{Key: key})
+			r.Compares = append(r.Compares, storage.Compare{Key: key})
 		}
 		r.Puts = append(r.Puts, storage.Put{Key: key, Value: storage.Encode(part)})
 	}
@@ -49,17 +49,17 @@
 		return
 	}
 	c.catalogSaved = c.now
-	r := &storage.Request{Kind: storage.Commit, Conditions: []storage.Condition{c.asLeader()}}
+	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.asLeader()}}
 	if value := storage.Encode(c.catalog); len(value) <= c.cfg.Settings.MaxValue() {
 		key := c.keys.Catalog()
-		r.Conditions = append(r.Conditions, storage.Condition{Key: key, Version: c.replica.Catalog.Version})
+		r.Compares = append(r.Compares, storage.Compare{Key: key, ModRevision: c.replica.Catalog.ModRevision})
 		r.Puts = append(r.Puts, storage.Put{Key: key, Value: value})
 	} else if c.replica.Format < storage.Format {
 		return // an older version would take a part for all
 	} else {
 		c.putTypes(r, stored)
 	}
-	c.catalogSave = c.callState(r, storage.Patient, stateTimeout, func(*storage.Reply) { c.catalogSave = false })
+	c.catalogSave = c.callState(r, storage.Deferrable, stateTimeout, func(*storage.Reply) { c.catalogSave = false })
 }
 
 // putTypes adds the parts of the catalog that are not stored as they are, as many as one
@@ -71,8 +71,8 @@
 		for name, t := range part {
 			same = same && stored[name] != nil && bookkeeping.Catalog{name: t}.SameTypes(bookkeeping.Catalog{name: stored[name]})
 		}
-		if key := c.keys.Types(n); !same && len(r.Puts) < c.cfg.Settings.StateLimits().TxnOps {
-			r.Conditions = append(r.Conditions, storage.Condition{Key: key, Version: c.replica.TypesVersion(n)})
+		if key := c.keys.CatalogPart(n); !same && len(r.Puts) < c.cfg.Settings.StateLimits().TxnOps {
+			r.Compares = append(r.Compares, storage.Compare{Key: key, ModRevision: c.replica.CatalogPartRevision(n)})
 			r.Puts = append(r.Puts, storage.Put{Key: key, Value: storage.Encode(part)})
 		}
 		part = bookkeeping.Catalog{}
--- a/internal/coordination/rejected.go
+++ b/internal/coordination/rejected.go
@@ -28,7 +28,7 @@
 // transactionKey names what a transaction is about; empty for other requests.
 func transactionKey(r *storage.Request) string {
 	switch {
-	case r.Kind != storage.Commit:
+	case r.Kind != storage.Txn:
 		return ""
 	case len(r.Puts) > 0:
 		return r.Puts[0].Key
@@ -51,7 +51,7 @@
 	if key == "" {
 		return
 	}
-	if outcome != storage.Rejected {
+	if outcome != storage.Invalid {
 		if outcome == storage.OK {
 			delete(s, key)
 		}
--- a/internal/coordination/rentals.go
+++ b/internal/coordination/rentals.go
@@ -34,10 +34,10 @@
 	l := &c.leader
 	open := 0
 	for _, name := range sortedKeys(c.replica.Blocks) {
-		if b := c.replica.Blocks[name]; b.Value.Want > 0 {
+		if b := c.replica.Blocks[name]; b.Value.Requested > 0 {
 			open++
 			if _, out := l.renting[name]; !out && c.now >= l.retry[name] {
-				c.rent(name, b.Value, b.Version)
+				c.rent(name, b.Value, b.ModRevision)
 			}
 		}
 	}
@@ -54,7 +54,7 @@
 	statuses := c.statuses()
 	slices.SortStableFunc(statuses, func(a, b QueueStatus) int { return cmp.Compare(a.Queue, b.Queue) })
 	for _, q := range statuses {
-		var needs []fleet.Need
+		var needs []fleet.CapacityRequest
 		for _, service := range []bool{true, false} {
 			for _, n := range q.Needs {
 				if n.Service == service {
@@ -63,9 +63,9 @@
 			}
 		}
 		for _, n := range needs {
-			c.log(levelDebug, "need", "queue", q.Queue, "count", n.Count, "cpu", n.Each.CPU, "service", n.Service, "urgent", n.Urgent)
+			c.log(levelDebug, "need", "queue", q.Queue, "count", n.Count, "cpu", n.Resources.CPU, "service", n.Service, "urgent", n.Urgent)
 		}
-		most := func(o fleet.Offer) int {
+		most := func(o fleet.InstanceKind) int {
 			if slices.Contains(q.Lost, o.Zone) {
 				return min(l.exhausted.Limit(o, c.now), c.tries(o.Zone))
 			}
@@ -113,15 +113,15 @@
 
 // charter writes a rental down before it is sent, as a block without machines, so
 // that a successor neither loses it nor rents the same need twice.
-func (c *Core) charter(queue int, r fleet.Rental) {
+func (c *Core) charter(queue int, r fleet.InstanceRequest) {
 	l := &c.leader
 	l.counter++
 	name := fmt.Sprintf("c%d-%d", l.version, l.counter)
-	rec := storage.BlockRecord{Queue: queue, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Want: r.Count}
+	rec := storage.BlockRecord{Partition: queue, InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot, Requested: r.Count}
 	key := c.keys.Block(name)
-	if c.callState(&storage.Request{Kind: storage.Commit,
-		Conditions: []storage.Condition{c.asLeader(), {Key: key}},
-		Puts:       []storage.Put{{Key: key, Value: storage.Encode(rec)}},
+	if c.callState(&storage.Request{Kind: storage.Txn,
+		Compares: []storage.Compare{c.asLeader(), {Key: key}},
+		Puts:     []storage.Put{{Key: key, Value: storage.Encode(rec)}},
 	}, storage.Urgent, stateTimeout, func(reply *storage.Reply) {
 		delete(l.renting, name)
 		if reply.Outcome == storage.OK {
@@ -129,26 +129,26 @@
 			c.rent(name, rec, reply.Revision)
 		}
 	}) {
-		l.renting[name] = r.Offer
+		l.renting[name] = r.InstanceKind
 	}
 }
 
 // rent sends a rental that was written down.
 func (c *Core) rent(name string, rec storage.BlockRecord, version uint64) {
 	l := &c.leader
-	offer := fleet.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
+	offer := fleet.InstanceKind{InstanceType: rec.InstanceType, Zone: rec.Zone, Spot: rec.Spot}
 	l.renting[name] = offer
-	c.callCloud(CloudCall{Kind: CloudRent, Charter: name, Rental: fleet.Rental{Offer: offer, Count: rec.Want}, Timeout: 4 * micros.Second}, func(r *CloudReply) {
+	c.callCloud(CloudCall{Kind: CloudRent, Charter: name, Rental: fleet.InstanceRequest{InstanceKind: offer, Count: rec.Requested}, Timeout: 4 * micros.Second}, func(r *CloudReply) {
 		delete(l.renting, name)
 		switch r.Outcome {
 		case CloudOK, CloudNoCapacity:
-			if len(r.Names) < rec.Want {
-				l.exhausted.Refuse(offer, c.now)
+			if len(r.Names) < rec.Requested {
+				l.exhausted.Exhausted(offer, c.now)
 				l.rentAt = c.now // what was missing may be had elsewhere
 			} else {
-				l.exhausted.Grant(offer, rec.Want)
+				l.exhausted.Granted(offer, rec.Requested)
 			}
-			c.log(levelInfo, "rented", "charter", name, "type", rec.Type, "zone", rec.Zone, "spot", rec.Spot, "asked", rec.Want, "got", len(r.Names))
+			c.log(levelInfo, "rented", "charter", name, "type", rec.InstanceType, "zone", rec.Zone, "spot", rec.Spot, "asked", rec.Requested, "got", len(r.Names))
 			c.closeCharter(name, rec, version, r.Names)
 		default:
 			l.retry[name] = c.now + micros.Second
@@ -159,7 +159,7 @@
 // closeCharter turns a rental into a block.
 func (c *Core) closeCharter(name string, rec storage.BlockRecord, version uint64, machines []string) {
 	l := &c.leader
-	rec.Want, rec.Machines = 0, map[string]storage.MachineRecord{}
+	rec.Requested, rec.Machines = 0, map[string]storage.MachineRecord{}
 	for _, m := range machines {
 		// One that reported before the answer came was adopted already.
 		if _, known := c.replica.Machines[m]; !known {
@@ -167,13 +167,13 @@
 		}
 	}
 	key := c.keys.Block(name)
-	r := &storage.Request{Kind: storage.Commit, Conditions: []storage.Condition{c.asLeader(), {Key: key, Version: version}}}
+	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.asLeader(), {Key: key, ModRevision: version}}}
 	if len(rec.Machines) == 0 {
 		r.Deletes = []string{key}
 	} else {
 		c.putBlock(r, name, rec)
 	}
-	l.renting[name] = fleet.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
+	l.renting[name] = fleet.InstanceKind{InstanceType: rec.InstanceType, Zone: rec.Zone, Spot: rec.Spot}
 	again := func() {
 		delete(l.renting, name)
 		l.retry[name] = c.now + 200*micros.Millisecond // the same name gives the same answer
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -16,22 +16,22 @@
 	}
 	b, ok := c.replica.Machines[r.Machine]
 	if !ok {
-		switch l := c.replica.Leader; {
+		switch l := c.replica.ClusterLeader; {
 		case c.leading():
 			c.leader.found(c, r)
 			c.unavailable(in.Request, "unknown machine")
-		case l.Version != 0 && l.Value.Member != c.proc.Member && !c.alone():
+		case l.ModRevision != 0 && l.Value.Member != c.proc.Member && !c.alone():
 			c.answer(Answer{Request: in.Request, Kind: Elsewhere, Steward: l.Value.Member})
 		default:
 			c.unavailable(in.Request, "no leader")
 		}
 		return
 	}
-	h := c.holders[b.Value.Queue]
+	h := c.holders[b.Value.Partition]
 	if h == nil {
-		q, ok := c.replica.Queues[b.Value.Queue]
-		if ok && q.Value.Holder.Member != c.proc.Member && c.replica.Live(q.Value.Holder) && !c.alone() && !c.outOfReach(r, b.Value, q) {
-			c.answer(Answer{Request: in.Request, Kind: Elsewhere, Steward: q.Value.Holder.Member})
+		q, ok := c.replica.Partitions[b.Value.Partition]
+		if ok && q.Value.Leader.Member != c.proc.Member && c.replica.Live(q.Value.Leader) && !c.alone() && !c.outOfReach(r, b.Value, q) {
+			c.answer(Answer{Request: in.Request, Kind: Elsewhere, Steward: q.Value.Leader.Member})
 		} else {
 			c.unavailable(in.Request, "no holder")
 		}
@@ -117,7 +117,7 @@
 
 // outranked: somebody has a higher token, so this lease is over, or about to be
 // renewed; nothing is done until the stream tells.
-func (h *holder) outranked() { h.c.term.Lapse() }
+func (h *holder) outranked() { h.c.term.Invalidate() }
 
 // maxOrders bounds one answer to a worker.
 const maxOrders = 200
@@ -270,7 +270,7 @@
 	a := &attempt{id: t.AttemptID, m: m, state: t.State, made: h.c.now, sent: true}
 	a.j = h.jobs[t.Job]
 	if e := h.c.replica.Jobs[t.Job]; e != nil {
-		a.team, a.need = e.Job.Team, e.Job.Need
+		a.team, a.need = e.Job.Team, e.Job.Resources
 	}
 	if a.j != nil && (t.Task < 0 || t.Task >= a.j.Tasks) {
 		a.j = nil
@@ -362,7 +362,7 @@
 	case CauseError:
 		h.c.faults.Failed(a.m.id, j.ID)
 		h.c.log(levelInfo, "task failed", "job", j.ID, "task", a.id.Task, "machine", a.m.id)
-		if h.c.faults.Mistaken(j.ID) {
+		if h.c.faults.JobAtFault(j.ID) {
 			// Failing everywhere: try less and less often, until its user cancels it.
 			j.pause = h.c.now + min(60*micros.Second, micros.Second<<min(6, h.c.faults.Failures(j.ID)))
 		}
--- a/internal/coordination/room.go
+++ b/internal/coordination/room.go
@@ -28,8 +28,8 @@
 		return false
 	}
 	// What found no room in this plan finds none again: many services alike wait.
-	shape := roomShape{j.Need, j.Priority, j.Zone, j.Spot}
-	plain := len(j.Types) == 0 && !j.OneZone && !j.Spread
+	shape := roomShape{j.Resources, j.Priority, j.Zone, j.Spot}
+	plain := len(j.InstanceTypes) == 0 && !j.OneZone && !j.Spread
 	if plain && h.noRoom[shape] {
 		return false
 	}
@@ -37,7 +37,7 @@
 	var victims []*attempt
 	bestCost := 0.0
 	for _, m := range h.machines {
-		if m.kind == nil || !h.usable(m) || m.pause > now || !j.AllowsType(m.block.Type) || (j.Zone != "" && j.Zone != m.block.Zone) ||
+		if m.kind == nil || !h.usable(m) || m.pause > now || !j.AllowsInstanceType(m.block.InstanceType) || (j.Zone != "" && j.Zone != m.block.Zone) ||
 			(m.block.Spot && !j.Spot) || !h.zoneAllows(j, m.block.Zone) {
 			continue
 		}
@@ -54,8 +54,8 @@
 	saves := false
 	for _, a := range victims {
 		grace := micros.Time(0)
-		if a.j.CheckpointEvery > 0 {
-			grace, saves = a.j.SaveTime, true
+		if a.j.CheckpointInterval > 0 {
+			grace, saves = a.j.CheckpointDuration, true
 		}
 		h.stop(a, grace)
 	}
@@ -84,7 +84,7 @@
 	// The least work lost first.
 	slices.SortStableFunc(lower, func(a, b *attempt) int { return cmp.Compare(h.lost(a), h.lost(b)) })
 	for _, a := range lower {
-		if j.Need.Fits(free) {
+		if j.Resources.Fits(free) {
 			break
 		}
 		free = free.Add(a.need)
@@ -94,7 +94,7 @@
 	if !m.hasImage(j.Image) && m.kind.FetchGBps > 0 {
 		cost += 20 * j.ImageGB / m.kind.FetchGBps
 	}
-	return take, cost, j.Need.Fits(free)
+	return take, cost, j.Resources.Fits(free)
 }
 
 // lost is the work that stopping an attempt loses.
@@ -103,8 +103,8 @@
 		return 0
 	}
 	run := h.c.now - a.running
-	if a.j.CheckpointEvery > 0 {
-		return a.j.SaveTime
+	if a.j.CheckpointInterval > 0 {
+		return a.j.CheckpointDuration
 	}
 	return run
 }
@@ -124,11 +124,11 @@
 // spare asks for room to take up the services of the machine that holds most of
 // them, and some growth, at once: free room, or room that arrays can be stopped
 // for. Exception to the design, which plans for tasks that are there.
-func (h *holder) spare() []fleet.Need {
+func (h *holder) spare() []fleet.CapacityRequest {
 	survey := h.surveySpare(true)
 	kind, missing := survey.kind, survey.missing(nil)
 	if missing > 0 {
-		return []fleet.Need{h.need(kind, missing)}
+		return []fleet.CapacityRequest{h.need(kind, missing)}
 	}
 	m := h.oversized(kind)
 	if m == nil {
@@ -140,13 +140,13 @@
 		return nil
 	}
 	n := h.need(kind, missing)
-	n.Types = nil
+	n.InstanceTypes = nil
 	for _, name := range sortedKeys(h.c.catalog) {
-		if h.c.catalog[name].Capacity.CPU < m.kind.Capacity.CPU && kind.AllowsType(name) {
-			n.Types = append(n.Types, name)
+		if h.c.catalog[name].Capacity.CPU < m.kind.Capacity.CPU && kind.AllowsInstanceType(name) {
+			n.InstanceTypes = append(n.InstanceTypes, name)
 		}
 	}
-	return []fleet.Need{n}
+	return []fleet.CapacityRequest{n}
 }
 
 // oversized finds a machine that is kept for so few replicas that smaller ones
@@ -173,8 +173,8 @@
 			continue
 		}
 		for _, t := range h.c.catalog {
-			slots := int(kind.Need.Count(t.Capacity))
-			if replicas == 0 || slots == 0 || t.Capacity.CPU >= m.kind.Capacity.CPU || !kind.AllowsType(t.Name) {
+			slots := int(kind.Resources.Count(t.Capacity))
+			if replicas == 0 || slots == 0 || t.Capacity.CPU >= m.kind.Capacity.CPU || !kind.AllowsInstanceType(t.Name) {
 				continue
 			}
 			instead := float64((replicas+slots)/slots) * t.Price
@@ -242,7 +242,7 @@
 			replicas++
 			s.replicas[a.m]++
 		}
-		if s.kind == nil || j.Need.CPU > s.kind.Need.CPU {
+		if s.kind == nil || j.Resources.CPU > s.kind.Resources.CPU {
 			s.kind = j
 		}
 	}
@@ -264,7 +264,7 @@
 
 // spareRoomOn is how many replicas of a kind fit on a machine, where arrays give way.
 func (h *holder) spareRoomOn(m *machine, kind *job, booting bool) int {
-	if m.kind == nil || m.block.Spot && !kind.Spot || !kind.AllowsType(m.block.Type) ||
+	if m.kind == nil || m.block.Spot && !kind.Spot || !kind.AllowsInstanceType(m.block.InstanceType) ||
 		(kind.Zone != "" && kind.Zone != m.block.Zone) || (!h.usable(m) && (!booting || !h.expected(m) && !h.justBooted(m))) {
 		return 0
 	}
@@ -274,7 +274,7 @@
 			free = free.Sub(a.need)
 		}
 	}
-	return int(kind.Need.Count(free))
+	return int(kind.Resources.Count(free))
 }
 
 // weight is the room that the loss of a machine takes: its replicas, and what is free there.
--- a/internal/coordination/scheduling.go
+++ b/internal/coordination/scheduling.go
@@ -61,7 +61,7 @@
 	h.advanceShares(silent)
 	services, arrays := h.rankJobs(silent)
 	machines := h.planMachines()
-	var needs []fleet.Need
+	var needs []fleet.CapacityRequest
 	for _, r := range services {
 		needs = append(needs, h.placeService(r, machines)...)
 	}
@@ -173,7 +173,7 @@
 	}
 	if due = min(due, after.due); due != micros.Max {
 		// A job is done with its slowest task: the slack has to do for that one.
-		due -= micros.Time(float64(p) * (h.c.stats.Spread(j.Class) - 1) / 2)
+		due -= micros.Time(float64(p) * (h.c.stats.TailRatio(j.Class) - 1) / 2)
 	} else {
 		due = j.ready + 2*p
 	}
@@ -191,7 +191,7 @@
 	if j.est > 0 && j.estAt == h.planAt {
 		return j.est // once a plan
 	}
-	p := h.c.stats.Corrected(j.Job)
+	p := h.c.stats.Estimate(j.Job)
 	p = (p*trust + j.ran) / micros.Time(trust+j.ranN)
 	for _, a := range j.live {
 		if a.state == Running && a.running > 0 {
@@ -305,7 +305,7 @@
 	if t.LimitGPU >= 0 {
 		free.GPU = t.LimitGPU - use.GPU
 	}
-	return int(j.Need.Count(free))
+	return int(j.Resources.Count(free))
 }
 
 // start starts the job's next waiting task on a machine.
@@ -315,7 +315,7 @@
 		return false
 	}
 	h.counter++
-	a := &attempt{id: AttemptID{j.ID, t, h.token<<20 + h.counter}, m: m, j: j, team: j.Team, need: j.Need,
+	a := &attempt{id: AttemptID{j.ID, t, h.token<<20 + h.counter}, m: m, j: j, team: j.Team, need: j.Resources,
 		made: h.c.now, length: length, own: true}
 	a.remember()
 	j.live[t] = a
@@ -327,7 +327,7 @@
 	return true
 }
 
-func (h *holder) placeService(r ranked, machines []*plan.Machine) []fleet.Need {
+func (h *holder) placeService(r ranked, machines []*plan.Machine) []fleet.CapacityRequest {
 	j := r.j
 	count := min(j.waiting.Len(), h.allowance(j))
 	placed := plan.Place(h.request(r, count), machines, func(s plan.Slot) {
@@ -343,14 +343,14 @@
 	if missing := count - placed; missing > 0 {
 		n := h.need(j, missing)
 		n.Urgent = true
-		return []fleet.Need{n}
+		return []fleet.CapacityRequest{n}
 	}
 	return nil
 }
 
 // need is what a rental for tasks of the job has to offer.
-func (h *holder) need(j *job, count int) fleet.Need {
-	n := fleet.Need{Each: j.Need, Count: count, Spot: j.Spot, Types: j.Types, Zone: j.Zone,
+func (h *holder) need(j *job, count int) fleet.CapacityRequest {
+	n := fleet.CapacityRequest{Resources: j.Resources, Count: count, Spot: j.Spot, InstanceTypes: j.InstanceTypes, Zone: j.Zone,
 		Service: j.Kind == bookkeeping.Service, Hold: micros.Time(h.c.cfg.Operator.IdleKeepS) * micros.Second}
 	if n.Service {
 		n.Hold *= 4
@@ -359,7 +359,7 @@
 	return n
 }
 
-func (h *holder) placeArray(r ranked, machines []*plan.Machine, left *int) []fleet.Need {
+func (h *holder) placeArray(r ranked, machines []*plan.Machine, left *int) []fleet.CapacityRequest {
 	j := r.j
 	now := h.c.now
 	allowed := h.allowance(j)
@@ -370,7 +370,7 @@
 	late := 0 // tasks that would start later than an objective wants
 	boot := micros.Max
 	for _, t := range h.c.catalog {
-		if j.AllowsType(t.Name) && j.Need.Fits(t.Capacity) {
+		if j.AllowsInstanceType(t.Name) && j.Resources.Fits(t.Capacity) {
 			boot = min(boot, t.Boot)
 		}
 	}
@@ -403,18 +403,18 @@
 	// What does not fit in time: so many slots that the waves on new machines end
 	// by the deadline, or, if that is over anyway, all at once.
 	waves := max(1, min(4, (r.q.Due-now-boot)/max(1, r.q.P)))
-	return []fleet.Need{h.need(j, (short+int(waves)-1)/int(waves))}
+	return []fleet.CapacityRequest{h.need(j, (short+int(waves)-1)/int(waves))}
 }
 
-func sameNeed(a, b fleet.Need) bool {
-	return a.Count == b.Count && a.Each == b.Each && a.Service == b.Service && a.Urgent == b.Urgent
+func sameNeed(a, b fleet.CapacityRequest) bool {
+	return a.Count == b.Count && a.Resources == b.Resources && a.Service == b.Service && a.Urgent == b.Urgent
 }
 
-func mergeNeeds(needs []fleet.Need) []fleet.Need {
-	var out []fleet.Need
+func mergeNeeds(needs []fleet.CapacityRequest) []fleet.CapacityRequest {
+	var out []fleet.CapacityRequest
 	for _, n := range needs {
-		i := slices.IndexFunc(out, func(o fleet.Need) bool {
-			return o.Each == n.Each && o.Spot == n.Spot && o.Zone == n.Zone && o.Service == n.Service && o.Urgent == n.Urgent && slices.Equal(o.Types, n.Types)
+		i := slices.IndexFunc(out, func(o fleet.CapacityRequest) bool {
+			return o.Resources == n.Resources && o.Spot == n.Spot && o.Zone == n.Zone && o.Service == n.Service && o.Urgent == n.Urgent && slices.Equal(o.InstanceTypes, n.InstanceTypes)
 		})
 		if i >= 0 {
 			out[i].Count += n.Count
--- a/internal/coordination/session.go
+++ b/internal/coordination/session.go
@@ -9,9 +9,9 @@
 // session is the controller's standing with the state service: its permit, its
 // registration and its copy of the state.
 type session struct {
-	replica *storage.Replica
+	replica *storage.Cache
 	synced  bool // the replica is whole
-	listing *storage.Replica
+	listing *storage.Cache
 	listAt  micros.Time
 
 	permit       uint64
@@ -57,7 +57,7 @@
 	}
 	if c.permit == 0 {
 		sent := c.now
-		c.permitCall = c.callState(&storage.Request{Kind: storage.Grant, TTL: c.permitTTL()}, storage.Urgent, stateTimeout, func(r *storage.Reply) {
+		c.permitCall = c.callState(&storage.Request{Kind: storage.LeaseGrant, TTL: c.permitTTL()}, storage.Urgent, stateTimeout, func(r *storage.Reply) {
 			c.permitCall = false
 			if r.Outcome == storage.OK && r.Lease != 0 {
 				c.permit, c.permitAt = r.Lease, sent
@@ -71,12 +71,12 @@
 		return
 	}
 	sent, permit := c.now, c.permit
-	c.permitCall = c.callState(&storage.Request{Kind: storage.Touch, Lease: permit}, storage.Urgent, c.permitTTL()/3, func(r *storage.Reply) {
+	c.permitCall = c.callState(&storage.Request{Kind: storage.LeaseKeepAlive, Lease: permit}, storage.Urgent, c.permitTTL()/3, func(r *storage.Reply) {
 		c.permitCall = false
 		switch r.Outcome {
 		case storage.OK:
 			c.permitAt = sent
-		case storage.NotFound, storage.NoLease:
+		case storage.NotFound, storage.LeaseNotFound:
 			c.permit = 0
 			c.log(levelWarn, "permit ended")
 		default:
@@ -90,11 +90,11 @@
 	if c.synced || c.listing != nil || c.now < c.listAt {
 		return
 	}
-	c.listing = storage.NewReplica(c.keys)
+	c.listing = storage.NewCache(c.keys)
 	c.listPage(c.listing, "", 0)
 }
 
-func (c *Core) listPage(into *storage.Replica, after string, base uint64) {
+func (c *Core) listPage(into *storage.Cache, after string, base uint64) {
 	fail := func() {
 		c.listing = nil
 		c.listAt = c.now + 200*micros.Millisecond
@@ -120,7 +120,7 @@
 			c.listPage(into, r.Items[len(r.Items)-1].Key, base)
 			return
 		}
-		into.Listed()
+		into.SnapshotComplete()
 		into.Revision = base
 		c.listing = nil
 		c.adoptReplica(into, sent)
@@ -132,23 +132,23 @@
 // adoptReplica takes a fresh copy of the state. What lay between the copies is
 // unknown, so a lease counts as the same only if its version is, and nothing is
 // done under it until the stream has confirmed it once more.
-func (c *Core) adoptReplica(r *storage.Replica, sent micros.Time) {
+func (c *Core) adoptReplica(r *storage.Cache, sent micros.Time) {
 	old := c.replica
 	c.replica, c.synced = r, true
-	c.term.Lapse()
+	c.term.Invalidate()
 	for n, h := range c.holders {
-		if v := r.Queues[n]; v.Version != h.token || v.Value.Holder != c.proc {
+		if v := r.Partitions[n]; v.ModRevision != h.token || v.Value.Leader != c.proc {
 			delete(c.holders, n)
 			continue
 		}
 		h.resync(old)
 	}
-	for n := range r.Queues {
+	for n := range r.Partitions {
 		c.queueChanged(n)
 	}
 	c.noteEnds()
 	c.admissionChanged(sent)
-	r.Touched() // everything was looked at
+	r.TakeAffected() // everything was looked at
 	c.log(levelInfo, "state read", "revision", r.Revision, "jobs", len(r.Jobs))
 }
 
@@ -165,11 +165,11 @@
 			case storage.OK:
 				c.term.Confirm(sent)
 				defer func() { c.newsBefore = sent }() // what the next brings came after this
-				seen := c.replica.Admission.Version
+				seen := c.replica.Admission.ModRevision
 				for _, it := range r.Items {
 					c.apply(it)
 				}
-				if c.replica.Admission.Version != seen {
+				if c.replica.Admission.ModRevision != seen {
 					c.admissionChanged(sent)
 				}
 				c.touched()
@@ -201,8 +201,8 @@
 	case "node":
 		c.noteEnds()
 	case "queue":
-		for n := range c.replica.Queues {
-			if c.keys.Queue(n) == it.Key {
+		for n := range c.replica.Partitions {
+			if c.keys.Partition(n) == it.Key {
 				c.queueChanged(n)
 			}
 		}
@@ -214,7 +214,7 @@
 		}
 	case "job", "fin":
 		if ch.Kind == "job" && c.isCancelled(ch.ID) {
-			c.confirmed(ch.ID, it.Version, false)
+			c.confirmed(ch.ID, it.ModRevision, false)
 		}
 		for _, n := range sortedKeys(c.holders) {
 			c.holders[n].jobChanged(ch.ID)
@@ -224,8 +224,8 @@
 
 // noteEnds dates the end of former holders.
 func (c *Core) noteEnds() {
-	for _, q := range c.replica.Queues {
-		for _, p := range q.Value.Former {
+	for _, q := range c.replica.Partitions {
+		for _, p := range q.Value.FormerLeaders {
 			if _, ok := c.ends[p]; !ok && c.replica.Dead(p) {
 				c.ends[p] = c.now
 			}
@@ -237,16 +237,16 @@
 	if !c.synced || c.permit == 0 || c.registerCall || c.now < c.registerAt || c.replica.Live(c.proc) {
 		return
 	}
-	key := c.keys.Node(c.proc.Member)
+	key := c.keys.Member(c.proc.Member)
 	// The condition keeps a late copy of an older process's registration from
 	// replacing that of its successor.
-	c.registerCall = c.callState(&storage.Request{Kind: storage.Commit,
-		Conditions: []storage.Condition{{Key: key, Version: c.replica.Nodes[c.proc.Member].Version}},
-		Puts:       []storage.Put{{Key: key, Value: storage.Encode(storage.Registration{Process: c.proc, Format: storage.Format}), Lease: c.permit}},
+	c.registerCall = c.callState(&storage.Request{Kind: storage.Txn,
+		Compares: []storage.Compare{{Key: key, ModRevision: c.replica.Members[c.proc.Member].ModRevision}},
+		Puts:     []storage.Put{{Key: key, Value: storage.Encode(storage.Registration{Process: c.proc, Format: storage.Format}), Lease: c.permit}},
 	}, storage.Urgent, stateTimeout, func(r *storage.Reply) {
 		c.registerCall = false
 		c.registerAt = c.now + 300*micros.Millisecond
-		if r.Outcome == storage.NoLease {
+		if r.Outcome == storage.LeaseNotFound {
 			c.permit = 0
 		}
 	})
@@ -258,16 +258,16 @@
 	}
 	// The key of a leader whose member runs a newer process stays until its permit
 	// ends: that process is surely dead, so its key can be taken over at once.
-	if l := c.replica.Leader; l.Version != 0 && !c.replica.Dead(l.Value) {
+	if l := c.replica.ClusterLeader; l.ModRevision != 0 && !c.replica.Dead(l.Value) {
 		return
 	}
-	c.campaignCall = c.callState(&storage.Request{Kind: storage.Commit,
-		Conditions: []storage.Condition{{Key: c.keys.Leader(), Version: c.replica.Leader.Version}},
-		Puts:       []storage.Put{{Key: c.keys.Leader(), Value: storage.Encode(c.proc), Lease: c.permit}},
+	c.campaignCall = c.callState(&storage.Request{Kind: storage.Txn,
+		Compares: []storage.Compare{{Key: c.keys.ClusterLeader(), ModRevision: c.replica.ClusterLeader.ModRevision}},
+		Puts:     []storage.Put{{Key: c.keys.ClusterLeader(), Value: storage.Encode(c.proc), Lease: c.permit}},
 	}, storage.Urgent, stateTimeout, func(r *storage.Reply) {
 		c.campaignCall = false
 		c.campaignAt = c.now + 300*micros.Millisecond
-		if r.Outcome == storage.NoLease {
+		if r.Outcome == storage.LeaseNotFound {
 			c.permit = 0
 		}
 	})
@@ -275,22 +275,22 @@
 
 // leading tells whether this process is the leader, as far as it can know.
 func (c *Core) leading() bool {
-	return c.synced && c.replica.Leader.Version != 0 && c.replica.Leader.Value == c.proc
+	return c.synced && c.replica.ClusterLeader.ModRevision != 0 && c.replica.ClusterLeader.Value == c.proc
 }
 
 // asLeader is the condition of every transaction of the leader: they may be
 // applied late.
-func (c *Core) asLeader() storage.Condition {
-	return storage.Condition{Key: c.keys.Leader(), Version: c.replica.Leader.Version}
+func (c *Core) asLeader() storage.Compare {
+	return storage.Compare{Key: c.keys.ClusterLeader(), ModRevision: c.replica.ClusterLeader.ModRevision}
 }
 
 // queueChanged takes a change of a queue's holder or token.
 func (c *Core) queueChanged(n int) {
-	v, ok := c.replica.Queues[n]
+	v, ok := c.replica.Partitions[n]
 	h := c.holders[n]
-	if !ok || v.Value.Holder != c.proc {
+	if !ok || v.Value.Leader != c.proc {
 		if h != nil {
-			c.log(levelWarn, "queue lost", "queue", n, "holder", v.Value.Holder.Member)
+			c.log(levelWarn, "queue lost", "queue", n, "holder", v.Value.Leader.Member)
 			delete(c.holders, n)
 		}
 		return
@@ -298,8 +298,8 @@
 	c.noteEnds()
 	if h == nil {
 		c.holders[n] = newHolder(c, n, v)
-		c.log(levelInfo, "queue taken", "queue", n, "token", v.Version, "machines", len(c.holders[n].machines), "jobs", len(c.holders[n].jobs))
+		c.log(levelInfo, "queue taken", "queue", n, "token", v.ModRevision, "machines", len(c.holders[n].machines), "jobs", len(c.holders[n].jobs))
 		return
 	}
-	h.newToken(v.Version)
+	h.newToken(v.ModRevision)
 }
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -32,7 +32,7 @@
 // mute tells whether a machine that answers calls has reached no controller for a lease,
 // while most others do: it is empty by now, and would stay so.
 func (h *holder) mute(m *machine) bool {
-	if m.session == 0 || h.unanswered(m) <= h.c.cfg.LeaseRunOut() {
+	if m.session == 0 || h.unanswered(m) <= h.c.cfg.AgentLeaseExpiry() {
 		return false
 	}
 	census := h.census()
@@ -48,7 +48,7 @@
 		for _, p := range h.former {
 			end, dead := h.c.ends[p]
 			if !dead {
-				end = h.taken + h.c.cfg.Term()
+				end = h.taken + h.c.cfg.LeadershipTerm()
 			}
 			last = max(last, end)
 		}
@@ -142,7 +142,7 @@
 		}
 		n.up++
 		n.seen = append(n.seen, m.seen)
-		if h.unanswered(m) < h.c.cfg.Lease()/2 {
+		if h.unanswered(m) < h.c.cfg.AgentLease()/2 {
 			n.answered++
 		}
 	}
--- a/internal/coordination/surplus.go
+++ b/internal/coordination/surplus.go
@@ -44,7 +44,7 @@
 		}
 	}
 	most := max(maxLeaving, len(h.machines)/maxLeavingPart)
-	if leaving >= most || now-h.mergedAt < movePace || now-h.taken < 10*micros.Second || h.c.term.Age(now) >= staleAfter {
+	if leaving >= most || now-h.mergedAt < movePace || now-h.taken < 10*micros.Second || h.c.term.SinceConfirmed(now) >= staleAfter {
 		return
 	}
 	h.mergedAt = now
@@ -72,8 +72,8 @@
 			return
 		}
 		if h.load > (capacity-m.kind.Capacity.CPU-services)*8/10 ||
-			slices.ContainsFunc(h.needs, func(n fleet.Need) bool {
-				return !n.Service && n.Allows(fleet.Offer{Type: m.block.Type, Zone: m.block.Zone})
+			slices.ContainsFunc(h.needs, func(n fleet.CapacityRequest) bool {
+				return !n.Service && n.Allows(fleet.InstanceKind{InstanceType: m.block.InstanceType, Zone: m.block.Zone})
 			}) {
 			continue
 		}
@@ -114,12 +114,12 @@
 			continue
 		}
 		for _, o := range h.machines {
-			if o.kind == nil || !h.usable(o) || o.block.Spot && !a.j.Spot || (!o.hasImage(a.j.Image) && !bare) || !a.j.AllowsType(o.block.Type) ||
+			if o.kind == nil || !h.usable(o) || o.block.Spot && !a.j.Spot || (!o.hasImage(a.j.Image) && !bare) || !a.j.AllowsInstanceType(o.block.InstanceType) ||
 				(a.j.Zone != "" && a.j.Zone != o.block.Zone) || a.j.OneZone || a.j.Spread || !a.need.Fits(h.free(o)) {
 				continue
 			}
 			h.movedAt = h.c.now
-			h.stop(a, a.j.SaveTime)
+			h.stop(a, a.j.CheckpointDuration)
 			return
 		}
 		nowhere[a.j.ID] = true
@@ -140,7 +140,7 @@
 // returnIdle gives machines back that have had no task for a while and are not
 // part of the spare room for services.
 func (h *holder) returnIdle() {
-	if h.c.term.Age(h.c.now) >= staleAfter {
+	if h.c.term.SinceConfirmed(h.c.now) >= staleAfter {
 		// Nothing can be submitted while the state service is out: all users come back
 		// at once, and what was given back would have to boot first.
 		for _, m := range h.machines {
@@ -185,8 +185,8 @@
 			keep = min(keep, surplusKeep)
 		}
 		if !h.usable(m) || m.idle == 0 || h.c.now-m.idle < keep || !h.vacant(m) ||
-			slices.ContainsFunc(h.needs, func(n fleet.Need) bool {
-				return n.Allows(fleet.Offer{Type: m.block.Type, Zone: m.block.Zone, Spot: m.block.Spot})
+			slices.ContainsFunc(h.needs, func(n fleet.CapacityRequest) bool {
+				return n.Allows(fleet.InstanceKind{InstanceType: m.block.InstanceType, Zone: m.block.Zone, Spot: m.block.Spot})
 			}) {
 			continue
 		}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -20,7 +20,7 @@
 // final answers from what can never change, if it is known.
 func (c *Core) final(req RequestID, id string) bool {
 	e := c.replica.Jobs[id]
-	if e == nil || (e.Job.Phase == bookkeeping.Active && !e.CancelledBefore) {
+	if e == nil || (e.Job.Phase == bookkeeping.Active && !e.CancelledByDependency) {
 		return false
 	}
 	c.answer(Answer{Request: req, Kind: View, Job: c.view(e)})
@@ -29,7 +29,7 @@
 
 func (c *Core) view(e *storage.JobEntry) JobView {
 	v := JobView{ID: e.Job.ID, Phase: e.Job.Phase}
-	if e.CancelledBefore {
+	if e.CancelledByDependency {
 		v.Phase = bookkeeping.Cancelled
 	}
 	switch v.Phase {
@@ -38,8 +38,8 @@
 	case bookkeeping.Active:
 		p := c.progress[v.ID]
 		v.Done, v.Running = p.Done, p.Running
-		if e.Finished != nil {
-			v.Done = max(v.Done, e.Finished.Len())
+		if e.Completed != nil {
+			v.Done = max(v.Done, e.Completed.Len())
 		}
 	}
 	return v
@@ -110,7 +110,7 @@
 	c.admit(req, in.Job, func(urgency storage.Urgency) {
 		in.Job.Submitted = c.wall
 		c.fitRecord(in.Job)
-		if len(in.Job.WaitsOn) > 0 {
+		if len(in.Job.DependsOn) > 0 {
 			c.acceptWaiting(req, in.Job)
 			return
 		}
@@ -121,12 +121,12 @@
 // fitRecord leaves out of a job's record what says nothing: machine types that do not
 // exist, or on which its tasks do not fit.
 func (c *Core) fitRecord(j *bookkeeping.Job) {
-	j.Types = slices.DeleteFunc(slices.Clone(j.Types), func(name string) bool {
+	j.InstanceTypes = slices.DeleteFunc(slices.Clone(j.InstanceTypes), func(name string) bool {
 		t := c.catalog[name]
-		return t == nil || !j.Need.Fits(t.Capacity)
+		return t == nil || !j.Resources.Fits(t.Capacity)
 	})
-	slices.Sort(j.Types)
-	j.Types = slices.Compact(j.Types)
+	slices.Sort(j.InstanceTypes)
+	j.InstanceTypes = slices.Compact(j.InstanceTypes)
 }
 
 // cannotRun refuses a job that can never run, unless it is known: then its user is told
@@ -136,16 +136,16 @@
 }
 
 // accept writes a job's record, by which it is accepted, under further conditions.
-func (c *Core) accept(req RequestID, job *bookkeeping.Job, urgency storage.Urgency, conditions ...storage.Condition) {
+func (c *Core) accept(req RequestID, job *bookkeeping.Job, urgency storage.Urgency, conditions ...storage.Compare) {
 	id := job.ID
 	key, value := c.keys.Job(id), storage.Encode(job)
 	if len(value) > c.cfg.Settings.MaxValue() {
 		c.cannotRun(req, id, "its description is too long to be kept")
 		return
 	}
-	sent := c.callState(&storage.Request{Kind: storage.Commit,
-		Conditions: append([]storage.Condition{{Key: key}, {Key: c.keys.Archive(id)}}, conditions...),
-		Puts:       []storage.Put{{Key: key, Value: value}},
+	sent := c.callState(&storage.Request{Kind: storage.Txn,
+		Compares: append([]storage.Compare{{Key: key}, {Key: c.keys.Archive(id)}}, conditions...),
+		Puts:     []storage.Put{{Key: key, Value: value}},
 	}, urgency, stateTimeout, func(r *storage.Reply) {
 		switch r.Outcome {
 		case storage.OK:
@@ -153,7 +153,7 @@
 			c.answer(Answer{Request: req, Kind: Accepted, Job: JobView{ID: id, Phase: job.Phase}})
 		case storage.Conflict:
 			c.viewOr(req, id, func() { c.unavailable(req, "try again") })
-		case storage.Refused:
+		case storage.Unavailable:
 			c.shed()
 			c.unavailable(req, "the state service does not answer")
 		default:
@@ -172,7 +172,7 @@
 	switch {
 	case team == nil:
 		return "unknown team"
-	case !team.CanEver(j):
+	case !team.CanEverRun(j):
 		return "needs more than the team's limit"
 	case !c.catalog.Fits(j):
 		return "a task fits no allowed machine type"
@@ -201,18 +201,18 @@
 		return
 	}
 	key := c.keys.Job(in.ID)
-	gone := e.Job.Final(bookkeeping.Cancelled)
+	gone := e.Job.Tombstone(bookkeeping.Cancelled)
 	var ranges []string // of finished tasks, which nobody needs any more
-	for _, chunk := range sortedKeys(e.FinVersion) {
+	for _, chunk := range sortedKeys(e.CompletedRevisions) {
 		if len(ranges)+1 < c.cfg.Settings.StateLimits().TxnOps {
-			ranges = append(ranges, c.keys.Fin(in.ID, chunk))
+			ranges = append(ranges, c.keys.CompletedSegment(in.ID, chunk))
 		}
 	}
 	// done and cancelled exclude each other by the record's version.
-	sent := c.callState(&storage.Request{Kind: storage.Commit,
-		Conditions: []storage.Condition{{Key: key, Version: e.Version}},
-		Puts:       []storage.Put{{Key: key, Value: storage.Encode(gone)}},
-		Deletes:    ranges,
+	sent := c.callState(&storage.Request{Kind: storage.Txn,
+		Compares: []storage.Compare{{Key: key, ModRevision: e.ModRevision}},
+		Puts:     []storage.Put{{Key: key, Value: storage.Encode(gone)}},
+		Deletes:  ranges,
 	}, storage.Urgent, stateTimeout, func(r *storage.Reply) {
 		switch {
 		case r.Outcome == storage.OK:
--- a/internal/coordination/waits.go
+++ b/internal/coordination/waits.go
@@ -24,16 +24,16 @@
 		return
 	}
 	members := []string{c.proc.Member}
-	for _, s := range c.cfg.Siblings {
+	for _, s := range c.cfg.Peers {
 		members = append(members, s.Member)
 	}
 	for _, m := range members {
-		if c.replica.Nodes[m].Version == 0 || c.replica.Formats[m] < storage.Format {
+		if c.replica.Members[m].ModRevision == 0 || c.replica.MemberFormats[m] < storage.Format {
 			return
 		}
 	}
 	l.formatAt = c.now + micros.Second
-	l.formatCall = c.callState(&storage.Request{Kind: storage.Commit, Conditions: []storage.Condition{c.asLeader()},
+	l.formatCall = c.callState(&storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.asLeader()},
 		Puts: []storage.Put{{Key: c.keys.Format(), Value: storage.Encode(map[string]int{"v": storage.Format})}},
 	}, storage.Urgent, stateTimeout, func(r *storage.Reply) {
 		l.formatCall = false
@@ -46,8 +46,8 @@
 // olderRegistered tells whether a process of an older version serves now: one that came
 // back old although all were new once. It must not get to hold jobs that wait.
 func (c *Core) olderRegistered() bool {
-	for member := range c.replica.Nodes {
-		if c.replica.Formats[member] < storage.Format {
+	for member := range c.replica.Members {
+		if c.replica.MemberFormats[member] < storage.Format {
 			return true
 		}
 	}
@@ -102,7 +102,7 @@
 // need not be as new as the question: they were accepted, done and cancelled are final, and
 // what has become of them since makes the job wait, start or be cancelled all the same.
 func (c *Core) acceptWaiting(req RequestID, job *bookkeeping.Job) {
-	for _, ref := range job.WaitsOn {
+	for _, ref := range job.DependsOn {
 		if c.replica.Jobs[ref] == nil {
 			c.fresh(func(ok bool) {
 				if !ok {
@@ -128,14 +128,14 @@
 		c.viewOr(req, job.ID, func() { c.unavailable(req, "try again") })
 		return
 	}
-	c.checkNeeds(req, job, job.WaitsOn, needs{}, func(n needs) {
+	c.checkNeeds(req, job, job.DependsOn, needs{}, func(n needs) {
 		if n.cancelled {
-			over := job.Final(bookkeeping.Cancelled)
+			over := job.Tombstone(bookkeeping.Cancelled)
 			over.Submitted = c.wall
 			c.accept(req, over, storage.Prompt)
 			return
 		}
-		job.WaitsOn = n.open
+		job.DependsOn = n.open
 		c.storeNeeds(req, job)
 	})
 }
@@ -151,11 +151,11 @@
 	each := max(1, most/(maxRefBytes+3))
 	var parts []storage.Put
 	c.lists++
-	job.WaitKey = fmt.Sprintf("%s.%d", c.proc.Incarnation, c.lists)
-	for list := range slices.Chunk(job.WaitsOn, each) {
-		parts = append(parts, storage.Put{Key: c.keys.WaitPart(job.ID, job.WaitKey, len(parts)), Value: storage.Encode(list)})
+	job.DependencyListName = fmt.Sprintf("%s.%d", c.proc.Incarnation, c.lists)
+	for list := range slices.Chunk(job.DependsOn, each) {
+		parts = append(parts, storage.Put{Key: c.keys.DependencyPart(job.ID, job.DependencyListName, len(parts)), Value: storage.Encode(list)})
 	}
-	job.WaitsOn, job.WaitParts = nil, len(parts)
+	job.DependsOn, job.DependencyParts = nil, len(parts)
 	c.storeParts(req, job, parts, 0)
 }
 
@@ -174,7 +174,7 @@
 // parts that no job had, it would be a job that waits for ever.
 func (c *Core) storeParts(req RequestID, job *bookkeeping.Job, parts []storage.Put, first uint64) {
 	if len(parts) == 0 {
-		c.accept(req, job, storage.Prompt, storage.Condition{Key: c.keys.WaitPart(job.ID, job.WaitKey, 0), Version: first})
+		c.accept(req, job, storage.Prompt, storage.Compare{Key: c.keys.DependencyPart(job.ID, job.DependencyListName, 0), ModRevision: first})
 		return
 	}
 	n, size := 0, 0
@@ -182,7 +182,7 @@
 		size += len(parts[n].Value)
 		n++
 	}
-	if !c.callState(&storage.Request{Kind: storage.Commit, Puts: parts[:n]}, storage.Urgent, stateTimeout, func(r *storage.Reply) {
+	if !c.callState(&storage.Request{Kind: storage.Txn, Puts: parts[:n]}, storage.Urgent, stateTimeout, func(r *storage.Reply) {
 		if r.Outcome != storage.OK {
 			c.unavailable(req, "the state service does not answer")
 			return
@@ -203,7 +203,7 @@
 	c.readNeeded(c.replica, c.replica.Unresolved(id), then)
 }
 
-func (c *Core) readNeeded(replica *storage.Replica, ids []string, then func(ok bool)) {
+func (c *Core) readNeeded(replica *storage.Cache, ids []string, then func(ok bool)) {
 	if len(ids) == 0 || c.replica != replica {
 		then(c.replica == replica) // a new copy of the state knows nothing of what was read
 		return
@@ -223,7 +223,7 @@
 
 // touched looks at the jobs again for which something changed with another job.
 func (c *Core) touched() {
-	for _, id := range c.replica.Touched() {
+	for _, id := range c.replica.TakeAffected() {
 		for _, n := range sortedKeys(c.holders) {
 			c.holders[n].jobChanged(id)
 		}
@@ -245,9 +245,9 @@
 	// Times other than the due date count from now, or from when the last of them was
 	// done as its record tells.
 	j.blocked, j.ready = false, j.Submitted
-	for _, w := range j.entry.Waits {
-		if e := h.c.replica.Jobs[w]; e != nil && e.Job.Over > 0 {
-			j.ready = max(j.ready, e.Job.Over)
+	for _, w := range j.entry.Dependencies {
+		if e := h.c.replica.Jobs[w]; e != nil && e.Job.CompletedAt > 0 {
+			j.ready = max(j.ready, e.Job.CompletedAt)
 		} else {
 			j.ready = h.c.wall
 		}
@@ -269,7 +269,7 @@
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(h.unknown)) {
-		if h.c.replica.Jobs[id] != nil || len(h.c.replica.Needed[id]) == 0 || h.c.replica.Past[id] != bookkeeping.Active {
+		if h.c.replica.Jobs[id] != nil || len(h.c.replica.Dependents[id]) == 0 || h.c.replica.ArchivedPhases[id] != bookkeeping.Active {
 			delete(h.unknown, id)
 			continue
 		}
@@ -294,7 +294,7 @@
 	if len(h.cancelledBefore) == 0 || h.writingCancelled || h.c.now < h.writeCancelledAt {
 		return
 	}
-	r := &storage.Request{Kind: storage.Commit, Conditions: []storage.Condition{{Key: h.c.keys.Queue(h.queue), Version: h.token}}}
+	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{{Key: h.c.keys.Partition(h.queue), ModRevision: h.token}}}
 	for _, id := range slices.Sorted(maps.Keys(h.cancelledBefore)) {
 		e := h.c.replica.Jobs[id]
 		if e == nil || e.Job.Phase != bookkeeping.Active {
@@ -302,15 +302,15 @@
 			continue
 		}
 		if len(r.Puts) < h.c.cfg.Settings.StateLimits().TxnOps {
-			r.Conditions = append(r.Conditions, storage.Condition{Key: h.c.keys.Job(id), Version: e.Version})
-			r.Puts = append(r.Puts, storage.Put{Key: h.c.keys.Job(id), Value: storage.Encode(e.Job.Final(bookkeeping.Cancelled))})
+			r.Compares = append(r.Compares, storage.Compare{Key: h.c.keys.Job(id), ModRevision: e.ModRevision})
+			r.Puts = append(r.Puts, storage.Put{Key: h.c.keys.Job(id), Value: storage.Encode(e.Job.Tombstone(bookkeeping.Cancelled))})
 		}
 	}
 	if len(r.Puts) == 0 {
 		return
 	}
 	h.writeCancelledAt = h.c.now + 300*micros.Millisecond
-	h.writingCancelled = h.c.callState(r, storage.Patient, stateTimeout, func(*storage.Reply) { h.writingCancelled = false })
+	h.writingCancelled = h.c.callState(r, storage.Deferrable, stateTimeout, func(*storage.Reply) { h.writingCancelled = false })
 }
 
 // startSlack is what the start of a task takes besides its image.
@@ -328,15 +328,15 @@
 // due dates of their own: users set them on the last job only.
 func (h *holder) inheritFrom(id string) inheritance {
 	out := inheritance{due: micros.Max}
-	if len(h.c.replica.Needed[id]) == 0 {
+	if len(h.c.replica.Dependents[id]) == 0 {
 		return out
 	}
 	if got, ok := h.inherited[id]; ok {
 		return got
 	}
-	for dep := range h.c.replica.Needed[id] {
+	for dep := range h.c.replica.Dependents[id] {
 		e := h.c.replica.Jobs[dep]
-		if e == nil || e.Job.Phase != bookkeeping.Active || e.CancelledBefore {
+		if e == nil || e.Job.Phase != bookkeeping.Active || e.CancelledByDependency {
 			continue
 		}
 		after := h.inheritFrom(dep)
@@ -345,7 +345,7 @@
 			due = min(due, e.Job.Submitted+e.Job.Deadline)
 		}
 		if due != micros.Max {
-			run := micros.Time(float64(h.c.stats.Corrected(e.Job)) * h.c.stats.Spread(e.Job.Class))
+			run := micros.Time(float64(h.c.stats.Estimate(e.Job)) * h.c.stats.TailRatio(e.Job.Class))
 			out.due = min(out.due, due-run-h.fetchTime(e.Job.ImageGB)-startSlack)
 		}
 		out.priority = max(out.priority, after.priority, e.Job.Priority)
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -28,7 +28,7 @@
 			Berth   string `json:"berth"`
 			Loaners bool   `json:"loaners"`
 			Count   int    `json:"count"`
-		}{c.Charter, c.Rental.Type, c.Rental.Zone, c.Rental.Spot, c.Rental.Count})}
+		}{c.Charter, c.Rental.InstanceType, c.Rental.Zone, c.Rental.Spot, c.Rental.Count})}
 	case coordination.CloudDelete:
 		return HTTPRequest{"POST", "/machines/delete", mustJSON(struct {
 			Hosts []string `json:"hosts"`
@@ -107,7 +107,7 @@
 		if h.SKU == "" || h.Cores <= 0 || h.RAMGB < 0 || h.BootS < 0 || h.Hourly < 0 {
 			return nil, fmt.Errorf("catalog: bad type %q", h.SKU)
 		}
-		catalog[h.SKU] = &bookkeeping.MachineType{Name: h.SKU, CacheGB: h.CacheGB, FetchGBps: h.FetchGBps,
+		catalog[h.SKU] = &bookkeeping.InstanceType{Name: h.SKU, CacheGB: h.CacheGB, FetchGBps: h.FetchGBps,
 			Capacity: bookkeeping.Resources{CPU: bookkeeping.Milli(h.Cores), GPU: bookkeeping.Milli(h.GPUs), Mem: bookkeeping.Milli(h.RAMGB)},
 			Price:    h.Hourly, SpotPrice: h.SpotHourly, Boot: micros.FromSeconds(h.BootS), Zones: h.Berths}
 	}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -25,8 +25,8 @@
 		t.Fatal(err)
 	}
 	want := &bookkeeping.Job{ID: "wk-000412", Class: "train", Team: "vision", Priority: bookkeeping.High, Tasks: 16,
-		Need: bookkeeping.Resources{CPU: 8000, GPU: 1000, Mem: 64000}, Types: []string{"g8"}, OneZone: true, Spot: true,
-		Image: "img-07", ImageGB: 6.2, Estimate: 240e6, CheckpointEvery: 30e6, SaveTime: 4e6, Deadline: 900e6}
+		Resources: bookkeeping.Resources{CPU: 8000, GPU: 1000, Mem: 64000}, InstanceTypes: []string{"g8"}, OneZone: true, Spot: true,
+		Image: "img-07", ImageGB: 6.2, Estimate: 240e6, CheckpointInterval: 30e6, CheckpointDuration: 4e6, Deadline: 900e6}
 	if id != "wk-000412" || !reflect.DeepEqual(j, want) {
 		t.Errorf("got %+v", j)
 	}
@@ -58,7 +58,7 @@
 func TestStatusRoundTrip(t *testing.T) {
 	s := &coordination.Status{From: storage.Process{Member: "a", Incarnation: "x"}, Revision: 77, StateOK: true,
 		Queues: []coordination.QueueStatus{{Queue: 1, Token: 9, Lost: []string{"a", "b"}, Release: []string{"vm-1"}, Idle: []string{"vm-2", "vm-3"},
-			Needs: []fleet.Need{{Each: bookkeeping.Resources{CPU: 1, GPU: 2, Mem: 3}, Count: 4, Spot: true, Types: []string{"t"}, Zone: "z",
+			Needs: []fleet.CapacityRequest{{Resources: bookkeeping.Resources{CPU: 1, GPU: 2, Mem: 3}, Count: 4, Spot: true, InstanceTypes: []string{"t"}, Zone: "z",
 				Service: true, Replicas: 5, Urgent: true, Hold: 6}}}},
 		Gone: []string{"vm-9"}, Shifts: []coordination.Shift{{Machine: "vm-4", To: 1}},
 		Progress: []coordination.JobProgress{{ID: "wk-1", Done: 2, Running: 3}},
@@ -100,7 +100,7 @@
 }
 
 func TestUnreadableAnswersCountAsLost(t *testing.T) {
-	if r, err := DecodeState(storage.Commit, 200, []byte("<html>")); r.Outcome != storage.Lost || err == nil {
+	if r, err := DecodeState(storage.Txn, 200, []byte("<html>")); r.Outcome != storage.OutcomeUnknown || err == nil {
 		t.Errorf("state: %v %v", r.Outcome, err)
 	}
 	if r, err := DecodeCloud(coordination.CloudRent, 200, []byte(`{"hosts":[""]}`)); r.Outcome != coordination.CloudLost || err == nil {
@@ -116,7 +116,7 @@
 	for from, want := range map[string][]string{`"later":[1]`: nil, `"waits_on":null`: nil, `"waits_on":[]`: nil,
 		`"waits_on":["wk-000398","wk-000405","wk-000398"]`: {"wk-000398", "wk-000405"}} {
 		_, j, err := ParseSubmission([]byte(gostrings.Replace(good, `"later":[1]`, from, 1)))
-		if err != nil || !reflect.DeepEqual(j.WaitsOn, want) {
+		if err != nil || !reflect.DeepEqual(j.DependsOn, want) {
 			t.Errorf("%s: %v, %v", from, j, err)
 		}
 	}
--- a/internal/protocol/siblings.go
+++ b/internal/protocol/siblings.go
@@ -82,14 +82,14 @@
 	return vector(b, queues)
 }
 
-func encodeNeeds(b *flatbuffers.Builder, list []fleet.Need) flatbuffers.UOffsetT {
+func encodeNeeds(b *flatbuffers.Builder, list []fleet.CapacityRequest) flatbuffers.UOffsetT {
 	var needs []flatbuffers.UOffsetT
 	for _, n := range list {
-		types, zone := strings(b, n.Types), b.CreateString(n.Zone)
+		types, zone := strings(b, n.InstanceTypes), b.CreateString(n.Zone)
 		wire.NeedStart(b)
-		wire.NeedAddCpu(b, n.Each.CPU)
-		wire.NeedAddGpu(b, n.Each.GPU)
-		wire.NeedAddMem(b, n.Each.Mem)
+		wire.NeedAddCpu(b, n.Resources.CPU)
+		wire.NeedAddGpu(b, n.Resources.GPU)
+		wire.NeedAddMem(b, n.Resources.Mem)
 		wire.NeedAddCount(b, int32(n.Count))
 		wire.NeedAddSpot(b, n.Spot)
 		wire.NeedAddTypes(b, types)
@@ -292,8 +292,8 @@
 	for k := range q.NeedsLength() {
 		var n wire.Need
 		q.Needs(&n, k)
-		out.Needs = append(out.Needs, fleet.Need{Each: bookkeeping.Resources{CPU: n.Cpu(), GPU: n.Gpu(), Mem: n.Mem()},
-			Count: int(n.Count()), Spot: n.Spot(), Types: stringList(n.TypesLength(), n.Types), Zone: string(n.Zone()),
+		out.Needs = append(out.Needs, fleet.CapacityRequest{Resources: bookkeeping.Resources{CPU: n.Cpu(), GPU: n.Gpu(), Mem: n.Mem()},
+			Count: int(n.Count()), Spot: n.Spot(), InstanceTypes: stringList(n.TypesLength(), n.Types), Zone: string(n.Zone()),
 			Service: n.Service(), Hold: n.Hold(), Replicas: int(n.Replicas()), Urgent: n.Urgent()})
 	}
 	return out
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -37,19 +37,19 @@
 		q := url.Values{"under": {r.Key}, "after": {strconv.FormatUint(r.Revision, 10)},
 			"block_ms": {strconv.FormatInt(r.Wait/micros.Millisecond, 10)}}
 		return HTTPRequest{"GET", "/changes?" + q.Encode(), nil}
-	case storage.Grant:
+	case storage.LeaseGrant:
 		return HTTPRequest{"POST", "/grants", mustJSON(struct {
 			TTL int64 `json:"ttl_ms"`
 		}{r.TTL / micros.Millisecond})}
-	case storage.Touch:
+	case storage.LeaseKeepAlive:
 		return HTTPRequest{"POST", "/grants/" + strconv.FormatUint(r.Lease, 10) + "/touch", []byte("{}")}
 	}
 	c := struct {
 		If     []condition `json:"if"`
 		Writes []write     `json:"writes"`
 	}{[]condition{}, []write{}}
-	for _, x := range r.Conditions {
-		c.If = append(c.If, condition{x.Key, x.Version})
+	for _, x := range r.Compares {
+		c.If = append(c.If, condition{x.Key, x.ModRevision})
 	}
 	for _, p := range r.Puts {
 		c.Writes = append(c.Writes, write{Set: p.Key, V: p.Value, Permit: p.Lease})
@@ -83,7 +83,7 @@
 
 // DecodeState reads the state service's answer. One that cannot be read counts
 // as lost.
-func DecodeState(kind storage.Kind, status int, body []byte) (*storage.Reply, error) {
+func DecodeState(kind storage.RequestKind, status int, body []byte) (*storage.Reply, error) {
 	outcome, err := stateOutcome(kind, status, body)
 	out := &storage.Reply{Outcome: outcome}
 	switch outcome {
@@ -94,7 +94,7 @@
 	var b stateBody
 	if len(body) > 0 {
 		if err := json.Unmarshal(body, &b); err != nil {
-			out.Outcome = storage.Lost
+			out.Outcome = storage.OutcomeUnknown
 			return out, fmt.Errorf("state: %w", err)
 		}
 	}
@@ -102,16 +102,16 @@
 	switch kind {
 	case storage.Get:
 		if status == 200 {
-			out.Items = []storage.Item{{Key: b.Key, Value: b.V, Version: b.Stamp}}
+			out.Items = []storage.Item{{Key: b.Key, Value: b.V, ModRevision: b.Stamp}}
 		}
 	case storage.List:
 		for _, r := range b.Rows {
-			out.Items = append(out.Items, storage.Item{Key: r.Key, Value: r.V, Version: r.Stamp})
+			out.Items = append(out.Items, storage.Item{Key: r.Key, Value: r.V, ModRevision: r.Stamp})
 		}
 	case storage.Watch:
 		out.Items = b.changes()
 		if out.Revision == 0 {
-			out.Outcome = storage.Lost
+			out.Outcome = storage.OutcomeUnknown
 			return out, fmt.Errorf("state: changes without a revision")
 		}
 	}
@@ -119,7 +119,7 @@
 }
 
 // stateOutcome is what a status means.
-func stateOutcome(kind storage.Kind, status int, body []byte) (storage.Outcome, error) {
+func stateOutcome(kind storage.RequestKind, status int, body []byte) (storage.Outcome, error) {
 	switch status {
 	case 200, 201, 204:
 		return storage.OK, nil
@@ -130,25 +130,25 @@
 	case 410:
 		return storage.Compacted, nil
 	case 429, 503:
-		return storage.Refused, nil
+		return storage.Unavailable, nil
 	case 400:
 		var e struct {
 			Error string `json:"error"`
 		}
-		if (kind == storage.Commit || kind == storage.Touch) && json.Unmarshal(body, &e) == nil && e.Error == "no such lease" {
-			return storage.NoLease, nil
+		if (kind == storage.Txn || kind == storage.LeaseKeepAlive) && json.Unmarshal(body, &e) == nil && e.Error == "no such lease" {
+			return storage.LeaseNotFound, nil
 		}
-		return storage.Rejected, fmt.Errorf("state: rejected as malformed or too large: %.200s", body)
+		return storage.Invalid, fmt.Errorf("state: rejected as malformed or too large: %.200s", body)
 	}
-	return storage.Lost, fmt.Errorf("state: status %d", status)
+	return storage.OutcomeUnknown, fmt.Errorf("state: status %d", status)
 }
 
 func (b *stateBody) changes() []storage.Item {
 	var items []storage.Item
 	for _, e := range b.Log {
-		it := storage.Item{Key: e.Set, Value: e.V, Version: e.Stamp}
+		it := storage.Item{Key: e.Set, Value: e.V, ModRevision: e.Stamp}
 		if e.Delete != "" {
-			it = storage.Item{Key: e.Delete, Version: e.Stamp, Deleted: true}
+			it = storage.Item{Key: e.Delete, ModRevision: e.Stamp, Deleted: true}
 		}
 		items = append(items, it)
 	}
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -120,12 +120,12 @@
 	e := &errs
 	j := &bookkeeping.Job{ID: *s.Ref, Class: text(e, "jobclass", s.JobClass), Team: text(e, "owner", s.Owner),
 		Image: text(e, "bundle", s.Bundle), ImageGB: amount(e, "size_gb", s.SizeGB, 0, maxAmount),
-		Need: bookkeeping.Resources{CPU: bookkeeping.Milli(amount(e, "cores", s.Cores, 0, maxAmount)),
+		Resources: bookkeeping.Resources{CPU: bookkeeping.Milli(amount(e, "cores", s.Cores, 0, maxAmount)),
 			GPU: bookkeeping.Milli(amount(e, "gpus", s.GPUs, 0, maxAmount)), Mem: bookkeeping.Milli(amount(e, "ram_gb", s.RAMGB, 0, maxAmount))},
-		Types: s.Hulls, OneZone: flag(e, "one_zone", s.OneZone), Spread: flag(e, "apart", s.Apart), Spot: flag(e, "loaners", s.Loaners),
-		Estimate:        micros.FromSeconds(amount(e, "expect_s", s.ExpectS, 0, maxSeconds)),
-		CheckpointEvery: micros.FromSeconds(amount(e, "snapshot_every_s", s.SnapshotEveryS, 0, maxSeconds)),
-		SaveTime:        micros.FromSeconds(amount(e, "snapshot_s", s.SnapshotS, 0, maxSeconds)),
+		InstanceTypes: s.Hulls, OneZone: flag(e, "one_zone", s.OneZone), Spread: flag(e, "apart", s.Apart), Spot: flag(e, "loaners", s.Loaners),
+		Estimate:           micros.FromSeconds(amount(e, "expect_s", s.ExpectS, 0, maxSeconds)),
+		CheckpointInterval: micros.FromSeconds(amount(e, "snapshot_every_s", s.SnapshotEveryS, 0, maxSeconds)),
+		CheckpointDuration: micros.FromSeconds(amount(e, "snapshot_s", s.SnapshotS, 0, maxSeconds)),
 	}
 	switch shape := text(e, "shape", s.Shape); shape {
 	case "array":
@@ -167,7 +167,7 @@
 		}
 		if !named[ref] { // twice the same counts once
 			named[ref] = true
-			j.WaitsOn = append(j.WaitsOn, ref)
+			j.DependsOn = append(j.DependsOn, ref)
 		}
 	}
 	if len(errs) > 0 {
--- a/internal/scenario/state_test.go
+++ b/internal/scenario/state_test.go
@@ -60,7 +60,7 @@
 	tooLarge  int                    // requests refused for their size
 	delayed   map[string]micros.Time // transactions that set a key: carried out so much later, and not answered
 	largest   map[string]writeSize   // of the transactions carried out, by kind
-	loaded    *storage.Replica       // of records that an earlier deployment left
+	loaded    *storage.Cache         // of records that an earlier deployment left
 }
 
 func newState(w *World) *stateService {
@@ -449,7 +449,7 @@
 		s.w.breakRule("bench", "%v", err)
 		return
 	}
-	s.loaded = storage.NewReplica(storage.Keys{Prefix: "pl/"})
+	s.loaded = storage.NewCache(storage.Keys{Prefix: "pl/"})
 	s.next++
 	s.permits[s.next] = s.w.now + micros.Second // of the processes that were registered
 	for _, r := range d.Rows {
@@ -459,7 +459,7 @@
 		}
 		s.keys[r.Key] = stateKey{r.V, r.Stamp, permit}
 		key := strings.Replace(r.Key, "pl/~over/", "pl/job/", 1)
-		if _, _, err := s.loaded.Apply(storage.Item{Key: key, Value: r.V, Version: r.Stamp}); err != nil {
+		if _, _, err := s.loaded.Apply(storage.Item{Key: key, Value: r.V, ModRevision: r.Stamp}); err != nil {
 			s.w.breakRule("bench", "%v", err)
 		}
 	}
@@ -475,7 +475,7 @@
 	e := s.loaded.Jobs[j.ref]
 	j.wantCancel = e.Job.Phase == bookkeeping.Cancelled
 	for t := range j.shards {
-		if e.Job.Phase == bookkeeping.Done || (e.Finished != nil && e.Finished.Has(t)) {
+		if e.Job.Phase == bookkeeping.Done || (e.Completed != nil && e.Completed.Has(t)) {
 			j.done[t] = true
 		}
 	}
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -433,7 +433,8 @@
 		return
 	}
 	cores, ram := m.kind.cores-j.cores, m.kind.ram-j.ram
-	for _, other := range m.tasks {
+	for _, id := range m.ids() { // in order: a sum of fractions depends on it
+		other := m.tasks[id]
 		if other == t || other.phase == "exited" {
 			continue
 		}
--- a/internal/storage/replica.go
+++ b/internal/storage/replica.go
@@ -17,31 +17,31 @@
 	Incarnation string `json:"i"`
 }
 
-// QueueRecord says who holds a queue. Former are earlier holders that were not
+// PartitionRecord says who holds a queue. Former are earlier holders that were not
 // known to be dead when the record was written: they may still answer workers
 // until their terms end.
-type QueueRecord struct {
-	Holder Process   `json:"h"`
-	Former []Process `json:"f,omitempty"`
+type PartitionRecord struct {
+	Leader        Process   `json:"h"`
+	FormerLeaders []Process `json:"f,omitempty"`
 }
 
 // BlockRecord is a group of machines of one offer, rented at once, and the queue
 // it belongs to. It is written before the rental is requested, with Want set and
 // no machines: its name is the name of the request.
 type BlockRecord struct {
-	Queue    int                      `json:"q"`
-	Type     string                   `json:"t"`
-	Zone     string                   `json:"z"`
-	Spot     bool                     `json:"s,omitempty"`
-	Want     int                      `json:"n,omitempty"` // machines requested, until the answer is written
-	Machines map[string]MachineRecord `json:"m,omitempty"`
+	Partition    int                      `json:"q"`
+	InstanceType string                   `json:"t"`
+	Zone         string                   `json:"z"`
+	Spot         bool                     `json:"s,omitempty"`
+	Requested    int                      `json:"n,omitempty"` // machines requested, until the answer is written
+	Machines     map[string]MachineRecord `json:"m,omitempty"`
 }
 
-// MaxBlock is how many machines a block has at most: the cloud rents no more at once.
-const MaxBlock = 50
+// MaxBlockMachines is how many machines a block has at most: the cloud rents no more at once.
+const MaxBlockMachines = 50
 
-// MachineBytes is about what a machine takes in its block's record.
-const MachineBytes = 64
+// MachineRecordBytes is about what a machine takes in its block's record.
+const MachineRecordBytes = 64
 
 // Split divides a record so that each part takes at most so many bytes. The first has
 // what is not a machine, and may be all.
@@ -51,7 +51,7 @@
 	}
 	names := slices.Sorted(maps.Keys(b.Machines))
 	head, tail := b.Without(names[len(names)/2:]...), b.Without(names[:len(names)/2]...)
-	tail.Want = 0
+	tail.Requested = 0
 	return append(head.Split(most), tail.Split(most)...)
 }
 
@@ -65,49 +65,51 @@
 // Machine is a machine as its block's record tells it; its version is the block's.
 type Machine struct {
 	MachineRecord
-	Block string
-	Queue int
-	Type  string
-	Zone  string
-	Spot  bool
+	Block        string
+	Partition    int
+	InstanceType string
+	Zone         string
+	Spot         bool
 }
 
 // Versioned is a record with the version of its key.
 type Versioned[T any] struct {
-	Value   T
-	Version uint64
+	Value       T
+	ModRevision uint64
 }
 
 // JobEntry is a job with its finished tasks as stored.
 type JobEntry struct {
-	Job             *bookkeeping.Job
-	Version         uint64
-	Finished        *bookkeeping.TaskSet // nil: none
-	FinVersion      map[int]uint64       // by chunk or part
-	Waits           []string             // jobs that must be done first
-	Partial         bool                 // its list of them is not whole here
-	CancelledBefore bool                 // one of them, or one before it, is cancelled
+	Job                    *bookkeeping.Job
+	ModRevision            uint64
+	Completed              *bookkeeping.Bitmap // nil: none
+	CompletedRevisions     map[int]uint64      // by chunk or part
+	Dependencies           []string            // jobs that must be done first
+	DependenciesIncomplete bool                // its list of them is not whole here
+	CancelledByDependency  bool                // one of them, or one before it, is cancelled
 }
 
 // Cancelled tells whether the job is cancelled: by itself, or with one before it. That
 // is a function of records, so every controller says the same, and it never goes back:
 // a needed job that is cancelled is never done.
-func (e *JobEntry) Cancelled() bool { return e.Job.Phase == bookkeeping.Cancelled || e.CancelledBefore }
+func (e *JobEntry) Cancelled() bool {
+	return e.Job.Phase == bookkeeping.Cancelled || e.CancelledByDependency
+}
 
 // Keys builds the keys below a prefix.
 type Keys struct{ Prefix string }
 
-// Leader is the key of the leader's process.
-func (k Keys) Leader() string { return k.Prefix + "leader" }
+// ClusterLeader is the key of the leader's process.
+func (k Keys) ClusterLeader() string { return k.Prefix + "leader" }
 
-// Barrier is a key that never exists: reading it tells the present revision.
-func (k Keys) Barrier() string { return k.Prefix + "barrier" }
+// ReadBarrier is a key that never exists: reading it tells the present revision.
+func (k Keys) ReadBarrier() string { return k.Prefix + "barrier" }
 
 // Catalog is the key of the machine types, where one record has room for all.
 func (k Keys) Catalog() string { return k.Prefix + "catalog" }
 
-// Types is the key of a part of the catalog.
-func (k Keys) Types(n int) string { return k.Prefix + "types/" + strconv.Itoa(n) }
+// CatalogPart is the key of a part of the catalog.
+func (k Keys) CatalogPart(n int) string { return k.Prefix + "types/" + strconv.Itoa(n) }
 
 // Admission is the key of the admission epoch.
 func (k Keys) Admission() string { return k.Prefix + "admission" }
@@ -115,11 +117,11 @@
 // Format is the key that says which forms of records may be written.
 func (k Keys) Format() string { return k.Prefix + "format" }
 
-// Node is the key of a member's registration.
-func (k Keys) Node(member string) string { return k.Prefix + "node/" + member }
+// Member is the key of a member's registration.
+func (k Keys) Member(member string) string { return k.Prefix + "node/" + member }
 
-// Queue is the key of a queue's holder.
-func (k Keys) Queue(n int) string { return k.Prefix + "queue/" + strconv.Itoa(n) }
+// Partition is the key of a queue's holder.
+func (k Keys) Partition(n int) string { return k.Prefix + "queue/" + strconv.Itoa(n) }
 
 // Block is the key of a group of machines.
 func (k Keys) Block(name string) string { return k.Prefix + "block/" + name }
@@ -133,19 +135,19 @@
 // ArchivePrefix sorts last: a list ends there.
 func (k Keys) ArchivePrefix() string { return k.Prefix + "~over/" }
 
-// FinPrefix is what the keys of a job's finished ranges begin with.
-func (k Keys) FinPrefix(id string) string { return k.Prefix + "fin/" + id + "/" }
+// CompletedPrefix is what the keys of a job's finished ranges begin with.
+func (k Keys) CompletedPrefix(id string) string { return k.Prefix + "fin/" + id + "/" }
 
-// Fin is the key of a chunk, or part, of a job's finished ranges.
-func (k Keys) Fin(id string, chunk int) string {
-	if chunk >= bookkeeping.FirstPart {
-		return k.FinPrefix(id) + "p" + strconv.Itoa(chunk-bookkeeping.FirstPart)
+// CompletedSegment is the key of a chunk, or part, of a job's finished ranges.
+func (k Keys) CompletedSegment(id string, chunk int) string {
+	if chunk >= bookkeeping.FirstSmallSegment {
+		return k.CompletedPrefix(id) + "p" + strconv.Itoa(chunk-bookkeeping.FirstSmallSegment)
 	}
-	return k.FinPrefix(id) + strconv.Itoa(chunk)
+	return k.CompletedPrefix(id) + strconv.Itoa(chunk)
 }
 
-// WaitPart is the key of a part of a list of needed jobs that a job's record has no room for.
-func (k Keys) WaitPart(id, name string, n int) string {
+// DependencyPart is the key of a part of a list of needed jobs that a job's record has no room for.
+func (k Keys) DependencyPart(id, name string, n int) string {
 	return k.Prefix + "wait/" + id + "/" + name + "/" + strconv.Itoa(n)
 }
 
@@ -156,45 +158,45 @@
 	Machines []string // block: the machines it has, and had before
 }
 
-// Replica is a controller's copy of the state, built from one list and one
+// Cache is a controller's copy of the state, built from one list and one
 // ordered stream of changes.
-type Replica struct {
-	Keys     Keys
-	Revision uint64
-	Leader   Versioned[Process]
-	Catalog  Versioned[bookkeeping.Catalog]
-	Nodes    map[string]Versioned[Process]
-	Queues   map[int]Versioned[QueueRecord]
-	Blocks   map[string]Versioned[BlockRecord] // by name
-	Machines map[string]Versioned[Machine]     // of all blocks
-	Jobs     map[string]*JobEntry
-	Archived bool                    // jobs that were over long ago were moved out of Jobs
-	orphans  map[string]map[int]Item // finished ranges listed before their job
+type Cache struct {
+	Keys            Keys
+	Revision        uint64
+	ClusterLeader   Versioned[Process]
+	Catalog         Versioned[bookkeeping.Catalog]
+	Members         map[string]Versioned[Process]
+	Partitions      map[int]Versioned[PartitionRecord]
+	Blocks          map[string]Versioned[BlockRecord] // by name
+	Machines        map[string]Versioned[Machine]     // of all blocks
+	Jobs            map[string]*JobEntry
+	Archived        bool                    // jobs that were over long ago were moved out of Jobs
+	rangesBeforeJob map[string]map[int]Item // finished ranges listed before their job
 
 	// Admission is the admission epoch's record as it is stored; it is read elsewhere.
 	Admission Versioned[json.RawMessage]
 
-	Formats map[string]int // what each registered member writes, by its registration
-	Format  int            // what may be written
-	waits
+	MemberFormats map[string]int // what each registered member writes, by its registration
+	Format        int            // what may be written
+	dependencyGraph
 }
 
-// NewReplica returns an empty replica.
-func NewReplica(k Keys) *Replica {
-	return &Replica{Keys: k, Nodes: map[string]Versioned[Process]{}, Queues: map[int]Versioned[QueueRecord]{},
+// NewCache returns an empty replica.
+func NewCache(k Keys) *Cache {
+	return &Cache{Keys: k, Members: map[string]Versioned[Process]{}, Partitions: map[int]Versioned[PartitionRecord]{},
 		Blocks: map[string]Versioned[BlockRecord]{}, Machines: map[string]Versioned[Machine]{},
-		Jobs: map[string]*JobEntry{}, orphans: map[string]map[int]Item{}, Formats: map[string]int{}, waits: newWaits()}
+		Jobs: map[string]*JobEntry{}, rangesBeforeJob: map[string]map[int]Item{}, MemberFormats: map[string]int{}, dependencyGraph: newDependencyGraph()}
 }
 
 func decode[T any](it Item) (Versioned[T], error) {
-	v := Versioned[T]{Version: it.Version}
+	v := Versioned[T]{ModRevision: it.ModRevision}
 	err := json.Unmarshal(it.Value, &v.Value)
 	return v, err
 }
 
 // applyTo stores the item in m unless m is newer.
 func applyTo[K comparable, T any](m map[K]Versioned[T], k K, it Item) (bool, error) {
-	if m[k].Version >= it.Version {
+	if m[k].ModRevision >= it.ModRevision {
 		return false, nil
 	}
 	if it.Deleted {
@@ -211,7 +213,7 @@
 
 // Apply takes one item of a list or of the stream. Items older than what is
 // known are passed over, so that a list's pages and the stream may overlap.
-func (r *Replica) Apply(it Item) (Change, bool, error) {
+func (r *Cache) Apply(it Item) (Change, bool, error) {
 	rest, ok := strings.CutPrefix(it.Key, r.Keys.Prefix)
 	if !ok {
 		return Change{}, false, nil
@@ -226,19 +228,19 @@
 	case "catalog":
 		changed, err = r.applyCatalog(it)
 	case "node":
-		changed, err = r.applyNode(id, it)
+		changed, err = r.applyMember(id, it)
 	case "admission":
 		changed = r.applyAdmission(it)
 	case "format":
 		changed, err = r.applyFormat(it)
 	case "types":
-		changed, err = r.applyTypes(it)
+		changed, err = r.applyCatalogPart(it)
 	case "wait":
-		changed, err = r.applyWaitPart(id, it)
+		changed, err = r.applyDependencyPart(id, it)
 	case "queue":
 		var n int
 		if n, err = strconv.Atoi(id); err == nil {
-			changed, err = applyTo(r.Queues, n, it)
+			changed, err = applyTo(r.Partitions, n, it)
 		}
 	case "block":
 		c.Machines, changed, err = r.applyBlock(id, it)
@@ -248,8 +250,8 @@
 		changed, err = r.applyJob(id, it)
 	case "fin":
 		var chunk int
-		if c.ID, chunk, err = parseFin(id); err == nil {
-			changed, err = r.applyFin(c.ID, chunk, it)
+		if c.ID, chunk, err = parseCompletedSegment(id); err == nil {
+			changed, err = r.applyCompleted(c.ID, chunk, it)
 		}
 	}
 	if err != nil {
@@ -258,23 +260,23 @@
 	return c, changed, err
 }
 
-func (r *Replica) applyLeader(it Item) (bool, error) {
-	if r.Leader.Version >= it.Version {
+func (r *Cache) applyLeader(it Item) (bool, error) {
+	if r.ClusterLeader.ModRevision >= it.ModRevision {
 		return false, nil
 	}
 	if it.Deleted {
-		r.Leader = Versioned[Process]{}
+		r.ClusterLeader = Versioned[Process]{}
 		return true, nil
 	}
 	v, err := decode[Process](it)
 	if err == nil {
-		r.Leader = v
+		r.ClusterLeader = v
 	}
 	return err == nil, err
 }
 
-func (r *Replica) applyCatalog(it Item) (bool, error) {
-	if r.Catalog.Version >= it.Version || it.Deleted {
+func (r *Cache) applyCatalog(it Item) (bool, error) {
+	if r.Catalog.ModRevision >= it.ModRevision || it.Deleted {
 		return false, nil
 	}
 	v, err := decode[bookkeeping.Catalog](it)
@@ -285,17 +287,17 @@
 }
 
 // applyAdmission takes the record of the admission epoch, whatever is in it.
-func (r *Replica) applyAdmission(it Item) bool {
-	if r.Admission.Version >= it.Version {
+func (r *Cache) applyAdmission(it Item) bool {
+	if r.Admission.ModRevision >= it.ModRevision {
 		return false
 	}
-	r.Admission = Versioned[json.RawMessage]{Value: it.Value, Version: it.Version}
+	r.Admission = Versioned[json.RawMessage]{Value: it.Value, ModRevision: it.ModRevision}
 	return true
 }
 
-// applyNode takes a member's registration, and what its version writes.
-func (r *Replica) applyNode(member string, it Item) (bool, error) {
-	changed, err := applyTo(r.Nodes, member, it)
+// applyMember takes a member's registration, and what its version writes.
+func (r *Cache) applyMember(member string, it Item) (bool, error) {
+	changed, err := applyTo(r.Members, member, it)
 	if !changed {
 		return false, err
 	}
@@ -303,12 +305,12 @@
 	if !it.Deleted {
 		err = json.Unmarshal(it.Value, &reg)
 	}
-	r.Formats[member] = reg.Format
+	r.MemberFormats[member] = reg.Format
 	return true, err
 }
 
 // applyFormat takes what may be written, which only grows.
-func (r *Replica) applyFormat(it Item) (bool, error) {
+func (r *Cache) applyFormat(it Item) (bool, error) {
 	if it.Deleted {
 		return false, nil
 	}
@@ -323,18 +325,18 @@
 	return changed, nil
 }
 
-// parseFin splits the key of finished ranges into the job and the chunk or part.
-func parseFin(id string) (job string, chunk int, err error) {
+// parseCompletedSegment splits the key of finished ranges into the job and the chunk or part.
+func parseCompletedSegment(id string) (job string, chunk int, err error) {
 	job, n, _ := strings.Cut(id, "/")
 	part, isPart := strings.CutPrefix(n, "p")
 	if chunk, err = strconv.Atoi(part); err == nil && isPart {
-		chunk += bookkeeping.FirstPart
+		chunk += bookkeeping.FirstSmallSegment
 	}
 	return job, chunk, err
 }
 
 // applyBlock takes a block's record and tells which machines it touched.
-func (r *Replica) applyBlock(name string, it Item) ([]string, bool, error) {
+func (r *Cache) applyBlock(name string, it Item) ([]string, bool, error) {
 	old := r.Blocks[name].Value.Machines
 	changed, err := applyTo(r.Blocks, name, it)
 	if !changed {
@@ -357,7 +359,7 @@
 		if had, ok := r.Machines[m]; ok && had.Value.Block != name && had.Value.Used {
 			rec.Used = true
 		}
-		r.Machines[m] = Versioned[Machine]{Machine{rec, name, b.Queue, b.Type, b.Zone, b.Spot}, it.Version}
+		r.Machines[m] = Versioned[Machine]{Machine{rec, name, b.Partition, b.InstanceType, b.Zone, b.Spot}, it.ModRevision}
 		touched = append(touched, m)
 	}
 	slices.Sort(touched)
@@ -365,10 +367,10 @@
 }
 
 // elsewhere finds a machine in another block's record than the one that it left.
-func (r *Replica) elsewhere(m string) {
+func (r *Cache) elsewhere(m string) {
 	for name, b := range r.Blocks {
 		if rec, ok := b.Value.Machines[m]; ok {
-			r.Machines[m] = Versioned[Machine]{Machine{rec, name, b.Value.Queue, b.Value.Type, b.Value.Zone, b.Value.Spot}, b.Version}
+			r.Machines[m] = Versioned[Machine]{Machine{rec, name, b.Value.Partition, b.Value.InstanceType, b.Value.Zone, b.Value.Spot}, b.ModRevision}
 			return
 		}
 	}
@@ -400,17 +402,17 @@
 	if err != nil || v.Value == nil {
 		return nil, fmt.Errorf("record %s: %w", it.Key, err)
 	}
-	return &JobEntry{Job: v.Value, Version: it.Version}, nil
+	return &JobEntry{Job: v.Value, ModRevision: it.ModRevision}, nil
 }
 
-func (r *Replica) applyJob(id string, it Item) (bool, error) {
+func (r *Cache) applyJob(id string, it Item) (bool, error) {
 	e := r.Jobs[id]
-	if e != nil && e.Version >= it.Version {
+	if e != nil && e.ModRevision >= it.ModRevision {
 		return false, nil
 	}
 	if it.Deleted {
 		if e != nil {
-			r.gone(id, e)
+			r.jobRemoved(id, e)
 		}
 		delete(r.Jobs, id)
 		return e != nil, nil
@@ -422,68 +424,68 @@
 	if e == nil {
 		e = &JobEntry{}
 		r.Jobs[id] = e
-		delete(r.missing, id)
+		delete(r.unresolved, id)
 	}
-	e.Job, e.Version = &j, it.Version
+	e.Job, e.ModRevision = &j, it.ModRevision
 	if j.Phase != bookkeeping.Active {
-		e.Finished, e.FinVersion = nil, nil
+		e.Completed, e.CompletedRevisions = nil, nil
 	}
-	for chunk, fin := range r.orphans[id] {
-		if _, err := r.applyFin(id, chunk, fin); err != nil {
+	for chunk, fin := range r.rangesBeforeJob[id] {
+		if _, err := r.applyCompleted(id, chunk, fin); err != nil {
 			return true, err
 		}
 	}
-	delete(r.orphans, id)
-	r.trackNeeds(id, e)
+	delete(r.rangesBeforeJob, id)
+	r.trackDependencies(id, e)
 	return true, nil
 }
 
-func (r *Replica) applyFin(id string, chunk int, it Item) (bool, error) {
+func (r *Cache) applyCompleted(id string, chunk int, it Item) (bool, error) {
 	e := r.Jobs[id]
 	if e == nil {
 		// "fin/" sorts before "job/": in a list the ranges come first.
-		if r.orphans[id] == nil {
-			r.orphans[id] = map[int]Item{}
+		if r.rangesBeforeJob[id] == nil {
+			r.rangesBeforeJob[id] = map[int]Item{}
 		}
-		if r.orphans[id][chunk].Version < it.Version {
-			r.orphans[id][chunk] = it
+		if r.rangesBeforeJob[id][chunk].ModRevision < it.ModRevision {
+			r.rangesBeforeJob[id][chunk] = it
 		}
 		return false, nil
 	}
-	if e.Job.Phase != bookkeeping.Active || it.Deleted || e.FinVersion[chunk] >= it.Version {
+	if e.Job.Phase != bookkeeping.Active || it.Deleted || e.CompletedRevisions[chunk] >= it.ModRevision {
 		return false, nil
 	}
 	var text string
 	if err := json.Unmarshal(it.Value, &text); err != nil {
 		return false, err
 	}
-	if e.Finished == nil {
-		e.Finished, e.FinVersion = bookkeeping.NewTaskSet(e.Job.Tasks), map[int]uint64{}
+	if e.Completed == nil {
+		e.Completed, e.CompletedRevisions = bookkeeping.NewBitmap(e.Job.Tasks), map[int]uint64{}
 	}
-	e.FinVersion[chunk] = it.Version
-	return true, e.Finished.AddRanges(chunk, text)
+	e.CompletedRevisions[chunk] = it.ModRevision
+	return true, e.Completed.AddRanges(chunk, text)
 }
 
-// Listed ends a list: ranges whose job does not exist are forgotten.
-func (r *Replica) Listed() { clear(r.orphans) }
+// SnapshotComplete ends a list: ranges whose job does not exist are forgotten.
+func (r *Cache) SnapshotComplete() { clear(r.rangesBeforeJob) }
 
 // Live tells whether a process is registered now.
-func (r *Replica) Live(p Process) bool {
-	v, ok := r.Nodes[p.Member]
+func (r *Cache) Live(p Process) bool {
+	v, ok := r.Members[p.Member]
 	return ok && v.Value == p
 }
 
 // Dead tells whether a process has surely ended: a newer one of the same member
 // is registered. (That it is not registered only shows that its permit ended.)
-func (r *Replica) Dead(p Process) bool {
-	v, ok := r.Nodes[p.Member]
+func (r *Cache) Dead(p Process) bool {
+	v, ok := r.Members[p.Member]
 	return ok && v.Value != p
 }
 
-// LiveNodes are the registered processes in order of their names.
-func (r *Replica) LiveNodes() []Process {
-	out := make([]Process, 0, len(r.Nodes))
-	for _, v := range r.Nodes {
+// LiveMembers are the registered processes in order of their names.
+func (r *Cache) LiveMembers() []Process {
+	out := make([]Process, 0, len(r.Members))
+	for _, v := range r.Members {
 		out = append(out, v.Value)
 	}
 	slices.SortFunc(out, func(a, b Process) int { return strings.Compare(a.Member, b.Member) })
--- a/internal/storage/request.go
+++ b/internal/storage/request.go
@@ -9,23 +9,23 @@
 	"pipitlatch/internal/micros"
 )
 
-// Kind is the kind of a request to the state service.
-type Kind uint8
+// RequestKind is the kind of a request to the state service.
+type RequestKind uint8
 
 // The kinds of requests.
 const (
-	Get Kind = iota
+	Get RequestKind = iota
 	List
-	Commit
-	Grant
-	Touch
+	Txn
+	LeaseGrant
+	LeaseKeepAlive
 	Watch
 )
 
-// Condition requires a key to have a version; 0: not to exist.
-type Condition struct {
-	Key     string
-	Version uint64
+// Compare requires a key to have a version; 0: not to exist.
+type Compare struct {
+	Key         string
+	ModRevision uint64
 }
 
 // Put sets a key, attached to a lease unless that is 0.
@@ -37,17 +37,17 @@
 
 // Request is one request to the state service.
 type Request struct {
-	Kind       Kind
-	Key        string // Get: the key; List, Watch: the prefix
-	After      string // List
-	Limit      int    // List
-	Revision   uint64 // Watch
-	Wait       micros.Time
-	Lease      uint64      // Touch
-	TTL        micros.Time // Grant
-	Conditions []Condition
-	Puts       []Put
-	Deletes    []string
+	Kind     RequestKind
+	Key      string // Get: the key; List, Watch: the prefix
+	After    string // List
+	Limit    int    // List
+	Revision uint64 // Watch
+	Wait     micros.Time
+	Lease    uint64      // Touch
+	TTL      micros.Time // Grant
+	Compares []Compare
+	Puts     []Put
+	Deletes  []string
 }
 
 // Writes is how many changes the request counts as.
@@ -64,18 +64,18 @@
 	Conflict
 	NotFound
 	Compacted
-	NoLease
-	Refused
-	Rejected
-	Lost
+	LeaseNotFound
+	Unavailable
+	Invalid
+	OutcomeUnknown
 )
 
 // Item is a key with its value and version.
 type Item struct {
-	Key     string
-	Value   json.RawMessage
-	Version uint64
-	Deleted bool
+	Key         string
+	Value       json.RawMessage
+	ModRevision uint64
+	Deleted     bool
 }
 
 // Reply is the state service's answer.
@@ -87,9 +87,9 @@
 	More     bool
 }
 
-// Budget is a token bucket for requests and another for changes, of which this
+// RateLimiter is a token bucket for requests and another for changes, of which this
 // controller has its share: an even one, and what the others leave unused.
-type Budget struct {
+type RateLimiter struct {
 	total, writeTotal int64 // thousandths a second, of all controllers
 	fair, writeFair   int64 // an even share
 	rate, writeRate   int64 // the share now
@@ -103,27 +103,27 @@
 // Usage is what a controller used of the limits of late, in thousandths a second.
 type Usage struct{ Requests, Writes int64 }
 
-// NewBudget shares the service's limits among the controllers.
-func NewBudget(rps, writeRPS float64, nodes int) *Budget {
-	b := &Budget{total: int64(rps * 950), writeTotal: int64(writeRPS * 950)}
+// NewRateLimiter shares the service's limits among the controllers.
+func NewRateLimiter(rps, writeRPS float64, nodes int) *RateLimiter {
+	b := &RateLimiter{total: int64(rps * 950), writeTotal: int64(writeRPS * 950)}
 	b.fair, b.writeFair = b.total/int64(nodes), b.writeTotal/int64(nodes)
 	b.rate, b.writeRate = b.fair, b.writeFair
 	b.left, b.writeLeft = b.rate, b.writeRate
 	return b
 }
 
-// Others tells what the other controllers used of late. What they leave may be
+// SetPeerUsage tells what the other controllers used of late. What they leave may be
 // used here, but for a reserve that lets them begin to use more.
-func (b *Budget) Others(u Usage) {
+func (b *RateLimiter) SetPeerUsage(u Usage) {
 	b.rate = max(b.fair, b.total-u.Requests-b.fair/2)
 	b.writeRate = max(b.writeFair, b.writeTotal-u.Writes-b.writeFair/2)
 }
 
-// WriteTotal is how many changes a second all controllers may make, in thousandths.
-func (b *Budget) WriteTotal() int64 { return b.writeTotal }
+// TotalWriteRate is how many changes a second all controllers may make, in thousandths.
+func (b *RateLimiter) TotalWriteRate() int64 { return b.writeTotal }
 
-// Recent is what was used here of late.
-func (b *Budget) Recent() Usage { return b.recent }
+// RecentUsage is what was used here of late.
+func (b *RateLimiter) RecentUsage() Usage { return b.recent }
 
 // Urgency is how far a request may overdraw the budget.
 type Urgency uint8
@@ -133,17 +133,17 @@
 // overdraw by that much for their users at once have the service refuse what the leader and
 // the holders write. Critical is what ends an overload.
 const (
-	Patient Urgency = iota
+	Deferrable Urgency = iota
 	Prompt
 	Urgent
 	Critical
 )
 
 // overdraft is by how many quarters of a second's worth a request may overdraw the budget.
-var overdraft = [...]int64{Patient: 0, Prompt: 2, Urgent: 4, Critical: 6}
+var overdraft = [...]int64{Deferrable: 0, Prompt: 2, Urgent: 4, Critical: 6}
 
-// Take reports whether a request with so many changes may be sent now.
-func (b *Budget) Take(now micros.Time, writes int, u Urgency) bool {
+// Allow reports whether a request with so many changes may be sent now.
+func (b *RateLimiter) Allow(now micros.Time, writes int, u Urgency) bool {
 	if dt := min(now-b.at, micros.Second); dt > 0 {
 		b.left = min(b.rate, b.left+b.rate*dt/micros.Second)
 		b.writeLeft = min(max(b.writeRate, 12_000), b.writeLeft+b.writeRate*dt/micros.Second)
--- a/internal/storage/waits.go
+++ b/internal/storage/waits.go
@@ -22,65 +22,65 @@
 	Format int `json:"v,omitempty"`
 }
 
-// waits is which jobs wait on which.
-type waits struct {
-	Needed  map[string]map[string]bool   // active jobs that name a job
-	Past    map[string]bookkeeping.Phase // of needed jobs that were moved away
-	missing map[string]bool              // needed jobs with neither a record nor an outcome known here
-	parts   map[string]map[int]waitPart  // by job and name
-	touched []string
-	types   map[string]Versioned[bookkeeping.Catalog]
+// dependencyGraph is which jobs wait on which.
+type dependencyGraph struct {
+	Dependents      map[string]map[string]bool        // active jobs that name a job
+	ArchivedPhases  map[string]bookkeeping.Phase      // of needed jobs that were moved away
+	unresolved      map[string]bool                   // needed jobs with neither a record nor an outcome known here
+	dependencyParts map[string]map[int]dependencyPart // by job and name
+	affected        []string
+	catalogParts    map[string]Versioned[bookkeeping.Catalog]
 }
 
-type waitPart struct {
+type dependencyPart struct {
 	refs    []string
 	version uint64
 }
 
-func newWaits() waits {
-	return waits{Needed: map[string]map[string]bool{}, Past: map[string]bookkeeping.Phase{}, missing: map[string]bool{}, parts: map[string]map[int]waitPart{},
-		types: map[string]Versioned[bookkeeping.Catalog]{}}
+func newDependencyGraph() dependencyGraph {
+	return dependencyGraph{Dependents: map[string]map[string]bool{}, ArchivedPhases: map[string]bookkeeping.Phase{}, unresolved: map[string]bool{}, dependencyParts: map[string]map[int]dependencyPart{},
+		catalogParts: map[string]Versioned[bookkeeping.Catalog]{}}
 }
 
-// Touched are the jobs, since the last call, of which something changed because another
+// TakeAffected are the jobs, since the last call, of which something changed because another
 // job did: they may start now, or are cancelled.
-func (r *Replica) Touched() []string {
-	t := r.touched
-	r.touched = nil
+func (r *Cache) TakeAffected() []string {
+	t := r.affected
+	r.affected = nil
 	return t
 }
 
-// trackNeeds keeps up who waits on whom after a job's record changed.
-func (r *Replica) trackNeeds(id string, e *JobEntry) {
+// trackDependencies keeps up who waits on whom after a job's record changed.
+func (r *Cache) trackDependencies(id string, e *JobEntry) {
 	if e.Job.Phase != bookkeeping.Active {
-		r.untrackNeeds(id, e)
+		r.untrackDependencies(id, e)
 		r.notifyDependents(id, e.Cancelled())
 		return
 	}
-	if !e.Job.Waits() || len(e.Waits) > 0 {
+	if !e.Job.HasDependencies() || len(e.Dependencies) > 0 {
 		return
 	}
-	e.Waits, e.Partial = e.Job.WaitsOn, false
-	if n := e.Job.WaitParts; n > 0 {
-		parts := r.parts[id+"/"+e.Job.WaitKey]
-		if e.Partial = len(parts) < n; e.Partial {
-			e.Waits = nil
+	e.Dependencies, e.DependenciesIncomplete = e.Job.DependsOn, false
+	if n := e.Job.DependencyParts; n > 0 {
+		parts := r.dependencyParts[id+"/"+e.Job.DependencyListName]
+		if e.DependenciesIncomplete = len(parts) < n; e.DependenciesIncomplete {
+			e.Dependencies = nil
 			return
 		}
 		for i := range n {
-			e.Waits = append(e.Waits, parts[i].refs...)
+			e.Dependencies = append(e.Dependencies, parts[i].refs...)
 		}
 	}
-	for _, w := range e.Waits {
-		if r.Needed[w] == nil {
-			r.Needed[w] = map[string]bool{}
+	for _, w := range e.Dependencies {
+		if r.Dependents[w] == nil {
+			r.Dependents[w] = map[string]bool{}
 		}
-		r.Needed[w][id] = true
-		if r.Jobs[w] == nil && r.Past[w] == bookkeeping.Active {
-			r.missing[w] = true
+		r.Dependents[w][id] = true
+		if r.Jobs[w] == nil && r.ArchivedPhases[w] == bookkeeping.Active {
+			r.unresolved[w] = true
 		}
 	}
-	for _, w := range e.Waits {
+	for _, w := range e.Dependencies {
 		if r.isCancelled(w) {
 			r.cancelDependents(id)
 			return
@@ -88,90 +88,90 @@
 	}
 }
 
-// untrackNeeds forgets what a job waited on.
-func (r *Replica) untrackNeeds(id string, e *JobEntry) {
-	for _, w := range e.Waits {
-		delete(r.Needed[w], id)
-		if len(r.Needed[w]) == 0 {
-			delete(r.Needed, w)
-			delete(r.Past, w)
-			delete(r.missing, w)
+// untrackDependencies forgets what a job waited on.
+func (r *Cache) untrackDependencies(id string, e *JobEntry) {
+	for _, w := range e.Dependencies {
+		delete(r.Dependents[w], id)
+		if len(r.Dependents[w]) == 0 {
+			delete(r.Dependents, w)
+			delete(r.ArchivedPhases, w)
+			delete(r.unresolved, w)
 		}
 	}
-	e.Waits, e.Partial = nil, false
+	e.Dependencies, e.DependenciesIncomplete = nil, false
 	if e.Job.Phase == bookkeeping.Done {
-		e.CancelledBefore = false
+		e.CancelledByDependency = false
 	}
 }
 
 // notifyDependents lets the jobs that name a job know that it is over.
-func (r *Replica) notifyDependents(id string, cancelled bool) {
-	for dep := range r.Needed[id] {
+func (r *Cache) notifyDependents(id string, cancelled bool) {
+	for dep := range r.Dependents[id] {
 		if cancelled {
 			r.cancelDependents(dep)
 		} else {
-			r.touched = append(r.touched, dep)
+			r.affected = append(r.affected, dep)
 		}
 	}
 }
 
 // cancelDependents notes that a job before this one is cancelled, so that it is, and all after it.
-func (r *Replica) cancelDependents(id string) {
+func (r *Cache) cancelDependents(id string) {
 	todo := []string{id}
 	for len(todo) > 0 {
 		id, todo = todo[len(todo)-1], todo[:len(todo)-1]
 		e := r.Jobs[id]
-		if e == nil || e.CancelledBefore || e.Job.Phase != bookkeeping.Active {
+		if e == nil || e.CancelledByDependency || e.Job.Phase != bookkeeping.Active {
 			continue
 		}
-		e.CancelledBefore = true
-		r.touched = append(r.touched, id)
-		for dep := range r.Needed[id] {
+		e.CancelledByDependency = true
+		r.affected = append(r.affected, id)
+		for dep := range r.Dependents[id] {
 			todo = append(todo, dep)
 		}
 	}
 }
 
-func (r *Replica) isCancelled(id string) bool {
+func (r *Cache) isCancelled(id string) bool {
 	if e := r.Jobs[id]; e != nil {
 		return e.Cancelled()
 	}
-	return r.Past[id] == bookkeeping.Cancelled
+	return r.ArchivedPhases[id] == bookkeeping.Cancelled
 }
 
-// gone notes that a job's record was moved away: what it came to stays known while an
+// jobRemoved notes that a job's record was moved away: what it came to stays known while an
 // unfinished job names it.
-func (r *Replica) gone(id string, e *JobEntry) {
-	r.untrackNeeds(id, e)
-	if len(r.Needed[id]) > 0 && e.Job.Phase != bookkeeping.Active {
-		r.Past[id] = e.Job.Phase
+func (r *Cache) jobRemoved(id string, e *JobEntry) {
+	r.untrackDependencies(id, e)
+	if len(r.Dependents[id]) > 0 && e.Job.Phase != bookkeeping.Active {
+		r.ArchivedPhases[id] = e.Job.Phase
 	}
 }
 
 // Resolve tells what a needed job that is not here came to, as its record says that was
 // moved away.
-func (r *Replica) Resolve(id string, p bookkeeping.Phase) {
-	if len(r.Needed[id]) == 0 || p == bookkeeping.Active {
+func (r *Cache) Resolve(id string, p bookkeeping.Phase) {
+	if len(r.Dependents[id]) == 0 || p == bookkeeping.Active {
 		return
 	}
-	r.Past[id] = p
-	delete(r.missing, id)
+	r.ArchivedPhases[id] = p
+	delete(r.unresolved, id)
 	r.notifyDependents(id, p == bookkeeping.Cancelled)
 }
 
 // Blocked tells whether a job has to wait for others, and names one of which nothing is
 // known here, if there is one.
-func (r *Replica) Blocked(e *JobEntry) (blocked bool, unknown string) {
-	if e.Partial {
+func (r *Cache) Blocked(e *JobEntry) (blocked bool, unknown string) {
+	if e.DependenciesIncomplete {
 		return true, ""
 	}
-	for _, w := range e.Waits {
+	for _, w := range e.Dependencies {
 		switch n := r.Jobs[w]; {
 		case n != nil && n.Job.Phase == bookkeeping.Done:
 		case n != nil:
 			blocked = true
-		case r.Past[w] == bookkeeping.Done:
-		case r.Past[w] == bookkeeping.Cancelled:
+		case r.ArchivedPhases[w] == bookkeeping.Done:
+		case r.ArchivedPhases[w] == bookkeeping.Cancelled:
 			blocked = true
 		default:
 			return true, w
@@ -183,19 +183,19 @@
 // Unresolved lists the jobs before a job, directly or through others, of which nothing is
 // known here: their records were moved away. Until they are read nobody can tell whether
 // the job is cancelled with one of them.
-func (r *Replica) Unresolved(id string) []string {
-	if len(r.missing) == 0 {
+func (r *Cache) Unresolved(id string) []string {
+	if len(r.unresolved) == 0 {
 		return nil
 	}
 	var out []string
 	seen := map[string]bool{id: true}
 	for todo := []string{id}; len(todo) > 0; {
 		id, todo = todo[len(todo)-1], todo[:len(todo)-1]
-		if r.missing[id] {
+		if r.unresolved[id] {
 			out = append(out, id)
 		}
 		if e := r.Jobs[id]; e != nil && e.Job.Phase == bookkeeping.Active {
-			for _, needed := range e.Waits {
+			for _, needed := range e.Dependencies {
 				if !seen[needed] {
 					seen[needed] = true
 					todo = append(todo, needed)
@@ -207,9 +207,9 @@
 	return out
 }
 
-// applyWaitPart takes a part of a job's list of needed jobs. It is written before the
+// applyDependencyPart takes a part of a job's list of needed jobs. It is written before the
 // job's record; in a list it comes after.
-func (r *Replica) applyWaitPart(id string, it Item) (bool, error) {
+func (r *Cache) applyDependencyPart(id string, it Item) (bool, error) {
 	at := strings.LastIndexByte(id, '/')
 	if at < 0 {
 		return false, fmt.Errorf("no part: %q", id)
@@ -220,8 +220,8 @@
 		return false, err
 	}
 	if it.Deleted {
-		if delete(r.parts[list], n); len(r.parts[list]) == 0 {
-			delete(r.parts, list)
+		if delete(r.dependencyParts[list], n); len(r.dependencyParts[list]) == 0 {
+			delete(r.dependencyParts, list)
 		}
 		return false, nil
 	}
@@ -229,30 +229,30 @@
 	if err := json.Unmarshal(it.Value, &refs); err != nil {
 		return false, err
 	}
-	if r.parts[list] == nil {
-		r.parts[list] = map[int]waitPart{}
+	if r.dependencyParts[list] == nil {
+		r.dependencyParts[list] = map[int]dependencyPart{}
 	}
-	r.parts[list][n] = waitPart{refs, it.Version}
+	r.dependencyParts[list][n] = dependencyPart{refs, it.ModRevision}
 	job, _, _ := strings.Cut(list, "/")
-	if e := r.Jobs[job]; e != nil && e.Partial {
-		r.trackNeeds(job, e)
-		r.touched = append(r.touched, job)
+	if e := r.Jobs[job]; e != nil && e.DependenciesIncomplete {
+		r.trackDependencies(job, e)
+		r.affected = append(r.affected, job)
 	}
 	return true, nil
 }
 
-// StaleParts are parts of lists that no unfinished job has, and that are not newer than a
+// OrphanedDependencyParts are parts of lists that no unfinished job has, and that are not newer than a
 // revision: of a job that is over, or of an acceptance that was cut off.
-func (r *Replica) StaleParts(revision uint64, most int) []string {
+func (r *Cache) OrphanedDependencyParts(revision uint64, most int) []string {
 	var out []string
-	for list, parts := range r.parts {
+	for list, parts := range r.dependencyParts {
 		job, name, _ := strings.Cut(list, "/")
-		if e := r.Jobs[job]; e != nil && e.Job.Phase == bookkeeping.Active && e.Job.WaitKey == name {
+		if e := r.Jobs[job]; e != nil && e.Job.Phase == bookkeeping.Active && e.Job.DependencyListName == name {
 			continue
 		}
 		for n, p := range parts {
 			if p.version <= revision {
-				out = append(out, r.Keys.WaitPart(job, name, n))
+				out = append(out, r.Keys.DependencyPart(job, name, n))
 			}
 		}
 	}
@@ -262,14 +262,14 @@
 	return out[:min(most, len(out))]
 }
 
-// applyTypes takes a part of the catalog.
-func (r *Replica) applyTypes(it Item) (bool, error) {
-	changed, err := applyTo(r.types, it.Key, it)
+// applyCatalogPart takes a part of the catalog.
+func (r *Cache) applyCatalogPart(it Item) (bool, error) {
+	changed, err := applyTo(r.catalogParts, it.Key, it)
 	if !changed {
 		return false, err
 	}
 	all := bookkeeping.Catalog{}
-	for _, part := range r.types {
+	for _, part := range r.catalogParts {
 		for name, t := range part.Value {
 			all[name] = t
 		}
@@ -278,5 +278,7 @@
 	return true, nil
 }
 
-// TypesVersion is the version of a part of the catalog, 0 if there is none.
-func (r *Replica) TypesVersion(n int) uint64 { return r.types[r.Keys.Types(n)].Version }
+// CatalogPartRevision is the version of a part of the catalog, 0 if there is none.
+func (r *Cache) CatalogPartRevision(n int) uint64 {
+	return r.catalogParts[r.Keys.CatalogPart(n)].ModRevision
+}
--- a/internal/storage/waits_test.go
+++ b/internal/storage/waits_test.go
@@ -8,9 +8,9 @@
 )
 
 // put applies a record.
-func put(t *testing.T, r *Replica, version uint64, key string, v any) {
+func put(t *testing.T, r *Cache, version uint64, key string, v any) {
 	t.Helper()
-	it := Item{Key: key, Version: version, Deleted: v == nil}
+	it := Item{Key: key, ModRevision: version, Deleted: v == nil}
 	if v != nil {
 		it.Value = Encode(v)
 	}
@@ -20,7 +20,7 @@
 }
 
 func job(id string, phase bookkeeping.Phase, waits ...string) *bookkeeping.Job {
-	return &bookkeeping.Job{ID: id, Tasks: 1, Phase: phase, WaitsOn: waits}
+	return &bookkeeping.Job{ID: id, Tasks: 1, Phase: phase, DependsOn: waits}
 }
 
 // TestWaitsInAnyOrder: what a job may do is the same whatever the order in which records
@@ -29,7 +29,7 @@
 func TestWaitsInAnyOrder(t *testing.T) {
 	k := Keys{"pl/"}
 	for _, first := range []bool{true, false} {
-		r := NewReplica(k)
+		r := NewCache(k)
 		later := func() { put(t, r, 9, k.Job("wk-3"), job("wk-3", bookkeeping.Active, "wk-2")) }
 		if first {
 			later()
@@ -43,9 +43,9 @@
 		if blocked, unknown := r.Blocked(e); !blocked || unknown != "wk-0" {
 			t.Fatalf("blocked %v by %q", blocked, unknown)
 		}
-		r.Touched()
+		r.TakeAffected()
 		r.Resolve("wk-0", bookkeeping.Done)
-		if blocked, _ := r.Blocked(e); blocked || len(r.Touched()) != 1 {
+		if blocked, _ := r.Blocked(e); blocked || len(r.TakeAffected()) != 1 {
 			t.Error("still blocked, or nobody told")
 		}
 		// The one after it waits for its record, then goes; a cancellation goes all the way.
@@ -57,12 +57,12 @@
 			t.Error("wk-3 is not cancelled with wk-2")
 		}
 		put(t, r, 11, k.Job("wk-3"), job("wk-3", bookkeeping.Cancelled))
-		if len(r.Needed) != 0 || len(r.Past) != 0 {
-			t.Errorf("kept: %v %v", r.Needed, r.Past)
+		if len(r.Dependents) != 0 || len(r.ArchivedPhases) != 0 {
+			t.Errorf("kept: %v %v", r.Dependents, r.ArchivedPhases)
 		}
 	}
 	// Archived as cancelled before the late acceptance was carried out.
-	r := NewReplica(k)
+	r := NewCache(k)
 	put(t, r, 5, k.Job("wk-5"), job("wk-5", bookkeeping.Active, "wk-4"))
 	r.Resolve("wk-4", bookkeeping.Cancelled)
 	if !r.Jobs["wk-5"].Cancelled() {
@@ -72,7 +72,7 @@
 
 // TestLongChains: cancellations reach the end of long chains and wide fans.
 func TestLongChains(t *testing.T) {
-	k, r := Keys{"pl/"}, NewReplica(Keys{"pl/"})
+	k, r := Keys{"pl/"}, NewCache(Keys{"pl/"})
 	const n = 20_000
 	id := func(i int) string { return fmt.Sprintf("wk-%06d", i) }
 	put(t, r, 1, k.Job(id(0)), job(id(0), bookkeeping.Active))
@@ -89,8 +89,8 @@
 
 // TestSplit: every part fits, none is empty, and no machine is lost.
 func TestSplit(t *testing.T) {
-	b := BlockRecord{Type: "t", Zone: "z", Want: 3, Machines: map[string]MachineRecord{}}
-	for i := range MaxBlock {
+	b := BlockRecord{InstanceType: "t", Zone: "z", Requested: 3, Machines: map[string]MachineRecord{}}
+	for i := range MaxBlockMachines {
 		b.Machines[fmt.Sprintf("vm-%06d", i)] = MachineRecord{Address: fmt.Sprintf("10.100.100.%d:9000", i), Used: i%2 == 0}
 	}
 	seen, want := map[string]bool{}, 0
@@ -98,7 +98,7 @@
 		if n := len(Encode(p)); n > 1900 || len(p.Machines) == 0 {
 			t.Errorf("a part of %d bytes, %d machines", n, len(p.Machines))
 		}
-		want += p.Want
+		want += p.Requested
 		for m, rec := range p.Machines {
 			if seen[m] || rec != b.Machines[m] {
 				t.Errorf("%s: twice, or changed", m)
@@ -106,7 +106,7 @@
 			seen[m] = true
 		}
 	}
-	if len(seen) != MaxBlock || want != 3 {
+	if len(seen) != MaxBlockMachines || want != 3 {
 		t.Errorf("%d machines, %d wanted", len(seen), want)
 	}
 }
--- a/internal/transport/bounds_test.go
+++ b/internal/transport/bounds_test.go
@@ -31,13 +31,13 @@
 	cfg.Services.State = strings.TrimPrefix(state.URL, "http://")
 	cfg.Settings.MachineLimits.MaxConnections = 100
 	c := newClients(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	call := func(kind storage.Kind) storage.Outcome {
+	call := func(kind storage.RequestKind) storage.Outcome {
 		return c.state(context.Background(), &coordination.StateCall{Request: &storage.Request{Kind: kind, Key: "pl/"}, Timeout: 10 * micros.Second}).Outcome
 	}
 	if got := call(storage.Watch); got != storage.Compacted {
 		t.Errorf("a watch: %v", got)
 	}
-	if got := call(storage.List); got != storage.Lost {
+	if got := call(storage.List); got != storage.OutcomeUnknown {
 		t.Errorf("a list: %v", got)
 	}
 }
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -110,7 +110,7 @@
 		return &storage.Reply{Outcome: storage.Compacted}
 	}
 	c.log.Debug("state service", "err", err)
-	return &storage.Reply{Outcome: storage.Lost}
+	return &storage.Reply{Outcome: storage.OutcomeUnknown}
 }
 
 func (c *clients) cloud(ctx context.Context, call *coordination.CloudCall) *coordination.CloudReply {
--- a/internal/transport/siblings.go
+++ b/internal/transport/siblings.go
@@ -27,18 +27,18 @@
 
 func newSiblings(cfg *config.Config, log *slog.Logger, inputs chan<- coordination.Input) *siblings {
 	s := &siblings{log: log, inputs: inputs, cfg: cfg, out: map[string]chan []byte{}}
-	for _, p := range cfg.Siblings {
+	for _, p := range cfg.Peers {
 		s.out[p.Member] = make(chan []byte, 4)
 	}
 	return s
 }
 
 func (s *siblings) run(ctx context.Context, l net.Listener) {
-	for _, p := range s.cfg.Siblings {
+	for _, p := range s.cfg.Peers {
 		go s.sender(ctx, p.Address, s.out[p.Member])
 	}
 	go func() {
-		room := make(chan struct{}, 4*len(s.cfg.Siblings)+4)
+		room := make(chan struct{}, 4*len(s.cfg.Peers)+4)
 		for {
 			c, err := l.Accept()
 			if err != nil {
