--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -112,7 +112,7 @@
 	}
 	c.viewOr(req, job.ID, func() {
 		f.tracker.ComeBack(c.now, flow, job.ID, v.Turn)
-		c.answer(Answer{Request: req, Kind: Overloaded, Text: "overload: it is not its turn yet", RetryAfter: v.Turn})
+		c.answer(Response{Request: req, Kind: Overloaded, Text: "overload: it is not its turn yet", RetryAfter: v.Turn})
 	})
 }
 
@@ -222,7 +222,7 @@
 	used := c.budget.RecentUsage().Writes
 	for member, p := range c.peers {
 		if member != c.proc.Member && c.now-p.at < 3*micros.Second {
-			used += p.status.Used.Writes
+			used += p.status.Usage.Writes
 		}
 	}
 	return max(total/minCapacityPart, min(total/changesPerJob, total-max(0, used-demand.AcceptRate)))
@@ -240,7 +240,7 @@
 }
 
 // heardDemandOf takes what a sibling was asked for.
-func (c *Core) heardDemandOf(s *Status) {
+func (c *Core) heardDemandOf(s *PeerStatus) {
 	if c.fair != nil && s.Demand != nil {
 		c.fair.heard[s.From.Member] = heardDemand{c.now, s.Demand}
 	}
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -40,15 +40,15 @@
 }
 
 // ask submits a job and completes the reads of the state service that follow.
-func ask(c *Core, at micros.Time, job *bookkeeping.Job, complete func(*storage.Request) *storage.Reply) []Answer {
+func ask(c *Core, at micros.Time, job *bookkeeping.Job, complete func(*storage.Request) *storage.Reply) []Response {
 	out := c.Step(at, at, &Submit{Request: 1, ID: job.ID, Job: job})
-	answers := out.Answers
-	for calls := out.State; len(calls) > 0; {
+	answers := out.Responses
+	for calls := out.StoreCalls; len(calls) > 0; {
 		call := calls[0]
 		calls = calls[1:]
 		if r := complete(call.Request); r != nil {
-			out := c.Step(at, at, &StateDone{Call: call.Call, Reply: r})
-			answers, calls = append(answers, out.Answers...), append(calls, out.State...)
+			out := c.Step(at, at, &StoreCompletion{Call: call.Call, Reply: r})
+			answers, calls = append(answers, out.Responses...), append(calls, out.StoreCalls...)
 		}
 	}
 	return answers
@@ -62,11 +62,11 @@
 	for name, c := range map[string]struct {
 		archived bool
 		barrier  storage.Outcome
-		want     AnswerKind
+		want     ResponseKind
 	}{
 		"not known":       {want: Overloaded, barrier: storage.NotFound},
-		"in the archive":  {want: View, barrier: storage.NotFound, archived: true},
-		"cannot be found": {want: Unavailable, barrier: storage.OutcomeUnknown},
+		"in the archive":  {want: JobFound, barrier: storage.NotFound, archived: true},
+		"cannot be found": {want: ServiceUnavailable, barrier: storage.OutcomeUnknown},
 	} {
 		core := newFair(t)
 		core.replica.Archived = true
@@ -122,7 +122,7 @@
 	}
 	out := c.Step(c.now, c.now, &Cancel{Request: 1, ID: job.ID})
 	cancelled := false
-	for _, call := range out.State {
+	for _, call := range out.StoreCalls {
 		cancelled = cancelled || (call.Request.Kind == storage.Txn && len(call.Request.Puts) > 0 && call.Request.Puts[0].Key == c.keys.Job(job.ID))
 	}
 	if !cancelled {
@@ -142,7 +142,7 @@
 			t.Fatal(err)
 		}
 		c.admissionChanged(c.now)
-		for _, l := range c.out.Log {
+		for _, l := range c.out.LogRecords {
 			if l.Level >= levelWarn {
 				lines++
 			}
@@ -169,10 +169,10 @@
 	}
 	c.out = &Output{}
 	c.tickAdmission()
-	if len(c.out.State) != 1 {
-		t.Fatalf("%d requests", len(c.out.State))
+	if len(c.out.StoreCalls) != 1 {
+		t.Fatalf("%d requests", len(c.out.StoreCalls))
 	}
-	r := c.out.State[0].Request
+	r := c.out.StoreCalls[0].Request
 	want := []storage.Compare{{Key: c.keys.ClusterLeader(), ModRevision: 4}, {Key: c.keys.Admission(), ModRevision: 9}}
 	if !slices.Equal(r.Compares, want) {
 		t.Errorf("conditions %+v, want %+v", r.Compares, want)
@@ -183,7 +183,7 @@
 	}
 	c.out = &Output{}
 	c.tickAdmission()
-	if len(c.out.State) != 0 {
+	if len(c.out.StoreCalls) != 0 {
 		t.Error("written again while the write is out")
 	}
 }
@@ -191,7 +191,7 @@
 // TestLagsGoOnWithTheNextHolder: as long as what the last one told is not old.
 func TestLagsGoOnWithTheNextHolder(t *testing.T) {
 	flow := admission.Flow{Team: "alpha", Class: "low"}
-	told := &Status{From: storage.Process{Member: "n1", Incarnation: "x"}, Queues: []QueueStatus{{Queue: 0,
+	told := &PeerStatus{From: storage.Process{Member: "n1", Incarnation: "x"}, Partitions: []PartitionStatus{{Partition: 0,
 		Lags: []admission.FlowLag{{Flow: flow, Lag: admission.Lag{Team: 40 * micros.Second, Class: 50 * micros.Second}}}}}}
 	for age, want := range map[micros.Time]admission.Lag{
 		3 * micros.Second:       {Team: 40 * micros.Second, Class: 50 * micros.Second},
--- a/internal/coordination/adoption.go
+++ b/internal/coordination/adoption.go
@@ -15,8 +15,8 @@
 // one whose answer was lost. The report may be a late copy from a machine that was
 // deleted under an earlier leader: as a machine that had no task it holds up no
 // planning, and as one that does not answer it is soon deleted again.
-func (l *leaderState) found(c *Core, r *Report) {
-	c.adoptMachine(r.Machine, r.Address, fleet.InstanceKind{InstanceType: r.Type, Zone: r.Zone, Spot: r.Spot})
+func (l *leaderState) found(c *Core, r *Heartbeat) {
+	c.adoptMachine(r.Machine, r.Address, fleet.InstanceKind{InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot})
 }
 
 // adoptMachine notes a machine that is to be assigned to the queue with the
@@ -123,11 +123,11 @@
 	best, most := 0, -1
 	for _, q := range c.statuses() {
 		n := 0
-		for _, need := range q.Needs {
+		for _, need := range q.CapacityRequests {
 			n += need.Count
 		}
 		if n > most {
-			best, most = q.Queue, n
+			best, most = q.Partition, n
 		}
 	}
 	return best
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -43,7 +43,7 @@
 
 // newLarge is a core that leads and holds a queue of a number of machines, each
 // with eight running tasks, and has a tenth as many waiting jobs.
-func newLarge(b testing.TB, size int) (*Core, []*Report) {
+func newLarge(b testing.TB, size int) (*Core, []*Heartbeat) {
 	cfg, err := config.Parse([]byte(benchSettings), nil)
 	if err != nil {
 		b.Fatal(err)
@@ -68,16 +68,16 @@
 		put(c.keys.Job(job(i)), &bookkeeping.Job{ID: job(i), Class: "c", Team: "alpha", Tasks: 80, Resources: bookkeeping.Resources{CPU: 4000, Mem: 4000},
 			Estimate: 60 * micros.Second, Deadline: 160 * micros.Second, Spot: true, Image: "i"})
 	}
-	var reports []*Report
+	var reports []*Heartbeat
 	for k := range size / 50 {
 		machines := map[string]storage.MachineRecord{}
 		for i := range 50 {
 			m := fmt.Sprintf("vm-%06d", k*50+i)
 			machines[m] = storage.MachineRecord{Address: "10.1.0.1:9000", Used: true}
-			rep := &Report{Machine: m, Address: "10.1.0.1:9000", Type: "m", Zone: "a", Session: 1, Notice: -1}
+			rep := &Heartbeat{Machine: m, Address: "10.1.0.1:9000", InstanceType: "m", Zone: "a", AgentEpoch: 1, PreemptionNotice: -1}
 			for t := range 8 {
 				n := (k*50+i)*8 + t
-				rep.Tasks = append(rep.Tasks, TaskReport{AttemptID: AttemptID{Job: job(n / 80), Task: n % 80, Number: uint64(n + 1)}, State: Running})
+				rep.Tasks = append(rep.Tasks, TaskStatus{AttemptID: AttemptID{Job: job(n / 80), Task: n % 80, Number: uint64(n + 1)}, State: Running})
 			}
 			reports = append(reports, rep)
 		}
@@ -92,7 +92,7 @@
 	c.adoptReplica(r, 0)
 	c.term.Confirm(c.now)
 	for _, rep := range reports {
-		rep.Token = version
+		rep.FencingToken = version
 	}
 	return c, reports
 }
@@ -102,9 +102,9 @@
 func TestProgressOfAllJobs(t *testing.T) {
 	c, reports := newLarge(t, 8000)
 	for _, r := range reports {
-		r.Seq++
+		r.Sequence++
 		c.tickAt = 2 * micros.Second
-		c.Step(2*micros.Second, 2*micros.Second, &ReportIn{Request: 1, Report: r})
+		c.Step(2*micros.Second, 2*micros.Second, &HeartbeatRequest{Request: 1, Heartbeat: r})
 	}
 	told := map[string]int{}
 	for range 2 {
@@ -134,8 +134,8 @@
 		c.term.Confirm(now)
 		c.tickAt = now // reports alone, without the timers
 		for _, r := range reports {
-			r.Seq++
-			c.Step(now, now, &ReportIn{Request: 1, Report: r})
+			r.Sequence++
+			c.Step(now, now, &HeartbeatRequest{Request: 1, Heartbeat: r})
 		}
 	}
 	if n := len(c.holders[0].machines[0].attempts); n != 8 {
@@ -155,9 +155,9 @@
 	b.ReportAllocs()
 	now := 2 * micros.Second
 	for _, r := range reports {
-		r.Seq++
+		r.Sequence++
 		c.tickAt = now
-		c.Step(now, now, &ReportIn{Request: 1, Report: r})
+		c.Step(now, now, &HeartbeatRequest{Request: 1, Heartbeat: r})
 	}
 	h := c.holders[0]
 	for _, m := range h.machines {
--- a/internal/coordination/calls.go
+++ b/internal/coordination/calls.go
@@ -18,7 +18,7 @@
 		case len(m.outbox) == 0 || m.calling:
 		case m.failed > 0:
 			failing = append(failing, m)
-		case !slices.ContainsFunc(m.outbox, func(c Command) bool { return c.Op == Stop || h.isService(c.Job) }):
+		case !slices.ContainsFunc(m.outbox, func(c Command) bool { return c.Operation == Stop || h.isService(c.Job) }):
 			rest = append(rest, m)
 		case h.c.roomForCalls(false) > 0:
 			h.send(m)
@@ -76,7 +76,7 @@
 	m.outbox = slices.Delete(m.outbox, 0, n)
 	for i := range batch {
 		a := m.attempts[batch[i].AttemptID]
-		if a != nil && batch[i].Op == Start {
+		if a != nil && batch[i].Operation == Start {
 			a.open++
 			a.sent = true
 		}
@@ -87,28 +87,28 @@
 func (h *holder) callMachine(m *machine, batch []Command, show bool) {
 	m.calling = true
 	session, seq, token, sent := m.session, m.seq, h.token, h.c.now
-	h.c.callWorker(WorkerCall{Machine: m.id, Address: m.addr, Token: token, Session: session, Commands: batch, Show: show,
-		Timeout: micros.Second}, func(r *WorkerReply) {
+	h.c.callWorker(AgentCall{Machine: m.id, Address: m.addr, FencingToken: token, AgentEpoch: session, Commands: batch, StatusOnly: show,
+		Timeout: micros.Second}, func(r *AgentReply) {
 		m.calling = false
 		if h.c.holders[h.queue] != h || h.machine(m.id) != m {
 			return
 		}
-		if r.Report != nil && r.Report.Machine != m.id {
-			r.Report = nil // an address that another machine has now
+		if r.Heartbeat != nil && r.Heartbeat.Machine != m.id {
+			r.Heartbeat = nil // an address that another machine has now
 			m.addr = ""
 		}
 		for _, cmd := range batch {
 			a := m.attempts[cmd.AttemptID]
-			if a == nil || cmd.Op != Start {
+			if a == nil || cmd.Operation != Start {
 				continue
 			}
 			a.open--
-			if r.Report == nil && m.session == session {
+			if r.Heartbeat == nil && m.session == session {
 				a.lost++ // it may still be executed, even minutes later
 				m.lostStarts = true
 			}
 		}
-		if r.Report == nil {
+		if r.Heartbeat == nil {
 			if m.failed++; m.failed == 1 {
 				m.vainAt = sent
 			}
@@ -119,13 +119,13 @@
 			}
 			return
 		}
-		if rep := r.Report; rep.Session < session || (rep.Session == session && rep.Seq <= seq) {
+		if rep := r.Heartbeat; rep.AgentEpoch < session || (rep.AgentEpoch == session && rep.Sequence <= seq) {
 			// Its answer, given after the call, is older than what was known before it.
 			h.restarted(m)
 			return
 		}
 		m.seen, m.failed, m.vain = h.c.now, 0, 0
-		h.observe(m, r.Report)
+		h.observe(m, r.Heartbeat)
 		if show {
 			m.probed = 0 // its session is known now: it can be told our token
 		}
@@ -137,7 +137,7 @@
 	var out []Command
 	for _, cmd := range batch {
 		a := m.attempts[cmd.AttemptID]
-		if a == nil || a.state == Exited || (cmd.Op == Start && (a.stop || a.shown)) {
+		if a == nil || a.state == Exited || (cmd.Operation == Start && (a.stop || a.shown)) {
 			continue
 		}
 		out = append(out, cmd)
--- a/internal/coordination/cancelling.go
+++ b/internal/coordination/cancelling.go
@@ -36,13 +36,13 @@
 	notices []cancelNotice // oldest first
 	last    uint64         // number of the newest
 	known   map[string]bool
-	heard   map[string]CancelsHeard // by member: how far its notices came
-	told    map[string]micros.Time  // jobs that a sibling knows to be cancelled: since when
+	heard   map[string]CancellationAck // by member: how far its notices came
+	told    map[string]micros.Time     // jobs that a sibling knows to be cancelled: since when
 	swept   micros.Time
 }
 
 func newCancellations() cancellations {
-	return cancellations{known: map[string]bool{}, heard: map[string]CancelsHeard{}, told: map[string]micros.Time{}}
+	return cancellations{known: map[string]bool{}, heard: map[string]CancellationAck{}, told: map[string]micros.Time{}}
 }
 
 // noticeLifetime is how long a cancellation may matter to somebody who has not heard of it:
@@ -78,7 +78,7 @@
 	var heard, revision uint64
 	if p := c.peers[member]; p != nil {
 		revision = p.status.Revision
-		for _, h := range p.status.CancelsHeard {
+		for _, h := range p.status.CancellationAcks {
 			if h.From == c.proc {
 				heard = h.UpTo
 			}
@@ -99,13 +99,13 @@
 // takeNotices takes a sibling's notices. They are believed for stopping only: nobody is told
 // that a job is cancelled, and no term gets longer, before the stream shows it. So a
 // late or repeated notice does no harm.
-func (c *Core) takeNotices(s *Status) {
+func (c *Core) takeNotices(s *PeerStatus) {
 	if len(s.Cancelled) == 0 || s.From == c.proc {
 		return
 	}
 	mine := &c.cancelled
 	if h := mine.heard[s.From.Member]; h.From != s.From || h.UpTo < s.CancelledUpTo {
-		mine.heard[s.From.Member] = CancelsHeard{s.From, s.CancelledUpTo}
+		mine.heard[s.From.Member] = CancellationAck{s.From, s.CancelledUpTo}
 		c.statusSoon = true
 	}
 	for _, id := range s.Cancelled {
@@ -118,8 +118,8 @@
 }
 
 // cancelsHeard is what siblings are told of how far their notices came.
-func (c *Core) cancelsHeard() []CancelsHeard {
-	var out []CancelsHeard
+func (c *Core) cancelsHeard() []CancellationAck {
+	var out []CancellationAck
 	for _, m := range sortedKeys(c.cancelled.heard) {
 		out = append(out, c.cancelled.heard[m])
 	}
@@ -223,8 +223,8 @@
 // killNotShown is why such a machine drains.
 const killNotShown = "kill not shown"
 
-// CancelsHeard is how far the notices of a process came.
-type CancelsHeard struct {
+// CancellationAck is how far the notices of a process came.
+type CancellationAck struct {
 	From storage.Process
 	UpTo uint64
 }
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -86,7 +86,7 @@
 
 type peerView struct {
 	at     micros.Time
-	status *Status
+	status *PeerStatus
 }
 
 // New starts a controller's core; incarnation must be new with every process.
@@ -121,9 +121,9 @@
 	if due := c.tickAt + tickSoon; c.now >= due {
 		c.tickAt = c.now
 		c.tick()
-		c.out.Wake = c.now + tickEvery
+		c.out.NextTick = c.now + tickEvery
 	} else {
-		c.out.Wake = due
+		c.out.NextTick = due
 	}
 	return c.out
 }
@@ -145,17 +145,17 @@
 		c.lookup(in)
 	case *Cancel:
 		c.cancel(in)
-	case *Shed:
+	case *LoadShed:
 		c.shed()
-	case *ReportIn:
+	case *HeartbeatRequest:
 		c.report(in)
-	case *StateDone:
+	case *StoreCompletion:
 		c.complete(in.Call, in.Reply)
-	case *CloudDone:
+	case *CloudCompletion:
 		c.complete(in.Call, in.Reply)
-	case *WorkerDone:
+	case *AgentCompletion:
 		c.complete(in.Call, in.Reply)
-	case *Status:
+	case *PeerStatus:
 		c.heard(in)
 	}
 }
@@ -184,23 +184,23 @@
 		c.rejected.note(r, reply.Outcome, c.now)
 		done(reply)
 	})
-	c.out.State = append(c.out.State, StateCall{id, r, timeout})
+	c.out.StoreCalls = append(c.out.StoreCalls, StoreCall{id, r, timeout})
 	return true
 }
 
 func (c *Core) callCloud(call CloudCall, done func(*CloudReply)) {
 	call.Call = c.call(func(v any) { done(v.(*CloudReply)) })
-	c.out.Cloud = append(c.out.Cloud, call)
+	c.out.CloudCalls = append(c.out.CloudCalls, call)
 }
 
 // callWorker sends a direct call; there must be room for it.
-func (c *Core) callWorker(call WorkerCall, done func(*WorkerReply)) {
+func (c *Core) callWorker(call AgentCall, done func(*AgentReply)) {
 	c.workerOut++
 	call.Call = c.call(func(v any) {
 		c.workerOut--
-		done(v.(*WorkerReply))
+		done(v.(*AgentReply))
 	})
-	c.out.Workers = append(c.out.Workers, call)
+	c.out.AgentCalls = append(c.out.AgentCalls, call)
 }
 
 // roomForCalls is how many direct calls may be sent now. Each takes a socket: to
@@ -222,7 +222,7 @@
 )
 
 func (c *Core) log(level int, text string, args ...any) {
-	c.out.Log = append(c.out.Log, LogLine{level, text, args})
+	c.out.LogRecords = append(c.out.LogRecords, LogRecord{level, text, args})
 }
 
 func (c *Core) tick() {
@@ -253,7 +253,7 @@
 		return
 	}
 	c.catalogOn, c.catalogAt = true, c.now
-	c.callCloud(CloudCall{Kind: CloudCatalog, Timeout: 3 * micros.Second}, func(r *CloudReply) {
+	c.callCloud(CloudCall{Operation: CloudCatalog, Timeout: 3 * micros.Second}, func(r *CloudReply) {
 		c.catalogOn = false
 		if r.Outcome == CloudOK && len(r.Catalog) > 0 {
 			c.catalog = r.Catalog
@@ -281,7 +281,7 @@
 
 // heardWithin tells whether any sibling that meets the condition has been heard
 // of late.
-func (c *Core) heardWithin(d micros.Time, cond func(*Status) bool) bool {
+func (c *Core) heardWithin(d micros.Time, cond func(*PeerStatus) bool) bool {
 	for member, p := range c.peers {
 		if member != c.proc.Member && c.now-p.at < d && cond(p.status) {
 			return true
@@ -304,7 +304,7 @@
 // late: then this controller's view may be outdated, whatever it says.
 func (c *Core) alone() bool {
 	return c.term.SinceConfirmed(c.now) >= staleAfter && c.now > c.born+2*micros.Second &&
-		!c.heardWithin(2*micros.Second, func(*Status) bool { return true })
+		!c.heardWithin(2*micros.Second, func(*PeerStatus) bool { return true })
 }
 
 // Healthy tells whether the controller should be sent users' requests: it is
@@ -320,9 +320,9 @@
 		return true
 	case c.now < c.born+micros.Second:
 		return false // it may only be starting
-	case c.heardWithin(2*micros.Second, func(s *Status) bool { return s.StateOK }):
+	case c.heardWithin(2*micros.Second, func(s *PeerStatus) bool { return s.StoreReachable }):
 		return false
-	case len(c.cfg.Peers) == 0 || c.heardWithin(2*micros.Second, func(*Status) bool { return true }):
+	case len(c.cfg.Peers) == 0 || c.heardWithin(2*micros.Second, func(*PeerStatus) bool { return true }):
 		return true
 	}
 	return c.now-max(c.okAt, c.born) < aloneAfter
@@ -338,15 +338,15 @@
 		return
 	}
 	c.statusAt, c.statusSoon = c.now, false
-	s := &Status{From: c.proc, Revision: c.replica.Revision, StateOK: c.stateOK(), Used: c.budget.RecentUsage(), Reach: c.reach.told(c.now)}
+	s := &PeerStatus{From: c.proc, Revision: c.replica.Revision, StoreReachable: c.stateOK(), Usage: c.budget.RecentUsage(), Reachability: c.reach.told(c.now)}
 	var others storage.Usage
 	for member, p := range c.peers {
 		if member == c.proc.Member {
 			continue
 		}
 		if c.now-p.at < 3*micros.Second {
-			others.Requests += p.status.Used.Requests
-			others.Writes += p.status.Used.Writes
+			others.Requests += p.status.Usage.Requests
+			others.Writes += p.status.Usage.Writes
 		}
 	}
 	if !c.heardFromAll() {
@@ -356,17 +356,17 @@
 	c.budget.SetPeerUsage(others)
 	for _, n := range sortedKeys(c.holders) {
 		h := c.holders[n]
-		s.Queues = append(s.Queues, h.status())
+		s.Partitions = append(s.Partitions, h.status())
 		s.Progress = append(s.Progress, h.progress()...)
 	}
-	s.Gone = c.leader.recentlyGone(c.now)
-	s.CancelsHeard = c.cancelsHeard()
+	s.TerminatedMachines = c.leader.recentlyGone(c.now)
+	s.CancellationAcks = c.cancelsHeard()
 	s.Demand = c.demandToTell()
 	for _, p := range c.cfg.Peers {
 		mine := *s
-		mine.Shifts = c.leader.shifts[p.Member]
+		mine.Transfers = c.leader.shifts[p.Member]
 		mine.Cancelled, mine.CancelledUpTo = c.noticesTo(p.Member)
-		c.out.Peers = append(c.out.Peers, PeerSend{p.Member, &mine})
+		c.out.PeerMessages = append(c.out.PeerMessages, PeerMessage{p.Member, &mine})
 	}
 	for _, sh := range c.leader.shifts[c.proc.Member] {
 		c.shift(sh)
@@ -378,17 +378,17 @@
 // heard takes a status, our own included. Nothing in it is believed that the
 // stream of changes must tell, except that a machine is gone: that is a fact
 // which nothing makes untrue.
-func (c *Core) heard(s *Status) {
+func (c *Core) heard(s *PeerStatus) {
 	c.peers[s.From.Member] = &peerView{c.now, s}
 	c.takeNotices(s)
 	c.heardDemandOf(s)
-	for _, m := range s.Gone {
+	for _, m := range s.TerminatedMachines {
 		for _, h := range c.holders {
 			h.machineGone(m)
 		}
 	}
 	if s.From != c.proc {
-		for _, sh := range s.Shifts {
+		for _, sh := range s.Transfers {
 			c.shift(sh)
 		}
 	}
--- a/internal/coordination/fairness.go
+++ b/internal/coordination/fairness.go
@@ -28,15 +28,15 @@
 	}
 	bound := micros.Time(c.cfg.Operator.FairAdmission.LagS) * micros.Second
 	s := &fairShares{queue: admission.NewFairQueue(c.now, len(c.cfg.Settings.Teams), bound, &c.fair.settings), bound: bound}
-	var last *QueueStatus
+	var last *PartitionStatus
 	var lastAt micros.Time
 	for _, member := range sortedKeys(c.peers) {
 		p := c.peers[member]
 		if c.now-p.at > lagKept || p.at <= lastAt {
 			continue
 		}
-		for i := range p.status.Queues {
-			if q := &p.status.Queues[i]; q.Queue == queue && len(q.Lags) > 0 {
+		for i := range p.status.Partitions {
+			if q := &p.status.Partitions[i]; q.Partition == queue && len(q.Lags) > 0 {
 				last, lastAt = q, p.at
 			}
 		}
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -378,7 +378,7 @@
 	if a.stopped == 0 {
 		a.stopped = h.c.now
 	}
-	a.m.outbox = append(a.m.outbox, Command{Op: Stop, AttemptID: a.id, Grace: grace})
+	a.m.outbox = append(a.m.outbox, Command{Operation: Stop, AttemptID: a.id, GracePeriod: grace})
 }
 
 // withdraw takes back an attempt whose start was not sent yet.
@@ -390,8 +390,8 @@
 }
 
 // status is what the leader is told of the queue.
-func (h *holder) status() QueueStatus {
-	s := QueueStatus{Queue: h.queue, Token: h.token, Needs: h.needs, Lost: h.lostZones()}
+func (h *holder) status() PartitionStatus {
+	s := PartitionStatus{Partition: h.queue, FencingToken: h.token, CapacityRequests: h.needs, UnreachableZones: h.lostZones()}
 	if !h.c.term.Valid(h.c.now) {
 		return s
 	}
@@ -403,8 +403,8 @@
 			continue
 		}
 		if m.draining != "" && (m.draining == "silent" || m.draining == "never came up" || m.draining == "unresolved" || m.lost() || h.vacant(m)) {
-			if len(s.Release) < maxReleaseTold {
-				s.Release = append(s.Release, m.id)
+			if len(s.Terminate) < maxReleaseTold {
+				s.Terminate = append(s.Terminate, m.id)
 			}
 		} else if several && idle[m.block.Spot] < maxIdleTold && h.usable(m) && h.empty(m) {
 			idle[m.block.Spot]++
@@ -438,7 +438,7 @@
 		}
 		p := JobProgress{ID: j.ID, Done: j.finishedCount()}
 		for _, a := range j.live {
-			if a.state == Running || a.state == Saving {
+			if a.state == Running || a.state == Checkpointing {
 				p.Running++
 			}
 		}
@@ -452,27 +452,27 @@
 // shift moves an empty machine to another queue: this holder has let go, and
 // both queues get new tokens in the same transaction, so that the machine obeys
 // the new holder only, and that one only after the machine acknowledged it.
-func (c *Core) shift(s Shift) {
+func (c *Core) shift(s MachineTransfer) {
 	b, ok := c.replica.Machines[s.Machine]
 	h := c.holders[b.Value.Partition]
-	if !ok || h == nil || s.To == h.queue || !c.term.Valid(c.now) {
+	if !ok || h == nil || s.ToPartition == h.queue || !c.term.Valid(c.now) {
 		return
 	}
-	to, ok := c.replica.Partitions[s.To]
+	to, ok := c.replica.Partitions[s.ToPartition]
 	m := h.machine(s.Machine)
 	if !ok || m == nil || m.draining != "" || !h.empty(m) {
 		return
 	}
 	from := c.replica.Partitions[h.queue]
 	rest := c.replica.Blocks[b.Value.Block]
-	moved := storage.BlockRecord{Partition: s.To, InstanceType: b.Value.InstanceType, Zone: b.Value.Zone, Spot: b.Value.Spot}.With(m.id, b.Value.MachineRecord)
+	moved := storage.BlockRecord{Partition: s.ToPartition, InstanceType: b.Value.InstanceType, Zone: b.Value.Zone, Spot: b.Value.Spot}.With(m.id, b.Value.MachineRecord)
 	key := c.keys.Block(fmt.Sprintf("m%d-%s", h.token, m.id))
 	h.drain(m, "moving")
 	r := &storage.Request{Kind: storage.Txn,
-		Compares: []storage.Compare{{Key: c.keys.Partition(h.queue), ModRevision: h.token}, {Key: c.keys.Partition(s.To), ModRevision: to.ModRevision},
+		Compares: []storage.Compare{{Key: c.keys.Partition(h.queue), ModRevision: h.token}, {Key: c.keys.Partition(s.ToPartition), ModRevision: to.ModRevision},
 			{Key: c.keys.Block(b.Value.Block), ModRevision: rest.ModRevision}, {Key: key}},
 		Puts: []storage.Put{{Key: key, Value: storage.Encode(moved)},
-			{Key: c.keys.Partition(h.queue), Value: storage.Encode(from.Value)}, {Key: c.keys.Partition(s.To), Value: storage.Encode(to.Value)}}}
+			{Key: c.keys.Partition(h.queue), Value: storage.Encode(from.Value)}, {Key: c.keys.Partition(s.ToPartition), Value: storage.Encode(to.Value)}}}
 	if c.putBlock(r, b.Value.Block, rest.Value.Without(m.id)); len(r.Puts) > c.cfg.Settings.StateLimits().TxnOps {
 		m.draining = "" // a record of an older version, too large: the next change splits it
 		return
--- a/internal/coordination/io.go
+++ b/internal/coordination/io.go
@@ -18,22 +18,22 @@
 const (
 	Fetching TaskState = iota
 	Running
-	Saving
+	Checkpointing
 	Exited
 )
 
-// Cause says why a task exited.
-type Cause uint8
+// ExitReason says why a task exited.
+type ExitReason uint8
 
 // The causes of an exit.
 const (
-	NoCause Cause = iota
-	CauseDone
-	CauseStopped
-	CauseError
-	CauseNoRoom
-	CauseBusy
-	CauseUnknown
+	NotExited ExitReason = iota
+	ExitCompleted
+	ExitStopped
+	ExitFailed
+	ExitInsufficientResources
+	ExitDuplicateTask
+	ExitUnknownTask
 )
 
 // AttemptID names one attempt at a task.
@@ -43,43 +43,43 @@
 	Number uint64
 }
 
-// TaskReport is one line of a worker's report.
-type TaskReport struct {
+// TaskStatus is one line of a worker's report.
+type TaskStatus struct {
 	AttemptID
-	State TaskState
-	Cause Cause
-	Saved bool
+	State        TaskState
+	ExitReason   ExitReason
+	Checkpointed bool
 }
 
-// Report is what a worker says of itself.
-type Report struct {
-	Machine string
-	Address string
-	Type    string
-	Zone    string
-	Spot    bool
-	Session uint64
-	Seq     uint64
-	Token   uint64
-	Notice  micros.Time // until the cloud takes the machine; negative: no notice
-	Tasks   []TaskReport
+// Heartbeat is what a worker says of itself.
+type Heartbeat struct {
+	Machine          string
+	Address          string
+	InstanceType     string
+	Zone             string
+	Spot             bool
+	AgentEpoch       uint64
+	Sequence         uint64
+	FencingToken     uint64
+	PreemptionNotice micros.Time // until the cloud takes the machine; negative: no notice
+	Tasks            []TaskStatus
 }
 
-// Op is what a command does.
-type Op uint8
+// Operation is what a command does.
+type Operation uint8
 
 // The commands.
 const (
-	Start Op = iota
+	Start Operation = iota
 	Stop
 	Forget
 )
 
 // Command is one command to a worker.
 type Command struct {
-	Op Op
+	Operation Operation
 	AttemptID
-	Grace micros.Time
+	GracePeriod micros.Time
 }
 
 // RequestID is the driver's name of a request that waits for an answer.
@@ -105,161 +105,161 @@
 	ID      string
 }
 
-// Shed tells that a submission was refused before it was read, for lack of room.
-type Shed struct{}
+// LoadShed tells that a submission was refused before it was read, for lack of room.
+type LoadShed struct{}
 
-// ReportIn is a worker's report that wants an answer.
-type ReportIn struct {
-	Request RequestID
-	Report  *Report
+// HeartbeatRequest is a worker's report that wants an answer.
+type HeartbeatRequest struct {
+	Request   RequestID
+	Heartbeat *Heartbeat
 }
 
-// StateDone completes a call to the state service.
-type StateDone struct {
+// StoreCompletion completes a call to the state service.
+type StoreCompletion struct {
 	Call  uint64
 	Reply *storage.Reply
 }
 
-// CloudDone completes a call to the cloud.
-type CloudDone struct {
+// CloudCompletion completes a call to the cloud.
+type CloudCompletion struct {
 	Call  uint64
 	Reply *CloudReply
 }
 
-// WorkerDone completes a call to a worker.
-type WorkerDone struct {
+// AgentCompletion completes a call to a worker.
+type AgentCompletion struct {
 	Call  uint64
-	Reply *WorkerReply
+	Reply *AgentReply
 }
 
 // Input is one of the types above, a *Status of a sibling, or nil for a timer.
 type Input any
 
-// AnswerKind is the kind of an answer.
-type AnswerKind uint8
+// ResponseKind is the kind of an answer.
+type ResponseKind uint8
 
 // The kinds of answers.
 const (
-	Accepted AnswerKind = iota // a new job
-	View                       // a job's state
-	Malformed
-	Impossible
-	Missing
-	Unavailable // come back after RetryAfter
-	Overloaded  // likewise
-	Orders      // to a worker
-	Elsewhere   // to a worker: report to Steward, if that is not empty
+	JobAccepted ResponseKind = iota // a new job
+	JobFound                        // a job's state
+	RequestMalformed
+	JobUnschedulable
+	JobNotFound
+	ServiceUnavailable    // come back after RetryAfter
+	Overloaded            // likewise
+	HeartbeatAcknowledged // to a worker
+	HeartbeatRedirected   // to a worker: report to Steward, if that is not empty
 )
 
-// JobView is what a user is told of a job.
-type JobView struct {
+// JobStatus is what a user is told of a job.
+type JobStatus struct {
 	ID      string
 	Phase   bookkeeping.Phase
 	Done    int
 	Running int
 }
 
-// Answer answers a request.
-type Answer struct {
-	Request    RequestID
-	Kind       AnswerKind
-	Job        JobView
-	Text       string
-	RetryAfter micros.Time
-	Steward    string
-	Token      uint64
-	Commands   []Command
+// Response answers a request.
+type Response struct {
+	Request      RequestID
+	Kind         ResponseKind
+	Job          JobStatus
+	Text         string
+	RetryAfter   micros.Time
+	RedirectTo   string
+	FencingToken uint64
+	Commands     []Command
 }
 
-// StateCall is a request to the state service.
-type StateCall struct {
+// StoreCall is a request to the state service.
+type StoreCall struct {
 	Call    uint64
 	Request *storage.Request
 	Timeout micros.Time
 }
 
-// CloudKind is the kind of a request to the cloud.
-type CloudKind uint8
+// CloudOperation is the kind of a request to the cloud.
+type CloudOperation uint8
 
 // The requests to the cloud.
 const (
-	CloudCatalog CloudKind = iota
-	CloudRent
-	CloudDelete
+	CloudCatalog CloudOperation = iota
+	CloudRequestInstances
+	CloudTerminate
 	CloudList
 )
 
 // CloudCall is a request to the cloud.
 type CloudCall struct {
-	Call    uint64
-	Kind    CloudKind
-	Charter string
-	Rental  fleet.InstanceRequest
-	Names   []string // CloudDelete
-	After   string   // CloudList
-	Limit   int
-	Timeout micros.Time
+	Call              uint64
+	Operation         CloudOperation
+	InstanceRequestID string
+	InstanceRequest   fleet.InstanceRequest
+	Names             []string // CloudTerminate
+	After             string   // CloudList
+	Limit             int
+	Timeout           micros.Time
 }
 
 // CloudOutcome is what became of a request to the cloud.
 type CloudOutcome uint8
 
-// The outcomes. CloudLost may have been, or may still be, executed.
+// The outcomes. CloudOutcomeUnknown may have been, or may still be, executed.
 const (
 	CloudOK CloudOutcome = iota
-	CloudNoCapacity
-	CloudRefused
-	CloudLost
+	CloudInsufficientCapacity
+	CloudRejected
+	CloudOutcomeUnknown
 )
 
-// Listed is a machine in the cloud's list.
-type Listed struct {
-	Machine string
-	Address string
-	Type    string
-	Zone    string
-	Spot    bool
-	Running bool
-	Failed  bool
-	Age     micros.Time
+// Instance is a machine in the cloud's list.
+type Instance struct {
+	Machine      string
+	Address      string
+	InstanceType string
+	Zone         string
+	Spot         bool
+	Running      bool
+	Failed       bool
+	Age          micros.Time
 }
 
 // CloudReply is the cloud's answer.
 type CloudReply struct {
-	Outcome CloudOutcome
-	Catalog bookkeeping.Catalog
-	Names   []string
-	Listed  []Listed
-	More    bool
+	Outcome   CloudOutcome
+	Catalog   bookkeeping.Catalog
+	Names     []string
+	Instances []Instance
+	More      bool
 }
 
-// WorkerCall sends commands straight to a worker, or asks for its report if
+// AgentCall sends commands straight to a worker, or asks for its report if
 // Show is set.
-type WorkerCall struct {
-	Call     uint64
-	Machine  string
-	Address  string
-	Token    uint64
-	Session  uint64
-	Commands []Command
-	Show     bool
-	Timeout  micros.Time
+type AgentCall struct {
+	Call         uint64
+	Machine      string
+	Address      string
+	FencingToken uint64
+	AgentEpoch   uint64
+	Commands     []Command
+	StatusOnly   bool
+	Timeout      micros.Time
 }
 
-// WorkerReply is a worker's answer. Without a report, there was none.
-type WorkerReply struct {
-	Executed bool
-	Report   *Report
+// AgentReply is a worker's answer. Without a report, there was none.
+type AgentReply struct {
+	Executed  bool
+	Heartbeat *Heartbeat
 }
 
-// QueueStatus is what a queue's holder tells the leader.
-type QueueStatus struct {
-	Queue   int
-	Token   uint64
-	Needs   []fleet.CapacityRequest
-	Release []string // machines to delete
-	Idle    []string // machines that could go to another queue
-	Lost    []string // zones whose machines its holder does not hear
+// PartitionStatus is what a queue's holder tells the leader.
+type PartitionStatus struct {
+	Partition        int
+	FencingToken     uint64
+	CapacityRequests []fleet.CapacityRequest
+	Terminate        []string // machines to delete
+	Idle             []string // machines that could go to another queue
+	UnreachableZones []string // zones whose machines its holder does not hear
 
 	Lags []admission.FlowLag // of flows behind their fair share
 }
@@ -271,60 +271,60 @@
 	Running int
 }
 
-// Shift asks a holder to let a machine go to another queue.
-type Shift struct {
-	Machine string
-	To      int
+// MachineTransfer asks a holder to let a machine go to another queue.
+type MachineTransfer struct {
+	Machine     string
+	ToPartition int
 }
 
-// Status is what controllers tell each other.
-type Status struct {
-	From     storage.Process
-	Revision uint64
-	StateOK  bool
-	Queues   []QueueStatus
-	Gone     []string // machines that are surely gone
-	Shifts   []Shift
-	Progress []JobProgress
-	Used     storage.Usage // of the state service's limits
-	Reach    []ZoneReach   // of machines that their holder does not hear
-
-	Cancelled     []string // jobs that the receiver may not know to be cancelled
-	CancelledUpTo uint64   // number of the last of them
-	CancelsHeard  []CancelsHeard
+// PeerStatus is what controllers tell each other.
+type PeerStatus struct {
+	From               storage.Process
+	Revision           uint64
+	StoreReachable     bool
+	Partitions         []PartitionStatus
+	TerminatedMachines []string // machines that are surely gone
+	Transfers          []MachineTransfer
+	Progress           []JobProgress
+	Usage              storage.Usage      // of the state service's limits
+	Reachability       []ZoneReachability // of machines that their holder does not hear
+
+	Cancelled        []string // jobs that the receiver may not know to be cancelled
+	CancelledUpTo    uint64   // number of the last of them
+	CancellationAcks []CancellationAck
 
 	Demand *admission.Demand // what this controller was asked for; nil: nothing new
 }
 
-// ZoneReach is how many machines of a queue in a zone answered a controller, of
+// ZoneReachability is how many machines of a queue in a zone answered a controller, of
 // those that it asked.
-type ZoneReach struct {
-	Queue    int
-	Zone     string
-	Asked    int
-	Answered int
+type ZoneReachability struct {
+	Partition int
+	Zone      string
+	Probed    int
+	Answered  int
 }
 
-// PeerSend is a message to a sibling.
-type PeerSend struct {
+// PeerMessage is a message to a sibling.
+type PeerMessage struct {
 	To     string
-	Status *Status
+	Status *PeerStatus
 }
 
 // Output is what a step asks the driver to do.
 type Output struct {
-	Answers []Answer
-	State   []StateCall
-	Cloud   []CloudCall
-	Workers []WorkerCall
-	Peers   []PeerSend
-	Log     []LogLine
-	Wake    micros.Time // when the next timer is due
+	Responses    []Response
+	StoreCalls   []StoreCall
+	CloudCalls   []CloudCall
+	AgentCalls   []AgentCall
+	PeerMessages []PeerMessage
+	LogRecords   []LogRecord
+	NextTick     micros.Time // when the next timer is due
 }
 
-// LogLine is something worth telling the operator.
-type LogLine struct {
-	Level int // as in log/slog
-	Text  string
-	Args  []any
+// LogRecord is something worth telling the operator.
+type LogRecord struct {
+	Level      int // as in log/slog
+	Message    string
+	Attributes []any
 }
--- a/internal/coordination/large_bench_test.go
+++ b/internal/coordination/large_bench_test.go
@@ -23,9 +23,9 @@
 				c.term.Confirm(now)
 				c.holders[0] = newHolder(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: c.replica.Partitions[0].ModRevision})
 				for _, r := range reports {
-					r.Seq++
+					r.Sequence++
 					c.tickAt = now
-					c.Step(now, now, &ReportIn{Request: 1, Report: r})
+					c.Step(now, now, &HeartbeatRequest{Request: 1, Heartbeat: r})
 				}
 				c.out = &Output{}
 				c.holders[0].schedule()
@@ -44,9 +44,9 @@
 			c, reports := newLarge(b, size)
 			now := 2 * micros.Second
 			for _, r := range reports {
-				r.Seq++
+				r.Sequence++
 				c.tickAt = now
-				c.Step(now, now, &ReportIn{Request: 1, Report: r})
+				c.Step(now, now, &HeartbeatRequest{Request: 1, Heartbeat: r})
 			}
 			h := c.holders[0]
 			c.now, c.out = now+h.silence()+micros.Second, &Output{}
@@ -78,10 +78,10 @@
 			c, reports := newLarge(b, size)
 			now := 2 * micros.Second
 			for _, r := range reports {
-				r.Seq++
+				r.Sequence++
 				r.Tasks = nil
 				c.tickAt = now
-				c.Step(now, now, &ReportIn{Request: 1, Report: r})
+				c.Step(now, now, &HeartbeatRequest{Request: 1, Heartbeat: r})
 			}
 			h := c.holders[0]
 			c.now = now + 100*micros.Second
@@ -109,9 +109,9 @@
 		runtime.ReadMemStats(&before)
 		c, reports := newLarge(t, size)
 		for _, r := range reports {
-			r.Seq++
+			r.Sequence++
 			c.tickAt = 2 * micros.Second
-			c.Step(2*micros.Second, 2*micros.Second, &ReportIn{Request: 1, Report: r})
+			c.Step(2*micros.Second, 2*micros.Second, &HeartbeatRequest{Request: 1, Heartbeat: r})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -37,7 +37,7 @@
 	cloudLeft  float64 // rentals that may be sent
 	cloudAt    micros.Time
 	exhausted  *fleet.CapacityTracker
-	shifts     map[string][]Shift
+	shifts     map[string][]MachineTransfer
 	shiftAt    micros.Time
 	archive    archive
 	formatCall bool
@@ -157,21 +157,21 @@
 	if v == nil || v.status.From != p || c.now-v.at > 3*micros.Second {
 		return false
 	}
-	for _, q := range v.status.Queues {
-		if len(q.Lost) == 0 || c.replica.Partitions[q.Queue].Value.Leader != p {
+	for _, q := range v.status.Partitions {
+		if len(q.UnreachableZones) == 0 || c.replica.Partitions[q.Partition].Value.Leader != p {
 			continue
 		}
-		mine, theirs, most := c.reachOf(p, q.Queue), 0, 0
+		mine, theirs, most := c.reachOf(p, q.Partition), 0, 0
 		for _, o := range c.peers {
-			if o.status.From != p && o.status.StateOK && c.replica.Live(o.status.From) {
-				theirs = max(theirs, c.reachOf(o.status.From, q.Queue))
+			if o.status.From != p && o.status.StoreReachable && c.replica.Live(o.status.From) {
+				theirs = max(theirs, c.reachOf(o.status.From, q.Partition))
 			}
 		}
-		for _, n := range c.inUse(q.Queue) {
+		for _, n := range c.inUse(q.Partition) {
 			most += n
 		}
 		if theirs >= mine+max(clearGain, most/8) {
-			c.log(levelInfo, "holder is cut off from machines", "holder", p.Member, "queue", q.Queue, "zones", q.Lost, "reaches", mine, "another", theirs)
+			c.log(levelInfo, "holder is cut off from machines", "holder", p.Member, "queue", q.Partition, "zones", q.UnreachableZones, "reaches", mine, "another", theirs)
 			l.deaf[p] = c.now
 			return true
 		}
@@ -188,16 +188,16 @@
 }
 
 // statuses are what the present holders last said of their queues.
-func (c *Core) statuses() []QueueStatus {
-	var out []QueueStatus
+func (c *Core) statuses() []PartitionStatus {
+	var out []PartitionStatus
 	for _, m := range sortedKeys(c.peers) {
 		p := c.peers[m]
 		if c.now-p.at > statusLifetime {
 			continue
 		}
-		for _, q := range p.status.Queues {
-			v := c.replica.Partitions[q.Queue]
-			if v.Value.Leader == p.status.From && v.ModRevision == q.Token {
+		for _, q := range p.status.Partitions {
+			v := c.replica.Partitions[q.Partition]
+			if v.Value.Leader == p.status.From && v.ModRevision == q.FencingToken {
 				out = append(out, q)
 			}
 		}
@@ -221,8 +221,8 @@
 		}
 	}
 	for _, q := range c.statuses() {
-		for _, m := range q.Release {
-			if b, ok := c.replica.Machines[m]; ok && b.Value.Partition == q.Queue {
+		for _, m := range q.Terminate {
+			if b, ok := c.replica.Machines[m]; ok && b.Value.Partition == q.Partition {
 				add(m)
 			}
 		}
@@ -235,7 +235,7 @@
 	}
 	l.deleteCall = true
 	version := l.version
-	c.callCloud(CloudCall{Kind: CloudDelete, Names: names, Timeout: 3 * micros.Second}, func(r *CloudReply) {
+	c.callCloud(CloudCall{Operation: CloudTerminate, Names: names, Timeout: 3 * micros.Second}, func(r *CloudReply) {
 		l.deleteCall = false
 		l.deleteAt = c.now + 200*micros.Millisecond
 		if r.Outcome != CloudOK {
@@ -329,7 +329,7 @@
 func (c *Core) listMachinesPage(after string, seen map[string]bool) {
 	l := &c.leader
 	version := l.version
-	c.callCloud(CloudCall{Kind: CloudList, After: after, Limit: listPage, Timeout: 3 * micros.Second}, func(r *CloudReply) {
+	c.callCloud(CloudCall{Operation: CloudList, After: after, Limit: listPage, Timeout: 3 * micros.Second}, func(r *CloudReply) {
 		if version != l.version {
 			return
 		}
@@ -338,7 +338,7 @@
 			l.listing = false
 			return
 		}
-		for _, m := range r.Listed {
+		for _, m := range r.Instances {
 			seen[m.Machine] = true
 			if _, gone := l.gone[m.Machine]; gone {
 				continue
@@ -351,7 +351,7 @@
 					c.log(levelInfo, "machine failed", "machine", m.Machine)
 				}
 			case !known && c.now-l.since > micros.Second && m.Age > 2*micros.Second:
-				c.adoptMachine(m.Machine, m.Address, fleet.InstanceKind{InstanceType: m.Type, Zone: m.Zone, Spot: m.Spot})
+				c.adoptMachine(m.Machine, m.Address, fleet.InstanceKind{InstanceType: m.InstanceType, Zone: m.Zone, Spot: m.Spot})
 			case known:
 				if h := c.holders[b.Value.Partition]; h != nil && m.Address != "" {
 					if hm := h.machine(m.Machine); hm != nil && hm.addr == "" && m.Running {
@@ -360,8 +360,8 @@
 				}
 			}
 		}
-		if r.More && len(r.Listed) > 0 {
-			c.listMachinesPage(r.Listed[len(r.Listed)-1].Machine, seen)
+		if r.More && len(r.Instances) > 0 {
+			c.listMachinesPage(r.Instances[len(r.Instances)-1].Machine, seen)
 			return
 		}
 		l.listing = false
@@ -398,23 +398,23 @@
 	l.shiftAt = c.now + 2*micros.Second
 	statuses := c.statuses()
 	for _, needy := range statuses {
-		if len(needy.Needs) == 0 {
+		if len(needy.CapacityRequests) == 0 {
 			continue
 		}
 		for _, q := range statuses {
-			if q.Queue == needy.Queue || len(q.Needs) > 0 || len(q.Idle) == 0 {
+			if q.Partition == needy.Partition || len(q.CapacityRequests) > 0 || len(q.Idle) == 0 {
 				continue
 			}
 			for _, m := range q.Idle {
 				b, ok := c.replica.Machines[m]
-				if !ok || (b.Value.Spot && !slices.ContainsFunc(needy.Needs, func(n fleet.CapacityRequest) bool { return n.Spot })) {
+				if !ok || (b.Value.Spot && !slices.ContainsFunc(needy.CapacityRequests, func(n fleet.CapacityRequest) bool { return n.Spot })) {
 					continue
 				}
-				holder := c.replica.Partitions[q.Queue].Value.Leader.Member
+				holder := c.replica.Partitions[q.Partition].Value.Leader.Member
 				if l.shifts == nil {
-					l.shifts = map[string][]Shift{}
+					l.shifts = map[string][]MachineTransfer{}
 				}
-				l.shifts[holder] = append(l.shifts[holder], Shift{Machine: m, To: needy.Queue})
+				l.shifts[holder] = append(l.shifts[holder], MachineTransfer{Machine: m, ToPartition: needy.Partition})
 				c.statusSoon = true
 				return
 			}
--- a/internal/coordination/reach.go
+++ b/internal/coordination/reach.go
@@ -12,7 +12,7 @@
 // hear: whether they answer here. Nobody else can tell whether the machines are gone
 // or only out of that holder's reach.
 type reach struct {
-	asked   []ZoneReach
+	asked   []ZoneReachability
 	answers int // still out
 	askedAt micros.Time
 	endedAt micros.Time
@@ -28,7 +28,7 @@
 )
 
 // told is what siblings are told.
-func (r *reach) told(now micros.Time) []ZoneReach {
+func (r *reach) told(now micros.Time) []ZoneReachability {
 	if r.answers > 0 || r.endedAt == 0 || now-r.endedAt > reachFor {
 		return nil
 	}
@@ -63,13 +63,13 @@
 		for _, zone := range sortedKeys(byZone) {
 			ids := byZone[zone]
 			k := min(len(ids), reachSample)
-			r.asked = append(r.asked, ZoneReach{Queue: n, Zone: zone, Asked: k})
+			r.asked = append(r.asked, ZoneReachability{Partition: n, Zone: zone, Probed: k})
 			at := len(r.asked) - 1
 			for i := range k {
 				id := ids[i*len(ids)/k]
 				r.answers++
-				c.callWorker(WorkerCall{Machine: id, Address: c.replica.Machines[id].Value.Address, Show: true, Timeout: micros.Second}, func(reply *WorkerReply) {
-					if reply.Report != nil && reply.Report.Machine == id {
+				c.callWorker(AgentCall{Machine: id, Address: c.replica.Machines[id].Value.Address, StatusOnly: true, Timeout: micros.Second}, func(reply *AgentReply) {
+					if reply.Heartbeat != nil && reply.Heartbeat.Machine == id {
 						r.asked[at].Answered++
 					}
 					if r.answers--; r.answers == 0 {
@@ -89,7 +89,7 @@
 	if p == nil || p.status.From != h || c.now-p.at > 2*micros.Second {
 		return c.now > c.born+2*micros.Second
 	}
-	return slices.ContainsFunc(p.status.Queues, func(q QueueStatus) bool { return q.Queue == queue && len(q.Lost) > 0 })
+	return slices.ContainsFunc(p.status.Partitions, func(q PartitionStatus) bool { return q.Partition == queue && len(q.UnreachableZones) > 0 })
 }
 
 // inUse is how many machines of a queue are in use, by zone.
@@ -113,10 +113,12 @@
 	n := 0
 	for zone, machines := range c.inUse(queue) {
 		if c.replica.Partitions[queue].Value.Leader == p {
-			if !slices.ContainsFunc(v.status.Queues, func(q QueueStatus) bool { return q.Queue == queue && slices.Contains(q.Lost, zone) }) {
+			if !slices.ContainsFunc(v.status.Partitions, func(q PartitionStatus) bool { return q.Partition == queue && slices.Contains(q.UnreachableZones, zone) }) {
 				n += machines
 			}
-		} else if slices.ContainsFunc(v.status.Reach, func(z ZoneReach) bool { return z.Queue == queue && z.Zone == zone && z.Answered*2 >= z.Asked }) {
+		} else if slices.ContainsFunc(v.status.Reachability, func(z ZoneReachability) bool {
+			return z.Partition == queue && z.Zone == zone && z.Answered*2 >= z.Probed
+		}) {
 			n += machines
 		}
 	}
@@ -127,12 +129,14 @@
 // does not hear it: it would lose the time in which another could take over before its
 // lease ends. Either the holder said so, or it is not heard here and the worker, which
 // shows the holder's token, has left it.
-func (c *Core) outOfReach(r *Report, m storage.Machine, q storage.Versioned[storage.PartitionRecord]) bool {
+func (c *Core) outOfReach(r *Heartbeat, m storage.Machine, q storage.Versioned[storage.PartitionRecord]) bool {
 	p := c.peers[q.Value.Leader.Member]
 	if p == nil || p.status.From != q.Value.Leader || c.now-p.at > 2*micros.Second {
-		return r.Token == q.ModRevision
+		return r.FencingToken == q.ModRevision
 	}
-	return slices.ContainsFunc(p.status.Queues, func(s QueueStatus) bool { return s.Queue == m.Partition && slices.Contains(s.Lost, m.Zone) })
+	return slices.ContainsFunc(p.status.Partitions, func(s PartitionStatus) bool {
+		return s.Partition == m.Partition && slices.Contains(s.UnreachableZones, m.Zone)
+	})
 }
 
 // zoneView is how a holder hears the machines of one zone.
@@ -209,9 +213,9 @@
 		if h.c.now-p.at > reachFor {
 			continue
 		}
-		for _, q := range p.status.Queues {
-			for _, zone := range q.Lost {
-				if q.Queue == h.queue {
+		for _, q := range p.status.Partitions {
+			for _, zone := range q.UnreachableZones {
+				if q.Partition == h.queue {
 					h.zones[zone] = &zoneView{lost: h.c.now}
 				}
 			}
@@ -253,10 +257,10 @@
 		if member == h.c.proc.Member || h.c.now-p.at > 2*micros.Second {
 			continue
 		}
-		i := slices.IndexFunc(p.status.Reach, func(z ZoneReach) bool { return z.Queue == h.queue && z.Zone == zone })
+		i := slices.IndexFunc(p.status.Reachability, func(z ZoneReachability) bool { return z.Partition == h.queue && z.Zone == zone })
 		if i < 0 {
 			asked++
-		} else if z := p.status.Reach[i]; z.Answered*2 >= z.Asked {
+		} else if z := p.status.Reachability[i]; z.Answered*2 >= z.Probed {
 			reached = true
 		}
 	}
--- a/internal/coordination/rentals.go
+++ b/internal/coordination/rentals.go
@@ -47,26 +47,26 @@
 	for _, p := range c.peers {
 		// Only of those whose needs are looked at: a former holder that is cut off says
 		// nothing new for minutes, and nothing would be rented as long.
-		if c.now-p.at <= statusLifetime && len(p.status.Queues) > 0 && p.status.Revision < l.closed {
+		if c.now-p.at <= statusLifetime && len(p.status.Partitions) > 0 && p.status.Revision < l.closed {
 			return // its needs are from before the last round
 		}
 	}
 	statuses := c.statuses()
-	slices.SortStableFunc(statuses, func(a, b QueueStatus) int { return cmp.Compare(a.Queue, b.Queue) })
+	slices.SortStableFunc(statuses, func(a, b PartitionStatus) int { return cmp.Compare(a.Partition, b.Partition) })
 	for _, q := range statuses {
 		var needs []fleet.CapacityRequest
 		for _, service := range []bool{true, false} {
-			for _, n := range q.Needs {
+			for _, n := range q.CapacityRequests {
 				if n.Service == service {
 					needs = append(needs, n)
 				}
 			}
 		}
 		for _, n := range needs {
-			c.log(levelDebug, "need", "queue", q.Queue, "count", n.Count, "cpu", n.Resources.CPU, "service", n.Service, "urgent", n.Urgent)
+			c.log(levelDebug, "need", "queue", q.Partition, "count", n.Count, "cpu", n.Resources.CPU, "service", n.Service, "urgent", n.Urgent)
 		}
 		most := func(o fleet.InstanceKind) int {
-			if slices.Contains(q.Lost, o.Zone) {
+			if slices.Contains(q.UnreachableZones, o.Zone) {
 				return min(l.exhausted.Limit(o, c.now), c.tries(o.Zone))
 			}
 			return l.exhausted.Limit(o, c.now)
@@ -75,7 +75,7 @@
 			for r.Count > 0 && c.takeCloud() {
 				part := r
 				part.Count = min(r.Count, c.maxBlock())
-				c.charter(q.Queue, part)
+				c.charter(q.Partition, part)
 				r.Count -= part.Count
 			}
 		}
@@ -138,10 +138,10 @@
 	l := &c.leader
 	offer := fleet.InstanceKind{InstanceType: rec.InstanceType, Zone: rec.Zone, Spot: rec.Spot}
 	l.renting[name] = offer
-	c.callCloud(CloudCall{Kind: CloudRent, Charter: name, Rental: fleet.InstanceRequest{InstanceKind: offer, Count: rec.Requested}, Timeout: 4 * micros.Second}, func(r *CloudReply) {
+	c.callCloud(CloudCall{Operation: CloudRequestInstances, InstanceRequestID: name, InstanceRequest: fleet.InstanceRequest{InstanceKind: offer, Count: rec.Requested}, Timeout: 4 * micros.Second}, func(r *CloudReply) {
 		delete(l.renting, name)
 		switch r.Outcome {
-		case CloudOK, CloudNoCapacity:
+		case CloudOK, CloudInsufficientCapacity:
 			if len(r.Names) < rec.Requested {
 				l.exhausted.Exhausted(offer, c.now)
 				l.rentAt = c.now // what was missing may be had elsewhere
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -8,8 +8,8 @@
 )
 
 // report answers a worker.
-func (c *Core) report(in *ReportIn) {
-	r := in.Report
+func (c *Core) report(in *HeartbeatRequest) {
+	r := in.Heartbeat
 	if !c.synced {
 		c.unavailable(in.Request, "starting")
 		return
@@ -21,7 +21,7 @@
 			c.leader.found(c, r)
 			c.unavailable(in.Request, "unknown machine")
 		case l.ModRevision != 0 && l.Value.Member != c.proc.Member && !c.alone():
-			c.answer(Answer{Request: in.Request, Kind: Elsewhere, Steward: l.Value.Member})
+			c.answer(Response{Request: in.Request, Kind: HeartbeatRedirected, RedirectTo: l.Value.Member})
 		default:
 			c.unavailable(in.Request, "no leader")
 		}
@@ -31,7 +31,7 @@
 	if h == nil {
 		q, ok := c.replica.Partitions[b.Value.Partition]
 		if ok && q.Value.Leader.Member != c.proc.Member && c.replica.Live(q.Value.Leader) && !c.alone() && !c.outOfReach(r, b.Value, q) {
-			c.answer(Answer{Request: in.Request, Kind: Elsewhere, Steward: q.Value.Leader.Member})
+			c.answer(Response{Request: in.Request, Kind: HeartbeatRedirected, RedirectTo: q.Value.Leader.Member})
 		} else {
 			c.unavailable(in.Request, "no holder")
 		}
@@ -40,8 +40,8 @@
 	h.report(in, h.machine(r.Machine))
 }
 
-func (h *holder) report(in *ReportIn, m *machine) {
-	r := in.Report
+func (h *holder) report(in *HeartbeatRequest, m *machine) {
+	r := in.Heartbeat
 	switch {
 	case m == nil:
 		h.c.unavailable(in.Request, "unknown machine")
@@ -50,16 +50,16 @@
 		// Silence past the term: a cancellation that is not seen here must end
 		// these tasks when the workers' leases run out. Nobody is named: what is
 		// known here of other holders is as old as the term.
-		h.c.answer(Answer{Request: in.Request, Kind: Elsewhere})
+		h.c.answer(Response{Request: in.Request, Kind: HeartbeatRedirected})
 		return
-	case r.Token > h.token:
+	case r.FencingToken > h.token:
 		// The worker would drop a 200 and stay here until its tasks die.
 		h.outranked()
-		h.c.answer(Answer{Request: in.Request, Kind: Elsewhere})
+		h.c.answer(Response{Request: in.Request, Kind: HeartbeatRedirected})
 		return
 	}
 	newer := m.newer(r)
-	if !newer && (r.Session < m.session || r.Seq <= m.floor || h.c.now-m.news > answerPatience || r.Token < m.top) {
+	if !newer && (r.AgentEpoch < m.session || r.Sequence <= m.floor || h.c.now-m.news > answerPatience || r.FencingToken < m.top) {
 		// A copy of an old report, whose answer reaches nobody, or a worker that
 		// began anew: an answer must neither count nor renew a lease.
 		h.odd("old report", m, r)
@@ -81,12 +81,12 @@
 	if newer {
 		cmds = h.orders(m)
 	}
-	h.c.answer(Answer{Request: in.Request, Kind: Orders, Token: h.token, Commands: cmds})
+	h.c.answer(Response{Request: in.Request, Kind: HeartbeatAcknowledged, FencingToken: h.token, Commands: cmds})
 }
 
 // newer tells whether a report is newer than all that is known of the machine.
-func (m *machine) newer(r *Report) bool {
-	return r.Session > m.session || (r.Session == m.session && r.Seq > m.seq)
+func (m *machine) newer(r *Heartbeat) bool {
+	return r.AgentEpoch > m.session || (r.AgentEpoch == m.session && r.Sequence > m.seq)
 }
 
 // maxVain is how many answers in a row may be shown as not received before a
@@ -100,11 +100,11 @@
 // report proves nothing about the way back: a machine that reports but cannot be
 // answered must neither count as sound nor have its lease renewed by answers that
 // never arrive.
-func (h *holder) reached(m *machine, r *Report) {
+func (h *holder) reached(m *machine, r *Heartbeat) {
 	if m.replied == 0 {
 		return
 	}
-	if r.Token < h.since || r.Session > m.session {
+	if r.FencingToken < h.since || r.AgentEpoch > m.session {
 		// Our answers under this lease, or in its last session, did not arrive.
 		m.vain++
 	} else if h.c.now-m.replied < answerPatience-1500*micros.Millisecond {
@@ -134,10 +134,10 @@
 		case a.state == Exited:
 			// A start that may still arrive would begin a forgotten attempt anew.
 			if a.shown && a.stored && a.open == 0 && a.lost == 0 {
-				out = append(out, Command{Op: Forget, AttemptID: id})
+				out = append(out, Command{Operation: Forget, AttemptID: id})
 			}
 		case a.stop:
-			out = append(out, Command{Op: Stop, AttemptID: id, Grace: h.graceLeft(a)})
+			out = append(out, Command{Operation: Stop, AttemptID: id, GracePeriod: h.graceLeft(a)})
 		}
 	}
 	slices.SortFunc(out, func(a, b Command) int { return a.compare(b.AttemptID) })
@@ -153,23 +153,23 @@
 }
 
 // observe takes a worker's report, from whichever way it came.
-func (h *holder) observe(m *machine, r *Report) {
+func (h *holder) observe(m *machine, r *Heartbeat) {
 	if !m.newer(r) {
 		return // older than what is known
 	}
-	if r.Session == m.session && r.Token < m.top && m.top >= h.since {
+	if r.AgentEpoch == m.session && r.FencingToken < m.top && m.top >= h.since {
 		// A worker never forgets a token: this one began anew under its old name.
 		h.restarted(m)
 		return
 	}
-	if r.Session > m.session {
-		h.newSession(m, r.Session)
+	if r.AgentEpoch > m.session {
+		h.newSession(m, r.AgentEpoch)
 	}
 	if h.c.now-m.floorAt > answerPatience {
-		m.floor, m.floorNew, m.floorAt = m.floorNew, r.Seq, h.c.now
+		m.floor, m.floorNew, m.floorAt = m.floorNew, r.Sequence, h.c.now
 	}
-	m.seq, m.news = r.Seq, h.c.now
-	m.top = max(m.top, r.Token)
+	m.seq, m.news = r.Sequence, h.c.now
+	m.top = max(m.top, r.FencingToken)
 	if m.expired {
 		h.odd("of an ended session", m, r)
 		return // sent before its lease ran out, and late: what it shows is gone
@@ -178,15 +178,15 @@
 		m.addr = r.Address
 	}
 	m.notice = 0
-	if r.Notice >= 0 {
-		m.notice = h.c.now + r.Notice
+	if r.PreemptionNotice >= 0 {
+		m.notice = h.c.now + r.PreemptionNotice
 	}
-	if r.Token > h.token {
+	if r.FencingToken > h.token {
 		h.outranked()
 		return
 	}
-	m.ack = r.Token
-	if r.Token < h.since {
+	m.ack = r.FencingToken
+	if r.FencingToken < h.since {
 		// Not an exchange under this lease: perhaps a copy of an old report, perhaps
 		// overtaken by what the predecessor still orders. It says nothing of tasks.
 		return
@@ -216,7 +216,7 @@
 }
 
 // takeTasks takes a report's tasks for the truth about its machine.
-func (h *holder) takeTasks(m *machine, r *Report) {
+func (h *holder) takeTasks(m *machine, r *Heartbeat) {
 	shown := make(map[AttemptID]bool, len(r.Tasks))
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
@@ -248,10 +248,10 @@
 const oddEvery = 5 * micros.Second
 
 // odd tells the operator of a report that is not believed.
-func (h *holder) odd(why string, m *machine, r *Report) {
+func (h *holder) odd(why string, m *machine, r *Heartbeat) {
 	if h.c.now-h.oddAt >= oddEvery || h.oddAt == 0 {
 		h.oddAt = h.c.now
-		h.c.log(levelInfo, "report not believed", "why", why, "machine", m.id, "session", r.Session, "seq", r.Seq, "known_session", m.session,
+		h.c.log(levelInfo, "report not believed", "why", why, "machine", m.id, "session", r.AgentEpoch, "seq", r.Sequence, "known_session", m.session,
 			"known_seq", m.seq)
 	}
 }
@@ -266,7 +266,7 @@
 }
 
 // adopt takes an attempt that this holder did not start.
-func (h *holder) adopt(m *machine, t *TaskReport) *attempt {
+func (h *holder) adopt(m *machine, t *TaskStatus) *attempt {
 	a := &attempt{id: t.AttemptID, m: m, state: t.State, made: h.c.now, sent: true}
 	a.j = h.jobs[t.Job]
 	if e := h.c.replica.Jobs[t.Job]; e != nil {
@@ -320,7 +320,7 @@
 	return a
 }
 
-func (h *holder) update(a *attempt, t *TaskReport) {
+func (h *holder) update(a *attempt, t *TaskStatus) {
 	if a.state == Exited {
 		return
 	}
@@ -345,8 +345,8 @@
 		return
 	}
 	j := a.j
-	switch t.Cause {
-	case CauseDone:
+	switch t.ExitReason {
+	case ExitCompleted:
 		if a.own && a.running > 0 {
 			if j.ranN >= 2 { // against its siblings: the owner's estimate says little
 				a.m.ran += min(20, float64(h.c.now-a.running)*float64(j.ranN)/float64(max(1, j.ran)))
@@ -359,17 +359,17 @@
 		h.c.faults.Succeeded(a.m.id, j.ID)
 		h.finish(a)
 		return
-	case CauseError:
+	case ExitFailed:
 		h.c.faults.Failed(a.m.id, j.ID)
 		h.c.log(levelInfo, "task failed", "job", j.ID, "task", a.id.Task, "machine", a.m.id)
 		if h.c.faults.JobAtFault(j.ID) {
 			// Failing everywhere: try less and less often, until its user cancels it.
 			j.pause = h.c.now + min(60*micros.Second, micros.Second<<min(6, h.c.faults.Failures(j.ID)))
 		}
-	case CauseNoRoom, CauseBusy:
+	case ExitInsufficientResources, ExitDuplicateTask:
 		a.m.pause = h.c.now + micros.Second
-		h.c.log(levelInfo, "start refused", "job", j.ID, "task", a.id.Task, "machine", a.m.id, "cause", t.Cause)
-	case CauseUnknown:
+		h.c.log(levelInfo, "start refused", "job", j.ID, "task", a.id.Task, "machine", a.m.id, "cause", t.ExitReason)
+	case ExitUnknownTask:
 		j.pause = h.c.now + 2*micros.Second
 	}
 	a.stored = true
--- a/internal/coordination/scheduling.go
+++ b/internal/coordination/scheduling.go
@@ -321,7 +321,7 @@
 	j.live[t] = a
 	j.waiting.Remove(t)
 	h.enter(a)
-	m.outbox = append(m.outbox, Command{Op: Start, AttemptID: a.id})
+	m.outbox = append(m.outbox, Command{Operation: Start, AttemptID: a.id})
 	// Other tasks of the image need not wait for it as long.
 	m.useImage(j.Image, j.ImageGB)
 	return true
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -11,10 +11,10 @@
 // comeBack is when a refused user may try again.
 const comeBack = micros.Second
 
-func (c *Core) answer(a Answer) { c.out.Answers = append(c.out.Answers, a) }
+func (c *Core) answer(a Response) { c.out.Responses = append(c.out.Responses, a) }
 
 func (c *Core) unavailable(id RequestID, why string) {
-	c.answer(Answer{Request: id, Kind: Unavailable, Text: why, RetryAfter: comeBack})
+	c.answer(Response{Request: id, Kind: ServiceUnavailable, Text: why, RetryAfter: comeBack})
 }
 
 // final answers from what can never change, if it is known.
@@ -23,12 +23,12 @@
 	if e == nil || (e.Job.Phase == bookkeeping.Active && !e.CancelledByDependency) {
 		return false
 	}
-	c.answer(Answer{Request: req, Kind: View, Job: c.view(e)})
+	c.answer(Response{Request: req, Kind: JobFound, Job: c.view(e)})
 	return true
 }
 
-func (c *Core) view(e *storage.JobEntry) JobView {
-	v := JobView{ID: e.Job.ID, Phase: e.Job.Phase}
+func (c *Core) view(e *storage.JobEntry) JobStatus {
+	v := JobStatus{ID: e.Job.ID, Phase: e.Job.Phase}
 	if e.CancelledByDependency {
 		v.Phase = bookkeeping.Cancelled
 	}
@@ -62,7 +62,7 @@
 					c.unavailable(req, "the state service does not answer")
 					return
 				}
-				c.answer(Answer{Request: req, Kind: View, Job: c.view(e)})
+				c.answer(Response{Request: req, Kind: JobFound, Job: c.view(e)})
 			})
 		default:
 			c.archived(id, func(e *storage.JobEntry, ok bool) {
@@ -70,7 +70,7 @@
 				case !ok:
 					c.unavailable(req, "the state service does not answer")
 				case e != nil:
-					c.answer(Answer{Request: req, Kind: View, Job: c.view(e)})
+					c.answer(Response{Request: req, Kind: JobFound, Job: c.view(e)})
 				default:
 					missing()
 				}
@@ -80,13 +80,13 @@
 }
 
 func (c *Core) lookup(in *Lookup) {
-	c.viewOr(in.Request, in.ID, func() { c.answer(Answer{Request: in.Request, Kind: Missing}) })
+	c.viewOr(in.Request, in.ID, func() { c.answer(Response{Request: in.Request, Kind: JobNotFound}) })
 }
 
 func (c *Core) submit(in *Submit) {
 	req, id := in.Request, in.ID
 	if id == "" {
-		c.answer(Answer{Request: req, Kind: Malformed, Text: in.Fault})
+		c.answer(Response{Request: req, Kind: RequestMalformed, Text: in.Fault})
 		return
 	}
 	if c.replica.Jobs[id] != nil {
@@ -96,7 +96,7 @@
 	// A job that is known already gets 200 whatever its repetition looks like, so
 	// faults are told only after the record was looked up.
 	if in.Job == nil {
-		c.viewOr(req, id, func() { c.answer(Answer{Request: req, Kind: Malformed, Text: in.Fault}) })
+		c.viewOr(req, id, func() { c.answer(Response{Request: req, Kind: RequestMalformed, Text: in.Fault}) })
 		return
 	}
 	if !c.stateOK() {
@@ -132,7 +132,7 @@
 // cannotRun refuses a job that can never run, unless it is known: then its user is told
 // of it, whatever the repeated submission looks like.
 func (c *Core) cannotRun(req RequestID, id, why string) {
-	c.viewOr(req, id, func() { c.answer(Answer{Request: req, Kind: Impossible, Text: why}) })
+	c.viewOr(req, id, func() { c.answer(Response{Request: req, Kind: JobUnschedulable, Text: why}) })
 }
 
 // accept writes a job's record, by which it is accepted, under further conditions.
@@ -150,7 +150,7 @@
 		switch r.Outcome {
 		case storage.OK:
 			c.accepted(job)
-			c.answer(Answer{Request: req, Kind: Accepted, Job: JobView{ID: id, Phase: job.Phase}})
+			c.answer(Response{Request: req, Kind: JobAccepted, Job: JobStatus{ID: id, Phase: job.Phase}})
 		case storage.Conflict:
 			c.viewOr(req, id, func() { c.unavailable(req, "try again") })
 		case storage.Unavailable:
@@ -162,7 +162,7 @@
 	})
 	if !sent {
 		c.shed()
-		c.answer(Answer{Request: req, Kind: Overloaded, Text: "too many changes", RetryAfter: comeBack})
+		c.answer(Response{Request: req, Kind: Overloaded, Text: "too many changes", RetryAfter: comeBack})
 	}
 }
 
@@ -193,7 +193,7 @@
 			case !ok || tries <= 0:
 				c.unavailable(in.Request, "the state service does not answer")
 			case c.replica.Jobs[in.ID] == nil:
-				c.viewOr(in.Request, in.ID, func() { c.answer(Answer{Request: in.Request, Kind: Missing}) })
+				c.viewOr(in.Request, in.ID, func() { c.answer(Response{Request: in.Request, Kind: JobNotFound}) })
 			default:
 				c.tryCancel(in, tries-1)
 			}
@@ -217,7 +217,7 @@
 		switch {
 		case r.Outcome == storage.OK:
 			c.confirmed(in.ID, r.Revision, true)
-			c.answer(Answer{Request: in.Request, Kind: View, Job: JobView{ID: in.ID, Phase: bookkeeping.Cancelled}})
+			c.answer(Response{Request: in.Request, Kind: JobFound, Job: JobStatus{ID: in.ID, Phase: bookkeeping.Cancelled}})
 		case r.Outcome == storage.Conflict && tries > 0:
 			c.fresh(func(ok bool) {
 				if !ok {
@@ -231,6 +231,6 @@
 		}
 	})
 	if !sent {
-		c.answer(Answer{Request: in.Request, Kind: Overloaded, Text: "too many changes", RetryAfter: comeBack})
+		c.answer(Response{Request: in.Request, Kind: Overloaded, Text: "too many changes", RetryAfter: comeBack})
 	}
 }
--- a/internal/coordination/waits.go
+++ b/internal/coordination/waits.go
@@ -192,7 +192,7 @@
 		}
 		c.storeParts(req, job, parts[n:], first)
 	}) {
-		c.answer(Answer{Request: req, Kind: Overloaded, Text: "too many changes", RetryAfter: comeBack})
+		c.answer(Response{Request: req, Kind: Overloaded, Text: "too many changes", RetryAfter: comeBack})
 	}
 }
 
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -20,16 +20,16 @@
 
 // EncodeCloud writes a request to the cloud.
 func EncodeCloud(c *coordination.CloudCall) HTTPRequest {
-	switch c.Kind {
-	case coordination.CloudRent:
+	switch c.Operation {
+	case coordination.CloudRequestInstances:
 		return HTTPRequest{"POST", "/machines", mustJSON(struct {
 			Charter string `json:"charter"`
 			Hull    string `json:"hull"`
 			Berth   string `json:"berth"`
 			Loaners bool   `json:"loaners"`
 			Count   int    `json:"count"`
-		}{c.Charter, c.Rental.InstanceType, c.Rental.Zone, c.Rental.Spot, c.Rental.Count})}
-	case coordination.CloudDelete:
+		}{c.InstanceRequestID, c.InstanceRequest.InstanceType, c.InstanceRequest.Zone, c.InstanceRequest.Spot, c.InstanceRequest.Count})}
+	case coordination.CloudTerminate:
 		return HTTPRequest{"POST", "/machines/delete", mustJSON(struct {
 			Hosts []string `json:"hosts"`
 		}{c.Names})}
@@ -59,20 +59,20 @@
 
 // DecodeCloud reads the cloud's answer. One that cannot be read counts as lost:
 // what it was about may have happened.
-func DecodeCloud(kind coordination.CloudKind, status int, body []byte) (*coordination.CloudReply, error) {
-	lost := &coordination.CloudReply{Outcome: coordination.CloudLost}
+func DecodeCloud(kind coordination.CloudOperation, status int, body []byte) (*coordination.CloudReply, error) {
+	lost := &coordination.CloudReply{Outcome: coordination.CloudOutcomeUnknown}
 	switch status {
 	case 200:
 	case 429:
-		return &coordination.CloudReply{Outcome: coordination.CloudRefused}, nil
+		return &coordination.CloudReply{Outcome: coordination.CloudRejected}, nil
 	case 503:
 		var e struct {
 			Error string `json:"error"`
 		}
-		if err := json.Unmarshal(body, &e); err == nil && e.Error == "no capacity" && kind == coordination.CloudRent {
-			return &coordination.CloudReply{Outcome: coordination.CloudNoCapacity}, nil
+		if err := json.Unmarshal(body, &e); err == nil && e.Error == "no capacity" && kind == coordination.CloudRequestInstances {
+			return &coordination.CloudReply{Outcome: coordination.CloudInsufficientCapacity}, nil
 		}
-		return &coordination.CloudReply{Outcome: coordination.CloudRefused}, nil
+		return &coordination.CloudReply{Outcome: coordination.CloudRejected}, nil
 	default:
 		return lost, fmt.Errorf("cloud: status %d", status)
 	}
@@ -81,10 +81,10 @@
 	switch kind {
 	case coordination.CloudCatalog:
 		out.Catalog, err = decodeCatalog(body)
-	case coordination.CloudRent:
+	case coordination.CloudRequestInstances:
 		out.Names, err = decodeRental(body)
 	case coordination.CloudList:
-		out.Listed, out.More, err = decodeMachines(body)
+		out.Instances, out.More, err = decodeMachines(body)
 	}
 	if err != nil {
 		return lost, fmt.Errorf("cloud: %w", err)
@@ -129,7 +129,7 @@
 	return h.Hosts, nil
 }
 
-func decodeMachines(body []byte) (machines []coordination.Listed, more bool, err error) {
+func decodeMachines(body []byte) (machines []coordination.Instance, more bool, err error) {
 	var l struct {
 		Hosts []struct {
 			Ref      string  `json:"ref"`
@@ -149,7 +149,7 @@
 		if h.Ref == "" || len(h.Ref) > maxMachineName {
 			continue
 		}
-		machines = append(machines, coordination.Listed{Machine: h.Ref, Address: h.Endpoint, Type: h.Hull, Zone: h.Berth,
+		machines = append(machines, coordination.Instance{Machine: h.Ref, Address: h.Endpoint, InstanceType: h.Hull, Zone: h.Berth,
 			Spot: h.Loaners, Running: h.Phase == "running", Failed: h.Phase == "failed", Age: micros.FromSeconds(h.HeldS)})
 	}
 	return machines, l.HasNext, nil
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -56,15 +56,15 @@
 }
 
 func TestStatusRoundTrip(t *testing.T) {
-	s := &coordination.Status{From: storage.Process{Member: "a", Incarnation: "x"}, Revision: 77, StateOK: true,
-		Queues: []coordination.QueueStatus{{Queue: 1, Token: 9, Lost: []string{"a", "b"}, Release: []string{"vm-1"}, Idle: []string{"vm-2", "vm-3"},
-			Needs: []fleet.CapacityRequest{{Resources: bookkeeping.Resources{CPU: 1, GPU: 2, Mem: 3}, Count: 4, Spot: true, InstanceTypes: []string{"t"}, Zone: "z",
+	s := &coordination.PeerStatus{From: storage.Process{Member: "a", Incarnation: "x"}, Revision: 77, StoreReachable: true,
+		Partitions: []coordination.PartitionStatus{{Partition: 1, FencingToken: 9, UnreachableZones: []string{"a", "b"}, Terminate: []string{"vm-1"}, Idle: []string{"vm-2", "vm-3"},
+			CapacityRequests: []fleet.CapacityRequest{{Resources: bookkeeping.Resources{CPU: 1, GPU: 2, Mem: 3}, Count: 4, Spot: true, InstanceTypes: []string{"t"}, Zone: "z",
 				Service: true, Replicas: 5, Urgent: true, Hold: 6}}}},
-		Gone: []string{"vm-9"}, Shifts: []coordination.Shift{{Machine: "vm-4", To: 1}},
+		TerminatedMachines: []string{"vm-9"}, Transfers: []coordination.MachineTransfer{{Machine: "vm-4", ToPartition: 1}},
 		Progress: []coordination.JobProgress{{ID: "wk-1", Done: 2, Running: 3}},
-		Used:     storage.Usage{Requests: 1500, Writes: 2500}, Reach: []coordination.ZoneReach{{Queue: 1, Zone: "a", Asked: 8, Answered: 5}},
+		Usage:    storage.Usage{Requests: 1500, Writes: 2500}, Reachability: []coordination.ZoneReachability{{Partition: 1, Zone: "a", Probed: 8, Answered: 5}},
 		Cancelled: []string{"wk-7", "wk-8"}, CancelledUpTo: 12,
-		CancelsHeard: []coordination.CancelsHeard{{From: storage.Process{Member: "b", Incarnation: "y"}, UpTo: 3}}}
+		CancellationAcks: []coordination.CancellationAck{{From: storage.Process{Member: "b", Incarnation: "y"}, UpTo: 3}}}
 	got, err := DecodeStatus(EncodeStatus(s))
 	if err != nil || !reflect.DeepEqual(got, s) {
 		t.Errorf("got %+v, %v", got, err)
@@ -73,7 +73,7 @@
 
 // TestDamagedInput feeds noise to every decoder: none may panic.
 func TestDamagedInput(t *testing.T) {
-	raw := EncodeStatus(&coordination.Status{From: storage.Process{Member: "a"}, Gone: []string{"vm-1", "vm-2"}})
+	raw := EncodeStatus(&coordination.PeerStatus{From: storage.Process{Member: "a"}, TerminatedMachines: []string{"vm-1", "vm-2"}})
 	rapid.Check(t, func(t *rapid.T) {
 		b := append([]byte(nil), raw...)
 		for range rapid.IntRange(1, 8).Draw(t, "damage") {
@@ -103,10 +103,10 @@
 	if r, err := DecodeState(storage.Txn, 200, []byte("<html>")); r.Outcome != storage.OutcomeUnknown || err == nil {
 		t.Errorf("state: %v %v", r.Outcome, err)
 	}
-	if r, err := DecodeCloud(coordination.CloudRent, 200, []byte(`{"hosts":[""]}`)); r.Outcome != coordination.CloudLost || err == nil {
+	if r, err := DecodeCloud(coordination.CloudRequestInstances, 200, []byte(`{"hosts":[""]}`)); r.Outcome != coordination.CloudOutcomeUnknown || err == nil {
 		t.Errorf("cloud: %v %v", r.Outcome, err)
 	}
-	if r := DecodeWorker(200, []byte(`{"host":"vm-1","tenure":1,"shards":[{"shard":"wk-1/0","try":1,"phase":"dreaming"}]}`)); r.Report != nil {
+	if r := DecodeWorker(200, []byte(`{"host":"vm-1","tenure":1,"shards":[{"shard":"wk-1/0","try":1,"phase":"dreaming"}]}`)); r.Heartbeat != nil {
 		t.Error("worker: an unknown state was believed")
 	}
 }
@@ -134,15 +134,15 @@
 	tracker.Admitted(1, flow)
 	tracker.Refused(1)
 	demand := tracker.Demand(2)
-	s := &coordination.Status{From: storage.Process{Member: "a", Incarnation: "x"}, Demand: &demand, Queues: []coordination.QueueStatus{{
-		Queue: 1, Token: 9, Lags: []admission.FlowLag{{Flow: flow, Lag: admission.Lag{Team: 5, Class: -7}}}}}}
+	s := &coordination.PeerStatus{From: storage.Process{Member: "a", Incarnation: "x"}, Demand: &demand, Partitions: []coordination.PartitionStatus{{
+		Partition: 1, FencingToken: 9, Lags: []admission.FlowLag{{Flow: flow, Lag: admission.Lag{Team: 5, Class: -7}}}}}}
 	raw := EncodeStatus(s)
 	got, err := DecodeStatus(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(got.Queues[0].Lags, s.Queues[0].Lags) {
-		t.Errorf("lags: %+v", got.Queues[0].Lags)
+	if !reflect.DeepEqual(got.Partitions[0].Lags, s.Partitions[0].Lags) {
+		t.Errorf("lags: %+v", got.Partitions[0].Lags)
 	}
 	d := got.Demand
 	if d == nil || d.Refused != 1 || d.Admitted != 1 || d.AcceptRate != demand.AcceptRate || len(d.Flows) != 1 {
@@ -160,7 +160,7 @@
 		t.Fatal("the sketch is not in the message as it is")
 	}
 	raw[at] = 99 // a version that does not exist
-	if got, err = DecodeStatus(raw); err != nil || got.Demand != nil || len(got.Queues) != 1 {
+	if got, err = DecodeStatus(raw); err != nil || got.Demand != nil || len(got.Partitions) != 1 {
 		t.Errorf("damaged: %+v, %v", got, err)
 	}
 }
--- a/internal/protocol/siblings.go
+++ b/internal/protocol/siblings.go
@@ -35,24 +35,24 @@
 }
 
 // EncodeStatus writes a message to a sibling.
-func EncodeStatus(s *coordination.Status) []byte {
+func EncodeStatus(s *coordination.PeerStatus) []byte {
 	b := flatbuffers.NewBuilder(1024)
-	queues, shifts, progress := encodeQueues(b, s.Queues), encodeShifts(b, s.Shifts), encodeProgress(b, s.Progress)
-	reach, heard := encodeReach(b, s.Reach), encodeCancelsHeard(b, s.CancelsHeard)
-	cancelled, gone := strings(b, s.Cancelled), strings(b, s.Gone)
+	queues, shifts, progress := encodeQueues(b, s.Partitions), encodeShifts(b, s.Transfers), encodeProgress(b, s.Progress)
+	reach, heard := encodeReach(b, s.Reachability), encodeCancelsHeard(b, s.CancellationAcks)
+	cancelled, gone := strings(b, s.Cancelled), strings(b, s.TerminatedMachines)
 	demand := encodeDemand(b, s.Demand)
 	member, incarnation := b.CreateString(s.From.Member), b.CreateString(s.From.Incarnation)
 	wire.StatusStart(b)
 	wire.StatusAddMember(b, member)
 	wire.StatusAddIncarnation(b, incarnation)
 	wire.StatusAddRevision(b, s.Revision)
-	wire.StatusAddStateOk(b, s.StateOK)
+	wire.StatusAddStateOk(b, s.StoreReachable)
 	wire.StatusAddQueues(b, queues)
 	wire.StatusAddGone(b, gone)
 	wire.StatusAddShifts(b, shifts)
 	wire.StatusAddProgress(b, progress)
-	wire.StatusAddRequests(b, s.Used.Requests)
-	wire.StatusAddWrites(b, s.Used.Writes)
+	wire.StatusAddRequests(b, s.Usage.Requests)
+	wire.StatusAddWrites(b, s.Usage.Writes)
 	wire.StatusAddReach(b, reach)
 	wire.StatusAddCancelled(b, cancelled)
 	wire.StatusAddCancelledUpTo(b, s.CancelledUpTo)
@@ -64,14 +64,14 @@
 	return b.FinishedBytes()
 }
 
-func encodeQueues(b *flatbuffers.Builder, list []coordination.QueueStatus) flatbuffers.UOffsetT {
+func encodeQueues(b *flatbuffers.Builder, list []coordination.PartitionStatus) flatbuffers.UOffsetT {
 	var queues []flatbuffers.UOffsetT
 	for _, q := range list {
-		needs, release, idle, lost := encodeNeeds(b, q.Needs), strings(b, q.Release), strings(b, q.Idle), strings(b, q.Lost)
+		needs, release, idle, lost := encodeNeeds(b, q.CapacityRequests), strings(b, q.Terminate), strings(b, q.Idle), strings(b, q.UnreachableZones)
 		lags := encodeLags(b, q.Lags)
 		wire.QueueStatusStart(b)
-		wire.QueueStatusAddQueue(b, int32(q.Queue))
-		wire.QueueStatusAddToken(b, q.Token)
+		wire.QueueStatusAddQueue(b, int32(q.Partition))
+		wire.QueueStatusAddToken(b, q.FencingToken)
 		wire.QueueStatusAddNeeds(b, needs)
 		wire.QueueStatusAddRelease(b, release)
 		wire.QueueStatusAddIdle(b, idle)
@@ -103,13 +103,13 @@
 	return vector(b, needs)
 }
 
-func encodeShifts(b *flatbuffers.Builder, list []coordination.Shift) flatbuffers.UOffsetT {
+func encodeShifts(b *flatbuffers.Builder, list []coordination.MachineTransfer) flatbuffers.UOffsetT {
 	var shifts []flatbuffers.UOffsetT
 	for _, sh := range list {
 		m := b.CreateString(sh.Machine)
 		wire.ShiftStart(b)
 		wire.ShiftAddMachine(b, m)
-		wire.ShiftAddTo(b, int32(sh.To))
+		wire.ShiftAddTo(b, int32(sh.ToPartition))
 		shifts = append(shifts, wire.ShiftEnd(b))
 	}
 	return vector(b, shifts)
@@ -128,21 +128,21 @@
 	return vector(b, progress)
 }
 
-func encodeReach(b *flatbuffers.Builder, list []coordination.ZoneReach) flatbuffers.UOffsetT {
+func encodeReach(b *flatbuffers.Builder, list []coordination.ZoneReachability) flatbuffers.UOffsetT {
 	var reach []flatbuffers.UOffsetT
 	for _, z := range list {
 		zone := b.CreateString(z.Zone)
 		wire.ZoneReachStart(b)
-		wire.ZoneReachAddQueue(b, int32(z.Queue))
+		wire.ZoneReachAddQueue(b, int32(z.Partition))
 		wire.ZoneReachAddZone(b, zone)
-		wire.ZoneReachAddAsked(b, int32(z.Asked))
+		wire.ZoneReachAddAsked(b, int32(z.Probed))
 		wire.ZoneReachAddAnswered(b, int32(z.Answered))
 		reach = append(reach, wire.ZoneReachEnd(b))
 	}
 	return vector(b, reach)
 }
 
-func encodeCancelsHeard(b *flatbuffers.Builder, list []coordination.CancelsHeard) flatbuffers.UOffsetT {
+func encodeCancelsHeard(b *flatbuffers.Builder, list []coordination.CancellationAck) flatbuffers.UOffsetT {
 	var heard []flatbuffers.UOffsetT
 	for _, h := range list {
 		member, incarnation := b.CreateString(h.From.Member), b.CreateString(h.From.Incarnation)
@@ -229,7 +229,7 @@
 
 // DecodeStatus reads a message from a sibling. FlatBuffers are not verified when
 // they are read, so a damaged one ends in a panic, which becomes an error here.
-func DecodeStatus(raw []byte) (s *coordination.Status, err error) {
+func DecodeStatus(raw []byte) (s *coordination.PeerStatus, err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			s, err = nil, fmt.Errorf("damaged status: %v", r)
@@ -239,30 +239,30 @@
 		return nil, fmt.Errorf("damaged status: %d bytes", len(raw))
 	}
 	w := wire.GetRootAsStatus(raw, 0)
-	s = &coordination.Status{From: storage.Process{Member: string(w.Member()), Incarnation: string(w.Incarnation())},
-		Revision: w.Revision(), StateOK: w.StateOk(), Gone: stringList(w.GoneLength(), w.Gone),
-		Used:      storage.Usage{Requests: w.Requests(), Writes: w.Writes()},
+	s = &coordination.PeerStatus{From: storage.Process{Member: string(w.Member()), Incarnation: string(w.Incarnation())},
+		Revision: w.Revision(), StoreReachable: w.StateOk(), TerminatedMachines: stringList(w.GoneLength(), w.Gone),
+		Usage:     storage.Usage{Requests: w.Requests(), Writes: w.Writes()},
 		Cancelled: stringList(w.CancelledLength(), w.Cancelled), CancelledUpTo: w.CancelledUpTo()}
 	for i := range w.CancelsHeardLength() {
 		var h wire.CancelsHeard
 		w.CancelsHeard(&h, i)
-		s.CancelsHeard = append(s.CancelsHeard, coordination.CancelsHeard{
+		s.CancellationAcks = append(s.CancellationAcks, coordination.CancellationAck{
 			From: storage.Process{Member: string(h.Member()), Incarnation: string(h.Incarnation())}, UpTo: h.UpTo()})
 	}
 	for i := range w.ReachLength() {
 		var z wire.ZoneReach
 		w.Reach(&z, i)
-		s.Reach = append(s.Reach, coordination.ZoneReach{Queue: int(z.Queue()), Zone: string(z.Zone()), Asked: int(z.Asked()), Answered: int(z.Answered())})
+		s.Reachability = append(s.Reachability, coordination.ZoneReachability{Partition: int(z.Queue()), Zone: string(z.Zone()), Probed: int(z.Asked()), Answered: int(z.Answered())})
 	}
 	for i := range w.QueuesLength() {
 		var q wire.QueueStatus
 		w.Queues(&q, i)
-		s.Queues = append(s.Queues, decodeQueue(&q))
+		s.Partitions = append(s.Partitions, decodeQueue(&q))
 	}
 	for i := range w.ShiftsLength() {
 		var sh wire.Shift
 		w.Shifts(&sh, i)
-		s.Shifts = append(s.Shifts, coordination.Shift{Machine: string(sh.Machine()), To: int(sh.To())})
+		s.Transfers = append(s.Transfers, coordination.MachineTransfer{Machine: string(sh.Machine()), ToPartition: int(sh.To())})
 	}
 	for i := range w.ProgressLength() {
 		var p wire.Progress
@@ -281,9 +281,9 @@
 	return s, nil
 }
 
-func decodeQueue(q *wire.QueueStatus) coordination.QueueStatus {
-	out := coordination.QueueStatus{Queue: int(q.Queue()), Token: q.Token(),
-		Release: stringList(q.ReleaseLength(), q.Release), Idle: stringList(q.IdleLength(), q.Idle), Lost: stringList(q.LostLength(), q.Lost)}
+func decodeQueue(q *wire.QueueStatus) coordination.PartitionStatus {
+	out := coordination.PartitionStatus{Partition: int(q.Queue()), FencingToken: q.Token(),
+		Terminate: stringList(q.ReleaseLength(), q.Release), Idle: stringList(q.IdleLength(), q.Idle), UnreachableZones: stringList(q.LostLength(), q.Lost)}
 	for k := range q.LagsLength() {
 		var l wire.FlowLag
 		q.Lags(&l, k)
@@ -292,7 +292,7 @@
 	for k := range q.NeedsLength() {
 		var n wire.Need
 		q.Needs(&n, k)
-		out.Needs = append(out.Needs, fleet.CapacityRequest{Resources: bookkeeping.Resources{CPU: n.Cpu(), GPU: n.Gpu(), Mem: n.Mem()},
+		out.CapacityRequests = append(out.CapacityRequests, fleet.CapacityRequest{Resources: bookkeeping.Resources{CPU: n.Cpu(), GPU: n.Gpu(), Mem: n.Mem()},
 			Count: int(n.Count()), Spot: n.Spot(), InstanceTypes: stringList(n.TypesLength(), n.Types), Zone: string(n.Zone()),
 			Service: n.Service(), Hold: n.Hold(), Replicas: int(n.Replicas()), Urgent: n.Urgent()})
 	}
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -185,7 +185,7 @@
 }
 
 // EncodeJob writes a job's state.
-func EncodeJob(v coordination.JobView) []byte {
+func EncodeJob(v coordination.JobStatus) []byte {
 	s := JobState{v.ID, "queued", v.Done, v.Running}
 	switch {
 	case v.Phase == bookkeeping.Done:
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -30,17 +30,17 @@
 
 var (
 	taskStates = map[string]coordination.TaskState{
-		"fetching": coordination.Fetching, "running": coordination.Running, "saving": coordination.Saving, "exited": coordination.Exited,
+		"fetching": coordination.Fetching, "running": coordination.Running, "saving": coordination.Checkpointing, "exited": coordination.Exited,
 	}
-	causes = map[string]coordination.Cause{
-		"done": coordination.CauseDone, "stopped": coordination.CauseStopped, "error": coordination.CauseError,
-		"no_room": coordination.CauseNoRoom, "busy": coordination.CauseBusy, "unknown": coordination.CauseUnknown,
+	causes = map[string]coordination.ExitReason{
+		"done": coordination.ExitCompleted, "stopped": coordination.ExitStopped, "error": coordination.ExitFailed,
+		"no_room": coordination.ExitInsufficientResources, "busy": coordination.ExitDuplicateTask, "unknown": coordination.ExitUnknownTask,
 	}
-	verbs = map[coordination.Op]string{coordination.Start: "run", coordination.Stop: "kill", coordination.Forget: "forget"}
+	verbs = map[coordination.Operation]string{coordination.Start: "run", coordination.Stop: "kill", coordination.Forget: "forget"}
 )
 
 // ParseReport reads a worker's report.
-func ParseReport(body []byte) (*coordination.Report, error) {
+func ParseReport(body []byte) (*coordination.Heartbeat, error) {
 	var r report
 	if err := json.Unmarshal(body, &r); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
@@ -48,10 +48,10 @@
 	if r.Host == "" || len(r.Host) > 150 || r.Tenure == 0 {
 		return nil, errors.New("report: host or tenure is missing")
 	}
-	out := &coordination.Report{Machine: r.Host, Address: r.Endpoint, Type: r.Hull, Zone: r.Berth, Spot: r.Loaners,
-		Session: r.Tenure, Seq: r.Tick, Token: r.Warrant, Notice: -1}
+	out := &coordination.Heartbeat{Machine: r.Host, Address: r.Endpoint, InstanceType: r.Hull, Zone: r.Berth, Spot: r.Loaners,
+		AgentEpoch: r.Tenure, Sequence: r.Tick, FencingToken: r.Warrant, PreemptionNotice: -1}
 	if r.RecallS != nil {
-		out.Notice = max(0, micros.FromSeconds(*r.RecallS))
+		out.PreemptionNotice = max(0, micros.FromSeconds(*r.RecallS))
 	}
 	for _, s := range r.Shards {
 		job, task, err := parseTaskID(s.Shard)
@@ -62,11 +62,11 @@
 		if !ok {
 			return nil, fmt.Errorf("report: task %s in an unknown state %q", s.Shard, s.Phase)
 		}
-		t := coordination.TaskReport{AttemptID: coordination.AttemptID{Job: job, Task: task, Number: s.Try}, State: state, Saved: s.Stored}
+		t := coordination.TaskStatus{AttemptID: coordination.AttemptID{Job: job, Task: task, Number: s.Try}, State: state, Checkpointed: s.Stored}
 		if state == coordination.Exited {
 			// A cause that is not known here counts as a stop: nothing is believed done.
-			if t.Cause, ok = causes[s.Cause]; !ok {
-				t.Cause = coordination.CauseStopped
+			if t.ExitReason, ok = causes[s.Cause]; !ok {
+				t.ExitReason = coordination.ExitStopped
 			}
 		}
 		out.Tasks = append(out.Tasks, t)
@@ -84,9 +84,9 @@
 func orders(cmds []coordination.Command) []order {
 	out := make([]order, 0, len(cmds))
 	for _, c := range cmds {
-		o := order{Verb: verbs[c.Op], Shard: taskID(c.Job, c.Task), Try: c.Number}
-		if c.Op == coordination.Stop {
-			s := micros.Seconds(c.Grace)
+		o := order{Verb: verbs[c.Operation], Shard: taskID(c.Job, c.Task), Try: c.Number}
+		if c.Operation == coordination.Stop {
+			s := micros.Seconds(c.GracePeriod)
 			o.WindDownS = &s
 		}
 		out = append(out, o)
@@ -110,22 +110,22 @@
 }
 
 // EncodeCommands writes commands that go straight to a worker.
-func EncodeCommands(c *coordination.WorkerCall) []byte {
+func EncodeCommands(c *coordination.AgentCall) []byte {
 	return mustJSON(struct {
 		Warrant uint64  `json:"warrant"`
 		Tenure  uint64  `json:"tenure"`
 		Orders  []order `json:"orders"`
-	}{c.Token, c.Session, orders(c.Commands)})
+	}{c.FencingToken, c.AgentEpoch, orders(c.Commands)})
 }
 
 // DecodeWorker reads a worker's answer; anything but a report counts as none.
-func DecodeWorker(status int, body []byte) *coordination.WorkerReply {
+func DecodeWorker(status int, body []byte) *coordination.AgentReply {
 	if status != 200 && status != 409 {
-		return &coordination.WorkerReply{}
+		return &coordination.AgentReply{}
 	}
 	r, err := ParseReport(body)
 	if err != nil {
-		return &coordination.WorkerReply{}
+		return &coordination.AgentReply{}
 	}
-	return &coordination.WorkerReply{Executed: status == 200, Report: r}
+	return &coordination.AgentReply{Executed: status == 200, Heartbeat: r}
 }
--- a/internal/scenario/admission_test.go
+++ b/internal/scenario/admission_test.go
@@ -37,14 +37,14 @@
 
 // hearLog holds what a controller logs of admission against the rule that no reference gets
 // two verdicts in one epoch, whichever nodes it asks.
-func (w *World) hearLog(l coordination.LogLine) {
-	if l.Text != "verdict" && l.Text != "flow behind its fair share" {
+func (w *World) hearLog(l coordination.LogRecord) {
+	if l.Message != "verdict" && l.Message != "flow behind its fair share" {
 		return
 	}
 	fields := map[string]any{}
-	for i := 0; i+1 < len(l.Args); i += 2 {
-		if name, ok := l.Args[i].(string); ok {
-			fields[name] = l.Args[i+1]
+	for i := 0; i+1 < len(l.Attributes); i += 2 {
+		if name, ok := l.Attributes[i].(string); ok {
+			fields[name] = l.Attributes[i+1]
 		}
 	}
 	if class, ok := fields["class"].(string); ok {
@@ -61,7 +61,7 @@
 	leader, _ := fields["leader"].(uint64)
 	admit, ok := fields["admit"].(bool)
 	if !ok || number == 0 {
-		w.breakRule("bench", "verdict of another form: %v", l.Args)
+		w.breakRule("bench", "verdict of another form: %v", l.Attributes)
 		return
 	}
 	w.verdicts.take(w, epochID{leader, number}, job, admit)
--- a/internal/scenario/checks_test.go
+++ b/internal/scenario/checks_test.go
@@ -79,7 +79,7 @@
 	},
 	"two_verdicts": func(w checkWorld) {
 		for _, admit := range []bool{true, false} {
-			w.hearLog(coordination.LogLine{Text: "verdict", Args: []any{"job", "wk-000001", "epoch", uint64(2), "leader", uint64(1), "admit", admit}})
+			w.hearLog(coordination.LogRecord{Message: "verdict", Attributes: []any{"job", "wk-000001", "epoch", uint64(2), "leader", uint64(1), "admit", admit}})
 		}
 	},
 	"accepted_twice": func(w checkWorld) {
@@ -151,7 +151,7 @@
 				t.Errorf("%s: message %d: %+v", version, i, s)
 			}
 			cancelled = cancelled || len(s.Cancelled) > 0
-			heard = heard || len(s.CancelsHeard) > 0
+			heard = heard || len(s.CancellationAcks) > 0
 		}
 		if cancelled != want.cancelled || heard != want.heard {
 			t.Errorf("%s: tells of cancellations: %v, of those heard: %v", version, cancelled, heard)
--- a/internal/scenario/digest_test.go
+++ b/internal/scenario/digest_test.go
@@ -130,9 +130,9 @@
 }
 
 // command records a call to a worker.
-func (d *digest) command(n *node, c *coordination.WorkerCall, body []byte) {
+func (d *digest) command(n *node, c *coordination.AgentCall, body []byte) {
 	kind := "worker:commands"
-	if c.Show {
+	if c.StatusOnly {
 		kind = "worker:show"
 	}
 	d.message(n, kind, c.Address, body, []byte(strconv.FormatInt(c.Timeout, 10)))
@@ -141,7 +141,7 @@
 // status records a message to a sibling. The bytes of a sketch depend on the order in which
 // Go goes through a map, though its contents do not: they are brought into one order first,
 // in a copy.
-func (d *digest) status(n *node, p coordination.PeerSend, raw []byte) {
+func (d *digest) status(n *node, p coordination.PeerMessage, raw []byte) {
 	if d == nil {
 		return
 	}
@@ -161,30 +161,30 @@
 
 // answer records an answer to a user or a worker. Users get a job's state as JSON, or a
 // text; workers get commands, or another node's name.
-func (d *digest) answer(n *node, a *coordination.Answer) {
+func (d *digest) answer(n *node, a *coordination.Response) {
 	if d == nil {
 		return
 	}
 	kind, body := "", []byte(nil)
 	switch a.Kind {
-	case coordination.Accepted:
+	case coordination.JobAccepted:
 		kind, body = "accepted", protocol.EncodeJob(a.Job)
-	case coordination.View:
+	case coordination.JobFound:
 		kind, body = "job", protocol.EncodeJob(a.Job)
-	case coordination.Malformed:
+	case coordination.RequestMalformed:
 		kind = "malformed"
-	case coordination.Impossible:
+	case coordination.JobUnschedulable:
 		kind = "impossible"
-	case coordination.Missing:
+	case coordination.JobNotFound:
 		kind = "missing"
-	case coordination.Unavailable:
+	case coordination.ServiceUnavailable:
 		kind = "unavailable"
 	case coordination.Overloaded:
 		kind = "overloaded"
-	case coordination.Orders:
-		kind, body = "commands", protocol.EncodeOrders(a.Token, a.Commands)
-	case coordination.Elsewhere:
-		kind, body = "elsewhere", protocol.EncodeElsewhere(a.Steward)
+	case coordination.HeartbeatAcknowledged:
+		kind, body = "commands", protocol.EncodeOrders(a.FencingToken, a.Commands)
+	case coordination.HeartbeatRedirected:
+		kind, body = "elsewhere", protocol.EncodeElsewhere(a.RedirectTo)
 	default:
 		panic("an answer of unknown kind")
 	}
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -94,9 +94,9 @@
 }
 
 // askNode asks one node, whatever the balancer thinks.
-func (u *users) askNode(n *node, input func(coordination.RequestID) coordination.Input, then func(coordination.Answer)) {
+func (u *users) askNode(n *node, input func(coordination.RequestID) coordination.Input, then func(coordination.Response)) {
 	u.w.send("users", n.name, func() {
-		n.ask(input, func(a coordination.Answer) { u.w.send(n.name, "users", func() { then(a) }) })
+		n.ask(input, func(a coordination.Response) { u.w.send(n.name, "users", func() { then(a) }) })
 	})
 }
 
@@ -108,14 +108,14 @@
 		return
 	}
 	done, cancelled := j.toldDone, j.cancelled != 0
-	check := func(n *node, what string, a coordination.Answer) {
+	check := func(n *node, what string, a coordination.Response) {
 		switch a.Kind {
-		case coordination.Accepted, coordination.View:
+		case coordination.JobAccepted, coordination.JobFound:
 			u.hear(j, protocol.EncodeJob(a.Job))
 			if (done && a.Job.Phase != bookkeeping.Done) || (cancelled && a.Job.Phase != bookkeeping.Cancelled) {
 				u.w.breakRule("went_back", "%s: %s at %s is answered with something older", j.ref, what, n.name)
 			}
-		case coordination.Missing, coordination.Malformed, coordination.Impossible:
+		case coordination.JobNotFound, coordination.RequestMalformed, coordination.JobUnschedulable:
 			u.w.breakRule("forgotten", "%s: %s at %s answers %v", j.ref, what, n.name, a.Kind)
 		}
 	}
@@ -124,7 +124,7 @@
 			u.w.after(u.w.rng.Int64N(8*micros.Millisecond), func() {
 				u.askNode(n, func(id coordination.RequestID) coordination.Input {
 					return &coordination.Lookup{Request: id, ID: j.ref}
-				}, func(a coordination.Answer) { check(n, "a question", a) })
+				}, func(a coordination.Response) { check(n, "a question", a) })
 			})
 		}
 		u.w.after(u.w.rng.Int64N(8*micros.Millisecond), func() {
@@ -134,7 +134,7 @@
 					u.w.breakRule("bench", "%v", err)
 				}
 				return &coordination.Submit{Request: id, ID: ref, Job: job}
-			}, func(a coordination.Answer) { check(n, "a repeated submission", a) })
+			}, func(a coordination.Response) { check(n, "a repeated submission", a) })
 		})
 	}
 }
--- a/internal/scenario/users_test.go
+++ b/internal/scenario/users_test.go
@@ -173,18 +173,18 @@
 	}
 	w.after(patience, func() { end(0, nil) })
 	w.send("users", n.name, func() {
-		n.ask(input, func(a coordination.Answer) {
+		n.ask(input, func(a coordination.Response) {
 			status, body := 503, []byte(nil)
 			switch a.Kind {
-			case coordination.Accepted:
+			case coordination.JobAccepted:
 				status, body = 201, protocol.EncodeJob(a.Job)
-			case coordination.View:
+			case coordination.JobFound:
 				status, body = 200, protocol.EncodeJob(a.Job)
-			case coordination.Malformed:
+			case coordination.RequestMalformed:
 				status = 400
-			case coordination.Impossible:
+			case coordination.JobUnschedulable:
 				status = 422
-			case coordination.Missing:
+			case coordination.JobNotFound:
 				status = 404
 			case coordination.Overloaded:
 				status = 429
@@ -206,8 +206,8 @@
 			continue
 		}
 		u.w.send("users", b.n.name, func() {
-			b.n.ask(input, func(a coordination.Answer) {
-				if a.Kind == coordination.Accepted {
+			b.n.ask(input, func(a coordination.Response) {
+				if a.Kind == coordination.JobAccepted {
 					u.accepted(j, 201)
 				}
 			})
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -263,14 +263,14 @@
 			return
 		}
 		n.ask(func(id coordination.RequestID) coordination.Input {
-			return &coordination.ReportIn{Request: id, Report: rep}
-		}, func(a coordination.Answer) {
+			return &coordination.HeartbeatRequest{Request: id, Heartbeat: rep}
+		}, func(a coordination.Response) {
 			status, body := 503, []byte(nil)
 			switch a.Kind {
-			case coordination.Orders:
-				status, body = 200, protocol.EncodeOrders(a.Token, a.Commands)
-			case coordination.Elsewhere:
-				status, body = 421, protocol.EncodeElsewhere(a.Steward)
+			case coordination.HeartbeatAcknowledged:
+				status, body = 200, protocol.EncodeOrders(a.FencingToken, a.Commands)
+			case coordination.HeartbeatRedirected:
+				status, body = 421, protocol.EncodeElsewhere(a.RedirectTo)
 			}
 			w.send(n.name, m.name, func() { end(status, body) })
 		})
@@ -281,8 +281,8 @@
 func (n *node) copyOf(raw []byte) {
 	if rep, err := protocol.ParseReport(raw); err == nil && n.up() {
 		n.ask(func(id coordination.RequestID) coordination.Input {
-			return &coordination.ReportIn{Request: id, Report: rep}
-		}, func(coordination.Answer) {})
+			return &coordination.HeartbeatRequest{Request: id, Heartbeat: rep}
+		}, func(coordination.Response) {})
 	}
 }
 
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -182,7 +182,7 @@
 	skew    micros.Time
 	calling int // direct calls to workers that are out
 	nextReq coordination.RequestID
-	waiting map[coordination.RequestID]func(coordination.Answer)
+	waiting map[coordination.RequestID]func(coordination.Response)
 }
 
 func (n *node) up() bool { return n.core != nil }
@@ -193,7 +193,7 @@
 	}
 	n.life++
 	n.core = coordination.New(n.conf, fmt.Sprintf("%s.%d", n.name, n.life))
-	n.waiting = map[coordination.RequestID]func(coordination.Answer){}
+	n.waiting = map[coordination.RequestID]func(coordination.Response){}
 	n.paused, n.inbox, n.calling = false, nil, 0
 	n.step()
 }
@@ -215,31 +215,31 @@
 	w := n.w
 	steady := micros.Time(float64(w.now)*n.drift) + 1
 	out := n.core.Step(steady, 1_800_000_000*micros.Second+w.now+n.skew, in...)
-	for _, l := range out.Log {
+	for _, l := range out.LogRecords {
 		n.hear(l)
 	}
-	for _, a := range out.Answers {
+	for _, a := range out.Responses {
 		w.digest.answer(n, &a)
 		if then := n.waiting[a.Request]; then != nil {
 			delete(n.waiting, a.Request)
 			then(a)
 		}
 	}
-	for i := range out.State {
-		n.callState(out.State[i])
+	for i := range out.StoreCalls {
+		n.callState(out.StoreCalls[i])
 	}
-	for i := range out.Cloud {
-		n.callCloud(out.Cloud[i])
+	for i := range out.CloudCalls {
+		n.callCloud(out.CloudCalls[i])
 	}
-	for i := range out.Workers {
-		n.callWorker(out.Workers[i])
+	for i := range out.AgentCalls {
+		n.callWorker(out.AgentCalls[i])
 	}
-	for _, p := range out.Peers {
+	for _, p := range out.PeerMessages {
 		n.tell(p)
 	}
 	n.wakeSeq++
 	seq, life := n.wakeSeq, n.life
-	w.after(max(micros.Millisecond, out.Wake-steady), func() {
+	w.after(max(micros.Millisecond, out.NextTick-steady), func() {
 		if n.life == life && n.wakeSeq == seq {
 			n.step()
 		}
@@ -247,12 +247,12 @@
 }
 
 // hear takes what a controller logs: some of it is held against the rules, or counted.
-func (n *node) hear(l coordination.LogLine) {
+func (n *node) hear(l coordination.LogRecord) {
 	w := n.w
 	switch {
-	case l.Text == "task on two machines":
-		w.breakRule("conflict", "%s: %v", n.name, l.Args)
-	case l.Text == "queue taken":
+	case l.Message == "task on two machines":
+		w.breakRule("conflict", "%s: %v", n.name, l.Attributes)
+	case l.Message == "queue taken":
 		w.taken++
 		kept := w.kept
 		w.kept = nil
@@ -261,23 +261,23 @@
 				w.after(w.rng.Int64N(300*micros.Millisecond), func() { o.copyOf(raw) })
 			}
 		}
-	case l.Text == "all machines known" && len(l.Args) == 4:
-		if ms, ok := l.Args[3].(micros.Time); ok {
+	case l.Message == "all machines known" && len(l.Attributes) == 4:
+		if ms, ok := l.Attributes[3].(micros.Time); ok {
 			w.unknown = max(w.unknown, ms*micros.Millisecond)
 		}
 	}
 	w.hearLog(l)
-	w.logf("%10.3f %s %s %v", micros.Seconds(w.now), n.name, l.Text, l.Args)
+	w.logf("%10.3f %s %s %v", micros.Seconds(w.now), n.name, l.Message, l.Attributes)
 }
 
-func (n *node) callState(c coordination.StateCall) {
+func (n *node) callState(c coordination.StoreCall) {
 	req := protocol.EncodeState(c.Request)
 	n.w.digest.request(n, "state", req, c.Timeout)
 	n.call("state", c.Timeout, func(reply func(int, []byte)) {
 		n.w.state.handle(n.name, req, reply)
 	}, func(status int, body []byte) {
 		r, _ := protocol.DecodeState(c.Request.Kind, status, body)
-		n.step(&coordination.StateDone{Call: c.Call, Reply: r})
+		n.step(&coordination.StoreCompletion{Call: c.Call, Reply: r})
 	})
 }
 
@@ -287,12 +287,12 @@
 	n.call("cloud", c.Timeout, func(reply func(int, []byte)) {
 		n.w.cloud.handle(req, reply)
 	}, func(status int, body []byte) {
-		r, _ := protocol.DecodeCloud(c.Kind, status, body)
-		n.step(&coordination.CloudDone{Call: c.Call, Reply: r})
+		r, _ := protocol.DecodeCloud(c.Operation, status, body)
+		n.step(&coordination.CloudCompletion{Call: c.Call, Reply: r})
 	})
 }
 
-func (n *node) callWorker(c coordination.WorkerCall) {
+func (n *node) callWorker(c coordination.AgentCall) {
 	w := n.w
 	body := protocol.EncodeCommands(&c)
 	w.digest.command(n, &c, body)
@@ -303,7 +303,7 @@
 	}
 	if w.cutBetween(n.name, target) != nil {
 		for _, cmd := range c.Commands {
-			if cmd.Op == coordination.Start {
+			if cmd.Operation == coordination.Start {
 				w.vain++
 			}
 		}
@@ -315,19 +315,19 @@
 		if m == nil || m.gone || !m.booted {
 			return
 		}
-		if c.Show {
+		if c.StatusOnly {
 			m.show(reply)
 		} else {
 			m.commands(body, reply)
 		}
 	}, func(status int, body []byte) {
 		n.calling--
-		n.step(&coordination.WorkerDone{Call: c.Call, Reply: protocol.DecodeWorker(status, body)})
+		n.step(&coordination.AgentCompletion{Call: c.Call, Reply: protocol.DecodeWorker(status, body)})
 	})
 }
 
 // tell sends a message to a sibling, over the wire's form.
-func (n *node) tell(p coordination.PeerSend) {
+func (n *node) tell(p coordination.PeerMessage) {
 	raw := protocol.EncodeStatus(p.Status)
 	n.w.digest.status(n, p, raw)
 	o := n.w.node(p.To)
@@ -359,7 +359,7 @@
 }
 
 // ask hands a request in and calls then with the answer.
-func (n *node) ask(input func(coordination.RequestID) coordination.Input, then func(coordination.Answer)) {
+func (n *node) ask(input func(coordination.RequestID) coordination.Input, then func(coordination.Response)) {
 	if n.core == nil {
 		return
 	}
--- a/internal/transport/bounds_test.go
+++ b/internal/transport/bounds_test.go
@@ -32,7 +32,7 @@
 	cfg.Settings.MachineLimits.MaxConnections = 100
 	c := newClients(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	call := func(kind storage.RequestKind) storage.Outcome {
-		return c.state(context.Background(), &coordination.StateCall{Request: &storage.Request{Kind: kind, Key: "pl/"}, Timeout: 10 * micros.Second}).Outcome
+		return c.state(context.Background(), &coordination.StoreCall{Request: &storage.Request{Kind: kind, Key: "pl/"}, Timeout: 10 * micros.Second}).Outcome
 	}
 	if got := call(storage.Watch); got != storage.Compacted {
 		t.Errorf("a watch: %v", got)
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -93,7 +93,7 @@
 	return resp.StatusCode, b, nil
 }
 
-func (c *clients) state(ctx context.Context, call *coordination.StateCall) *storage.Reply {
+func (c *clients) state(ctx context.Context, call *coordination.StoreCall) *storage.Reply {
 	status, body, err := c.do(ctx, c.service, c.cfg.Services.State, protocol.EncodeState(call.Request), call.Timeout, maxStateAnswer)
 	if err == nil {
 		var r *storage.Reply
@@ -117,25 +117,25 @@
 	status, body, err := c.do(ctx, c.service, c.cfg.Services.Cloud, protocol.EncodeCloud(call), call.Timeout, maxCloudAnswer)
 	if err == nil {
 		var r *coordination.CloudReply
-		if r, err = protocol.DecodeCloud(call.Kind, status, body); err == nil {
+		if r, err = protocol.DecodeCloud(call.Operation, status, body); err == nil {
 			return r
 		}
 		c.log.Warn("cloud", "err", err)
 		return r
 	}
 	c.log.Debug("cloud", "err", err)
-	return &coordination.CloudReply{Outcome: coordination.CloudLost}
+	return &coordination.CloudReply{Outcome: coordination.CloudOutcomeUnknown}
 }
 
-func (c *clients) worker(ctx context.Context, call *coordination.WorkerCall) *coordination.WorkerReply {
+func (c *clients) worker(ctx context.Context, call *coordination.AgentCall) *coordination.AgentReply {
 	r := protocol.HTTPRequest{Method: "GET", Path: "/show"}
-	if !call.Show {
+	if !call.StatusOnly {
 		r = protocol.HTTPRequest{Method: "POST", Path: "/commands", Body: protocol.EncodeCommands(call)}
 	}
 	status, body, err := c.do(ctx, c.workers, call.Address, r, call.Timeout, maxWorkerAnswer)
 	if err != nil {
 		c.log.Debug("worker", "machine", call.Machine, "err", err)
-		return &coordination.WorkerReply{}
+		return &coordination.AgentReply{}
 	}
 	return protocol.DecodeWorker(status, body)
 }
--- a/internal/transport/driver.go
+++ b/internal/transport/driver.go
@@ -42,7 +42,7 @@
 
 	mu      sync.Mutex
 	nextReq coordination.RequestID
-	waiting map[coordination.RequestID]chan coordination.Answer
+	waiting map[coordination.RequestID]chan coordination.Response
 
 	clients  *clients
 	siblings *siblings
@@ -53,7 +53,7 @@
 // Run serves until ctx ends.
 func Run(ctx context.Context, cfg *config.Config, log *slog.Logger) error {
 	d := &Driver{cfg: cfg, log: log, start: time.Now(), inputs: make(chan coordination.Input, inputQueue(cfg)),
-		waiting:    map[coordination.RequestID]chan coordination.Answer{},
+		waiting:    map[coordination.RequestID]chan coordination.Response{},
 		badReports: rate.Sometimes{First: 3, Interval: 5 * time.Second}}
 	incarnation := rand.Text()
 	d.core = coordination.New(cfg, incarnation)
@@ -132,30 +132,30 @@
 		d.carryOut(ctx, out)
 		d.healthy.Store(d.core.Healthy())
 		d.stepped.Store(d.steady())
-		timer.Reset(micros.Duration(max(0, out.Wake-d.steady())))
+		timer.Reset(micros.Duration(max(0, out.NextTick-d.steady())))
 	}
 }
 
 func (d *Driver) carryOut(ctx context.Context, out *coordination.Output) {
-	for _, l := range out.Log {
-		d.log.Log(ctx, slog.Level(l.Level), l.Text, l.Args...)
+	for _, l := range out.LogRecords {
+		d.log.Log(ctx, slog.Level(l.Level), l.Message, l.Attributes...)
 	}
-	for i := range out.Answers {
-		d.reply(out.Answers[i])
+	for i := range out.Responses {
+		d.reply(out.Responses[i])
 	}
-	for i := range out.State {
-		c := &out.State[i]
-		go func() { d.put(ctx, &coordination.StateDone{Call: c.Call, Reply: d.clients.state(ctx, c)}) }()
+	for i := range out.StoreCalls {
+		c := &out.StoreCalls[i]
+		go func() { d.put(ctx, &coordination.StoreCompletion{Call: c.Call, Reply: d.clients.state(ctx, c)}) }()
 	}
-	for i := range out.Cloud {
-		c := &out.Cloud[i]
-		go func() { d.put(ctx, &coordination.CloudDone{Call: c.Call, Reply: d.clients.cloud(ctx, c)}) }()
+	for i := range out.CloudCalls {
+		c := &out.CloudCalls[i]
+		go func() { d.put(ctx, &coordination.CloudCompletion{Call: c.Call, Reply: d.clients.cloud(ctx, c)}) }()
 	}
-	for i := range out.Workers {
-		c := &out.Workers[i]
-		go func() { d.put(ctx, &coordination.WorkerDone{Call: c.Call, Reply: d.clients.worker(ctx, c)}) }()
+	for i := range out.AgentCalls {
+		c := &out.AgentCalls[i]
+		go func() { d.put(ctx, &coordination.AgentCompletion{Call: c.Call, Reply: d.clients.worker(ctx, c)}) }()
 	}
-	for _, p := range out.Peers {
+	for _, p := range out.PeerMessages {
 		d.siblings.send(p.To, p.Status)
 	}
 }
@@ -168,7 +168,7 @@
 	}
 }
 
-func (d *Driver) reply(a coordination.Answer) {
+func (d *Driver) reply(a coordination.Response) {
 	d.mu.Lock()
 	ch := d.waiting[a.Request]
 	delete(d.waiting, a.Request)
@@ -180,7 +180,7 @@
 
 // ask hands a request to the core and waits for the answer; none in time, or no
 // room for it, is the false return.
-func (d *Driver) ask(ctx context.Context, patience time.Duration, input func(coordination.RequestID) coordination.Input) (coordination.Answer, bool) {
+func (d *Driver) ask(ctx context.Context, patience time.Duration, input func(coordination.RequestID) coordination.Input) (coordination.Response, bool) {
 	ch := d.expect()
 	d.mu.Lock()
 	d.nextReq++
@@ -196,7 +196,7 @@
 	case d.inputs <- input(id):
 	default:
 		forget()
-		return coordination.Answer{}, false
+		return coordination.Response{}, false
 	}
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
@@ -207,7 +207,7 @@
 	case <-ctx.Done():
 	}
 	forget()
-	return coordination.Answer{}, false
+	return coordination.Response{}, false
 }
 
-func (d *Driver) expect() chan coordination.Answer { return make(chan coordination.Answer, 1) }
+func (d *Driver) expect() chan coordination.Response { return make(chan coordination.Response, 1) }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -66,7 +66,7 @@
 // matter: then there are many.
 func (d *Driver) shed() {
 	select {
-	case d.inputs <- &coordination.Shed{}:
+	case d.inputs <- &coordination.LoadShed{}:
 	default:
 	}
 }
@@ -114,15 +114,15 @@
 		return
 	}
 	switch a.Kind {
-	case coordination.Accepted:
+	case coordination.JobAccepted:
 		write(w, http.StatusCreated, protocol.EncodeJob(a.Job))
-	case coordination.View:
+	case coordination.JobFound:
 		write(w, http.StatusOK, protocol.EncodeJob(a.Job))
-	case coordination.Malformed:
+	case coordination.RequestMalformed:
 		write(w, http.StatusBadRequest, protocol.EncodeError(a.Text))
-	case coordination.Impossible:
+	case coordination.JobUnschedulable:
 		write(w, http.StatusUnprocessableEntity, protocol.EncodeError(a.Text))
-	case coordination.Missing:
+	case coordination.JobNotFound:
 		write(w, http.StatusNotFound, protocol.EncodeError("no such job"))
 	case coordination.Overloaded:
 		refuse(w, http.StatusTooManyRequests, a.Text, a.RetryAfter)
@@ -184,13 +184,13 @@
 		return
 	}
 	a, ok := d.ask(r.Context(), 2*time.Second, func(req coordination.RequestID) coordination.Input {
-		return &coordination.ReportIn{Request: req, Report: rep}
+		return &coordination.HeartbeatRequest{Request: req, Heartbeat: rep}
 	})
 	switch {
-	case ok && a.Kind == coordination.Orders:
-		write(w, http.StatusOK, protocol.EncodeOrders(a.Token, a.Commands))
-	case ok && a.Kind == coordination.Elsewhere:
-		write(w, http.StatusMisdirectedRequest, protocol.EncodeElsewhere(a.Steward))
+	case ok && a.Kind == coordination.HeartbeatAcknowledged:
+		write(w, http.StatusOK, protocol.EncodeOrders(a.FencingToken, a.Commands))
+	case ok && a.Kind == coordination.HeartbeatRedirected:
+		write(w, http.StatusMisdirectedRequest, protocol.EncodeElsewhere(a.RedirectTo))
 	default:
 		refuse(w, http.StatusServiceUnavailable, "cannot answer reports now", micros.Second)
 	}
--- a/internal/transport/siblings.go
+++ b/internal/transport/siblings.go
@@ -62,7 +62,7 @@
 }
 
 // send queues a message; a sibling that does not take them misses the oldest.
-func (s *siblings) send(to string, status *coordination.Status) {
+func (s *siblings) send(to string, status *coordination.PeerStatus) {
 	ch := s.out[to]
 	if ch == nil {
 		return
@@ -136,7 +136,7 @@
 	}
 }
 
-func readStatus(c net.Conn) (*coordination.Status, error) {
+func readStatus(c net.Conn) (*coordination.PeerStatus, error) {
 	if err := c.SetReadDeadline(time.Now().Add(15 * time.Second)); err != nil {
 		return nil, err
 	}
