--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -14,39 +14,39 @@
 // epoch it knows, what siblings were asked for and, while it leads, the next epoch. Off,
 // it is nil, and nothing here is called.
 type fairAdmission struct {
-	settings admission.Settings
-	tracker  *admission.Tracker
-	view     admission.View
-	planner  *admission.Planner
-	heard    map[string]heardDemand // by member
-	toldAt   micros.Time
-	lookedAt micros.Time // last look whether an epoch is due
-	writing  bool
-	leader   uint64      // fencing token under which the planner plans
-	oddAt    micros.Time // last record told as ignored
+	settings           admission.Settings
+	tracker            *admission.Tracker
+	view               admission.View
+	planner            *admission.Planner
+	peerDemands        map[string]peerDemand // by member
+	demandSentAt       micros.Time
+	epochCheckedAt     micros.Time // last look whether an epoch is due
+	epochWriteInFlight bool
+	leaderRevision     uint64      // fencing token under which the planner plans
+	ignoredLoggedAt    micros.Time // last record told as ignored
 }
 
-// heardDemand is what a sibling last said that it was asked for.
-type heardDemand struct {
+// peerDemand is what a sibling last said that it was asked for.
+type peerDemand struct {
 	at     micros.Time
 	demand *admission.Demand
 }
 
 const (
-	// demandEvery is how often siblings are told what this controller was asked for.
-	demandEvery = micros.Second
-	// lookEvery is how often the leader looks whether an epoch is due: adding up what all
+	// demandInterval is how often siblings are told what this controller was asked for.
+	demandInterval = micros.Second
+	// epochCheckInterval is how often the leader looks whether an epoch is due: adding up what all
 	// controllers were asked for takes time.
-	lookEvery = 250 * micros.Millisecond
-	// demandLifetime is how long what a sibling said counts.
-	demandLifetime = 5 * micros.Second
+	epochCheckInterval = 250 * micros.Millisecond
+	// demandTTL is how long what a sibling said counts.
+	demandTTL = 5 * micros.Second
 	// windowBytes is about what a flow's window takes in an epoch's record.
 	windowBytes = 56
 	// epochBytes is what the record has besides.
 	epochBytes = 240
-	// minCapacityPart is the part of the state service's changes that new jobs get at
+	// minCapacityDivisor is the part of the state service's changes that new jobs get at
 	// least, whatever was used for other things of late.
-	minCapacityPart = 4
+	minCapacityDivisor = 4
 	// changesPerJob is how many changes a job takes at least: it is accepted, and it is over.
 	// The second comes later, so that what is used now does not show it yet.
 	changesPerJob = 2
@@ -74,7 +74,7 @@
 	}
 	s := admissionSettings(cfg)
 	return &fairAdmission{settings: s, tracker: admission.NewTracker(len(cfg.Settings.Teams)), planner: admission.NewPlanner(s),
-		heard: map[string]heardDemand{}}
+		peerDemands: map[string]peerDemand{}}
 }
 
 // flowOf is the flow of a job.
@@ -110,20 +110,20 @@
 		take(urgency)
 		return
 	}
-	c.viewOr(req, job.ID, func() {
+	c.respondStatusOr(req, job.ID, func() {
 		f.tracker.ComeBack(c.now, flow, job.ID, v.Turn)
-		c.answer(Response{Request: req, Kind: Overloaded, Text: "overload: it is not its turn yet", RetryAfter: v.Turn})
+		c.respond(Response{Request: req, Kind: Overloaded, Text: "overload: it is not its turn yet", RetryAfter: v.Turn})
 	})
 }
 
-// accepted and shed count what became of a submission.
-func (c *Core) accepted(j *bookkeeping.Job) {
+// countAccepted and shed count what became of a submission.
+func (c *Core) countAccepted(j *bookkeeping.Job) {
 	if c.fair != nil {
 		c.fair.tracker.Accepted(c.now, flowOf(j))
 	}
 }
 
-func (c *Core) shed() {
+func (c *Core) countShed() {
 	if c.fair != nil {
 		c.fair.tracker.Refused(c.now)
 	}
@@ -132,20 +132,20 @@
 // admissionChanged takes the epoch's record as a request sent at a time read it.
 func (c *Core) admissionChanged(sent micros.Time) {
 	f := c.fair
-	stored := c.replica.Admission
+	stored := c.cache.Admission
 	if f == nil || stored.ModRevision == 0 {
 		return
 	}
-	skew := micros.FromSeconds(c.cfg.Settings.SkewMS / 1000)
+	skew := micros.FromSeconds(c.config.Settings.SkewMS / 1000)
 	err := f.view.Observe(stored.Value, sent, c.now, c.wall, skew)
 	switch {
 	case err == nil:
 		if e := f.view.Current(c.now); e != nil {
 			c.log(levelDebug, "admission epoch", "epoch", e.Number, "leader", e.Leader, "flows", len(e.Windows))
 		}
-	case errors.Is(err, admission.ErrStale) || c.now-f.oddAt < oddEvery:
+	case errors.Is(err, admission.ErrStale) || c.now-f.ignoredLoggedAt < oddEvery:
 	default:
-		f.oddAt = c.now
+		f.ignoredLoggedAt = c.now
 		c.log(levelWarn, "admission epoch ignored", "version", stored.ModRevision, "err", err)
 	}
 }
@@ -154,28 +154,28 @@
 func (c *Core) tickAdmission() {
 	f := c.fair
 	l := &c.leader
-	if f == nil || f.writing || c.now-f.lookedAt < lookEvery {
+	if f == nil || f.epochWriteInFlight || c.now-f.epochCheckedAt < epochCheckInterval {
 		return
 	}
-	f.lookedAt = c.now
-	if f.view.Current(c.now) == nil && !c.refusedAnywhere() {
+	f.epochCheckedAt = c.now
+	if f.view.Current(c.now) == nil && !c.anyControllerRefused() {
 		return
 	}
-	if f.leader != l.version {
-		f.leader, f.planner = l.version, admission.NewPlanner(f.settings)
+	if f.leaderRevision != l.revision {
+		f.leaderRevision, f.planner = l.revision, admission.NewPlanner(f.settings)
 	}
-	demand := c.demandOfAll()
+	demand := c.totalDemand()
 	capacity := c.admissionCapacity(demand)
-	e := f.planner.Next(&f.view, admission.Situation{Now: c.now, Wall: c.wall, Leader: l.version, Demand: demand, Capacity: capacity})
+	e := f.planner.Next(&f.view, admission.Situation{Now: c.now, Wall: c.wall, Leader: l.revision, Demand: demand, Capacity: capacity})
 	if e == nil {
 		return
 	}
-	f.writing = c.callState(&storage.Request{Kind: storage.Txn,
+	f.epochWriteInFlight = c.callStore(&storage.Request{Kind: storage.Txn,
 		// Carried out late, or by a leader that was replaced, it has no effect.
-		Compares: []storage.Compare{c.asLeader(), {Key: c.keys.Admission(), ModRevision: c.replica.Admission.ModRevision}},
+		Compares: []storage.Compare{c.leaderCompare(), {Key: c.keys.Admission(), ModRevision: c.cache.Admission.ModRevision}},
 		Puts:     []storage.Put{{Key: c.keys.Admission(), Value: storage.Encode(e)}},
-	}, storage.Critical, stateTimeout, func(r *storage.Reply) {
-		f.writing = false
+	}, storage.Critical, storeTimeout, func(r *storage.Reply) {
+		f.epochWriteInFlight = false
 		if r.Outcome != storage.OK {
 			// In the flood that it is to end the state service refuses it as well: the next
 			// look tries again, instead of waiting for the time of the next epoch. If it was
@@ -186,29 +186,29 @@
 		c.log(levelInfo, "overload: admission epoch", "epoch", e.Number, "flows", len(e.Windows), "rest_ppm", int64(e.Rest.Width)*1_000_000/admission.Points,
 			"refused", demand.Refused, "admitted", demand.Admitted, "capacity_milli", capacity)
 	})
-	if f.writing {
+	if f.epochWriteInFlight {
 		f.planner.Written(c.now)
 	}
 }
 
-// refusedAnywhere tells whether any controller refused a submission for lack of room of late.
-func (c *Core) refusedAnywhere() bool {
+// anyControllerRefused tells whether any controller refused a submission for lack of room of late.
+func (c *Core) anyControllerRefused() bool {
 	if c.fair.tracker.RefusedLately(c.now) > 0 {
 		return true
 	}
-	for _, d := range c.fair.heard {
-		if c.now-d.at < demandLifetime && d.demand.Refused > 0 {
+	for _, d := range c.fair.peerDemands {
+		if c.now-d.at < demandTTL && d.demand.Refused > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// demandOfAll adds up what all controllers were asked for of late.
-func (c *Core) demandOfAll() admission.Demand {
+// totalDemand adds up what all controllers were asked for of late.
+func (c *Core) totalDemand() admission.Demand {
 	all := []admission.Demand{c.fair.tracker.Demand(c.now)}
-	for _, member := range sortedKeys(c.fair.heard) {
-		if d := c.fair.heard[member]; member != c.proc.Member && c.now-d.at < demandLifetime {
+	for _, member := range sortedKeys(c.fair.peerDemands) {
+		if d := c.fair.peerDemands[member]; member != c.process.Member && c.now-d.at < demandTTL {
 			all = append(all, *d.demand)
 		}
 	}
@@ -218,30 +218,30 @@
 // admissionCapacity is how many jobs can be taken a second, in thousandths: the changes that
 // the state service takes, less what is used for everything but new jobs.
 func (c *Core) admissionCapacity(demand admission.Demand) int64 {
-	total := c.budget.TotalWriteRate()
-	used := c.budget.RecentUsage().Writes
+	total := c.storeLimiter.TotalWriteRate()
+	used := c.storeLimiter.RecentUsage().Writes
 	for member, p := range c.peers {
-		if member != c.proc.Member && c.now-p.at < 3*micros.Second {
+		if member != c.process.Member && c.now-p.receivedAt < 3*micros.Second {
 			used += p.status.Usage.Writes
 		}
 	}
-	return max(total/minCapacityPart, min(total/changesPerJob, total-max(0, used-demand.AcceptRate)))
+	return max(total/minCapacityDivisor, min(total/changesPerJob, total-max(0, used-demand.AcceptRate)))
 }
 
-// demandToTell is what the siblings are told now; nil: nothing new.
-func (c *Core) demandToTell() *admission.Demand {
+// demandForPeers is what the siblings are told now; nil: nothing new.
+func (c *Core) demandForPeers() *admission.Demand {
 	f := c.fair
-	if f == nil || c.now-f.toldAt < demandEvery {
+	if f == nil || c.now-f.demandSentAt < demandInterval {
 		return nil
 	}
-	f.toldAt = c.now
+	f.demandSentAt = c.now
 	d := f.tracker.Demand(c.now)
 	return &d
 }
 
-// heardDemandOf takes what a sibling was asked for.
-func (c *Core) heardDemandOf(s *PeerStatus) {
+// receiveDemand takes what a sibling was asked for.
+func (c *Core) receiveDemand(s *PeerStatus) {
 	if c.fair != nil && s.Demand != nil {
-		c.fair.heard[s.From.Member] = heardDemand{c.now, s.Demand}
+		c.fair.peerDemands[s.From.Member] = peerDemand{c.now, s.Demand}
 	}
 }
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -22,7 +22,7 @@
 	}
 	c := New(cfg, "1")
 	c.catalog = bookkeeping.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: bookkeeping.Resources{CPU: 8000, Mem: 32_000}}}
-	c.now, c.wall, c.out = micros.Second, micros.Second, &Output{}
+	c.now, c.wall, c.output = micros.Second, micros.Second, &Output{}
 	r := storage.NewCache(c.keys)
 	r.Revision = 10
 	epoch := &admission.Epoch{Number: 3, Leader: 2, Written: micros.Second, Length: 4 * micros.Second, Validity: 12 * micros.Second,
@@ -30,7 +30,7 @@
 	if _, _, err := r.Apply(storage.Item{Key: c.keys.Admission(), Value: storage.Encode(epoch), ModRevision: 9}); err != nil {
 		t.Fatal(err)
 	}
-	c.adoptReplica(r, micros.Second)
+	c.installSnapshot(r, micros.Second)
 	c.term.Confirm(c.now)
 	return c
 }
@@ -69,7 +69,7 @@
 		"cannot be found": {want: ServiceUnavailable, barrier: storage.OutcomeUnknown},
 	} {
 		core := newFair(t)
-		core.replica.Archived = true
+		core.cache.Archived = true
 		answers := ask(core, 2*micros.Second, known, func(r *storage.Request) *storage.Reply {
 			switch {
 			case r.Kind == storage.Get && r.Key == core.keys.ReadBarrier():
@@ -117,7 +117,7 @@
 func TestCancellationsAreNotJudged(t *testing.T) {
 	c := newFair(t)
 	job := testJob(8)
-	if _, _, err := c.replica.Apply(storage.Item{Key: c.keys.Job(job.ID), Value: storage.Encode(job), ModRevision: 11}); err != nil {
+	if _, _, err := c.cache.Apply(storage.Item{Key: c.keys.Job(job.ID), Value: storage.Encode(job), ModRevision: 11}); err != nil {
 		t.Fatal(err)
 	}
 	out := c.Step(c.now, c.now, &Cancel{Request: 1, ID: job.ID})
@@ -136,13 +136,13 @@
 	lines := 0
 	for i := range 100 {
 		c.now += 50 * micros.Millisecond
-		c.out = &Output{}
+		c.output = &Output{}
 		item := storage.Item{Key: c.keys.Admission(), Value: []byte(`{"n":`), ModRevision: uint64(20 + i)}
-		if _, _, err := c.replica.Apply(item); err != nil {
+		if _, _, err := c.cache.Apply(item); err != nil {
 			t.Fatal(err)
 		}
 		c.admissionChanged(c.now)
-		for _, l := range c.out.LogRecords {
+		for _, l := range c.output.LogRecords {
 			if l.Level >= levelWarn {
 				lines++
 			}
@@ -160,19 +160,19 @@
 // newer epoch, the write has no effect.
 func TestEpochIsWrittenAsLeader(t *testing.T) {
 	c := newFair(t)
-	c.replica.ClusterLeader = storage.Versioned[storage.Process]{Value: c.proc, ModRevision: 4}
-	c.leader.version = 4
+	c.cache.ClusterLeader = storage.Versioned[storage.Process]{Value: c.process, ModRevision: 4}
+	c.leader.revision = 4
 	c.now += 20 * micros.Second // the epoch that was there has ended
 	for i := range 3000 {
 		c.fair.tracker.Asked(c.now, admission.Flow{Team: "alpha", Class: "c"}, fmt.Sprintf("wk-%06d", i))
 		c.fair.tracker.Refused(c.now)
 	}
-	c.out = &Output{}
+	c.output = &Output{}
 	c.tickAdmission()
-	if len(c.out.StoreCalls) != 1 {
-		t.Fatalf("%d requests", len(c.out.StoreCalls))
+	if len(c.output.StoreCalls) != 1 {
+		t.Fatalf("%d requests", len(c.output.StoreCalls))
 	}
-	r := c.out.StoreCalls[0].Request
+	r := c.output.StoreCalls[0].Request
 	want := []storage.Compare{{Key: c.keys.ClusterLeader(), ModRevision: 4}, {Key: c.keys.Admission(), ModRevision: 9}}
 	if !slices.Equal(r.Compares, want) {
 		t.Errorf("conditions %+v, want %+v", r.Compares, want)
@@ -181,9 +181,9 @@
 	if err != nil || e.Number != 4 || e.Leader != 4 {
 		t.Errorf("%+v, %v", e, err)
 	}
-	c.out = &Output{}
+	c.output = &Output{}
 	c.tickAdmission()
-	if len(c.out.StoreCalls) != 0 {
+	if len(c.output.StoreCalls) != 0 {
 		t.Error("written again while the write is out")
 	}
 }
@@ -199,7 +199,7 @@
 	} {
 		c := newFair(t)
 		c.now += 100 * micros.Second
-		c.peers["n1"] = &peerView{at: c.now - age, status: told}
+		c.peers["n1"] = &peerState{receivedAt: c.now - age, status: told}
 		h := newHolder(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: 20})
 		if got := h.shares.queue.Lag(flow); got != want {
 			t.Errorf("told %d before: %+v", age, got)
@@ -214,11 +214,11 @@
 		c := newFair(t)
 		epoch := &admission.Epoch{Number: 4, Leader: 2, Written: c.wall, Length: 4 * micros.Second, Validity: 12 * micros.Second,
 			Rest: admission.Window{Width: width}}
-		if _, _, err := c.replica.Apply(storage.Item{Key: c.keys.Admission(), Value: storage.Encode(epoch), ModRevision: 12}); err != nil {
+		if _, _, err := c.cache.Apply(storage.Item{Key: c.keys.Admission(), Value: storage.Encode(epoch), ModRevision: 12}); err != nil {
 			t.Fatal(err)
 		}
 		c.admissionChanged(c.now)
-		for c.budget.Allow(c.now, 1, storage.Prompt) { // until there is room for urgent ones only
+		for c.storeLimiter.Allow(c.now, 1, storage.Prompt) { // until there is room for urgent ones only
 		}
 		stored := false
 		answers := ask(c, c.now, testJob(7), func(r *storage.Request) *storage.Reply {
--- a/internal/coordination/adoption.go
+++ b/internal/coordination/adoption.go
@@ -11,38 +11,38 @@
 	"pipitlatch/internal/storage"
 )
 
-// found takes a machine that reports and has no block: a rental executed late, or
+// heardFromUnmanaged takes a machine that reports and has no block: a rental executed late, or
 // one whose answer was lost. The report may be a late copy from a machine that was
 // deleted under an earlier leader: as a machine that had no task it holds up no
 // planning, and as one that does not answer it is soon deleted again.
-func (l *leaderState) found(c *Core, r *Heartbeat) {
-	c.adoptMachine(r.Machine, r.Address, fleet.InstanceKind{InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot})
+func (l *clusterLeader) heardFromUnmanaged(c *Core, r *Heartbeat) {
+	c.addOrphan(r.Machine, r.Address, fleet.InstanceKind{InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot})
 }
 
-// adoptMachine notes a machine that is to be assigned to the queue with the
+// addOrphan notes a machine that is to be assigned to the queue with the
 // greatest need. It has had no task: only machines of a block get any, and they
 // leave it only when they are gone.
-func (c *Core) adoptMachine(id, address string, o fleet.InstanceKind) {
+func (c *Core) addOrphan(id, address string, o fleet.InstanceKind) {
 	l := &c.leader
-	if _, gone := l.gone[id]; gone || !c.leading() || l.version != c.replica.ClusterLeader.ModRevision {
+	if _, gone := l.terminated[id]; gone || !c.isClusterLeader() || l.revision != c.cache.ClusterLeader.ModRevision {
 		return
 	}
-	if _, known := c.replica.Machines[id]; !known {
+	if _, known := c.cache.Machines[id]; !known {
 		l.orphans[id] = orphan{o, address}
 	}
 }
 
-// beingRented tells whether a rental of the offer is open: a machine that reports may be
+// requestOpenFor tells whether a rental of the offer is open: a machine that reports may be
 // one of those it brings, up before the cloud's answer. It is taken into the rental's
 // block then. Adopted as well, it would be in two blocks, and what one record says of it
 // (that it has had tasks) would be hidden by the other.
-func (c *Core) beingRented(o fleet.InstanceKind) bool {
-	for _, out := range c.leader.renting {
+func (c *Core) requestOpenFor(o fleet.InstanceKind) bool {
+	for _, out := range c.leader.requestsInFlight {
 		if out == o {
 			return true
 		}
 	}
-	for _, b := range c.replica.Blocks {
+	for _, b := range c.cache.Blocks {
 		if v := b.Value; v.Requested > 0 && v.InstanceType == o.InstanceType && v.Zone == o.Zone && v.Spot == o.Spot {
 			return true
 		}
@@ -56,36 +56,36 @@
 	address string
 }
 
-// adoptPace lets machines found one after the other share a block.
-const adoptPace = 500 * micros.Millisecond
+// adoptionInterval lets machines found one after the other share a block.
+const adoptionInterval = 500 * micros.Millisecond
 
-// adoptMachines makes blocks of the machines found.
-func (c *Core) adoptMachines() {
+// adoptOrphans makes blocks of the machines found.
+func (c *Core) adoptOrphans() {
 	l := &c.leader
-	if len(l.orphans) == 0 || c.now < l.adoptAt {
+	if len(l.orphans) == 0 || c.now < l.nextAdoptionAt {
 		return
 	}
-	l.adoptAt = c.now + adoptPace
-	if c.replica.Revision < l.closed {
+	l.nextAdoptionAt = c.now + adoptionInterval
+	if c.cache.Revision < l.provisionedRevision {
 		return // a rental may have become a block that is not seen yet
 	}
 	blocks := map[fleet.InstanceKind]storage.BlockRecord{}
 	for _, id := range sortedKeys(l.orphans) {
 		o := l.orphans[id]
-		_, known := c.replica.Machines[id]
-		_, gone := l.gone[id]
+		_, known := c.cache.Machines[id]
+		_, gone := l.terminated[id]
 		if known || gone {
 			delete(l.orphans, id)
 			continue
 		}
-		if c.beingRented(o.InstanceKind) {
+		if c.requestOpenFor(o.InstanceKind) {
 			continue
 		}
 		b, ok := blocks[o.InstanceKind]
 		if !ok {
-			b = storage.BlockRecord{Partition: c.neediest(), InstanceType: o.InstanceType, Zone: o.Zone, Spot: o.Spot}
+			b = storage.BlockRecord{Partition: c.partitionWithMostNeed(), InstanceType: o.InstanceType, Zone: o.Zone, Spot: o.Spot}
 		}
-		if len(b.Machines) < c.maxBlock() {
+		if len(b.Machines) < c.maxBlockMachines() {
 			blocks[o.InstanceKind] = b.With(id, storage.MachineRecord{Address: o.address})
 		}
 	}
@@ -99,29 +99,29 @@
 // a machine come into two blocks.
 func (c *Core) adoptBlock(b storage.BlockRecord) {
 	l := &c.leader
-	if l.adoptKey == "" {
-		l.counter++
-		l.adoptKey = c.keys.Block(fmt.Sprintf("a%d-%d", l.version, l.counter))
+	if l.adoptionKey == "" {
+		l.nameCounter++
+		l.adoptionKey = c.keys.Block(fmt.Sprintf("a%d-%d", l.revision, l.nameCounter))
 	}
-	key := l.adoptKey
-	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.asLeader(), {Key: key}}}
+	key := l.adoptionKey
+	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.leaderCompare(), {Key: key}}}
 	c.putBlock(r, strings.TrimPrefix(key, c.keys.Block("")), b)
-	l.adoptAt = c.now + stateTimeout + micros.Second
+	l.nextAdoptionAt = c.now + storeTimeout + micros.Second
 	c.log(levelInfo, "machines adopted", "type", b.InstanceType, "zone", b.Zone, "spot", b.Spot, "count", len(b.Machines), "queue", b.Partition)
-	if !c.callState(r, storage.Urgent, stateTimeout, func(reply *storage.Reply) {
-		l.adoptAt = c.now + adoptPace
+	if !c.callStore(r, storage.Urgent, storeTimeout, func(reply *storage.Reply) {
+		l.nextAdoptionAt = c.now + adoptionInterval
 		if reply.Outcome == storage.OK || reply.Outcome == storage.Conflict {
-			l.adoptKey = ""
-			l.closed = max(l.closed, reply.Revision)
+			l.adoptionKey = ""
+			l.provisionedRevision = max(l.provisionedRevision, reply.Revision)
 		}
 	}) {
-		l.adoptAt = c.now + adoptPace
+		l.nextAdoptionAt = c.now + adoptionInterval
 	}
 }
 
-func (c *Core) neediest() int {
+func (c *Core) partitionWithMostNeed() int {
 	best, most := 0, -1
-	for _, q := range c.statuses() {
+	for _, q := range c.partitionStatuses() {
 		n := 0
 		for _, need := range q.CapacityRequests {
 			n += need.Count
--- a/internal/coordination/barrier.go
+++ b/internal/coordination/barrier.go
@@ -7,41 +7,41 @@
 	"pipitlatch/internal/storage"
 )
 
-// barrier makes the replica good for answers to users: a read of the state
+// readBarrier makes the replica good for answers to users: a read of the state
 // service tells a revision, and once the stream has reached it, the replica is
 // at least as new as the moment of that read. One read serves all that wait.
-type barrier struct {
-	waiting []barrierWait // for the next read
-	reading bool
-	reached []barrierWait // read; wait for the stream
-	readAt  micros.Time
+type readBarrier struct {
+	waiting        []pendingRead // for the next read
+	readInFlight   bool
+	awaitingStream []pendingRead // read; wait for the stream
+	lastReadAt     micros.Time
 }
 
-type barrierWait struct {
+type pendingRead struct {
 	deadline micros.Time
 	revision uint64
 	then     func(ok bool)
 }
 
-// barrierPatience is how long a request may wait for the stream.
-const barrierPatience = 1200 * micros.Millisecond
+// readBarrierTimeout is how long a request may wait for the stream.
+const readBarrierTimeout = 1200 * micros.Millisecond
 
-// barrierPace bounds the reads while many ask.
-const barrierPace = 100 * micros.Millisecond
+// readBarrierInterval bounds the reads while many ask.
+const readBarrierInterval = 100 * micros.Millisecond
 
-// fresh calls then(true) when the replica is as new as this moment, and
+// linearizableRead calls then(true) when the replica is as new as this moment, and
 // then(false), at once where that is known, when it cannot be made so.
-func (c *Core) fresh(then func(ok bool)) {
-	if !c.synced || c.term.SinceConfirmed(c.now) >= staleAfter {
+func (c *Core) linearizableRead(then func(ok bool)) {
+	if !c.synced || c.term.SinceConfirmed(c.now) >= storeStaleAfter {
 		then(false) // no news for long: waiting would only hold the answer back
 		return
 	}
-	c.waiting = append(c.waiting, barrierWait{deadline: c.now + barrierPatience, then: then})
-	c.tickBarrier()
+	c.waiting = append(c.waiting, pendingRead{deadline: c.now + readBarrierTimeout, then: then})
+	c.advanceReadBarrier()
 }
 
-func (c *Core) tickBarrier() {
-	late := func(w barrierWait) bool {
+func (c *Core) advanceReadBarrier() {
+	late := func(w pendingRead) bool {
 		if w.deadline <= c.now {
 			w.then(false)
 			return true
@@ -49,13 +49,13 @@
 		return false
 	}
 	c.waiting = slices.DeleteFunc(c.waiting, late)
-	c.reached = slices.DeleteFunc(c.reached, late)
-	if c.reading || len(c.waiting) == 0 || c.now-c.readAt < barrierPace {
+	c.awaitingStream = slices.DeleteFunc(c.awaitingStream, late)
+	if c.readInFlight || len(c.waiting) == 0 || c.now-c.lastReadAt < readBarrierInterval {
 		return
 	}
 	batch := c.waiting
-	ok := c.callState(&storage.Request{Kind: storage.Get, Key: c.keys.ReadBarrier()}, storage.Deferrable, micros.Second, func(r *storage.Reply) {
-		c.reading = false
+	ok := c.callStore(&storage.Request{Kind: storage.Get, Key: c.keys.ReadBarrier()}, storage.Deferrable, micros.Second, func(r *storage.Reply) {
+		c.readInFlight = false
 		if r.Outcome != storage.NotFound {
 			for _, w := range batch {
 				w.then(false)
@@ -64,9 +64,9 @@
 		}
 		for _, w := range batch {
 			w.revision = r.Revision
-			c.reached = append(c.reached, w)
+			c.awaitingStream = append(c.awaitingStream, w)
 		}
-		c.releaseBarrier()
+		c.releaseReads()
 	})
 	c.waiting = nil
 	if !ok {
@@ -75,13 +75,13 @@
 		}
 		return
 	}
-	c.reading, c.readAt = true, c.now
+	c.readInFlight, c.lastReadAt = true, c.now
 }
 
-func (c *Core) releaseBarrier() {
-	var free []barrierWait
-	c.reached = slices.DeleteFunc(c.reached, func(w barrierWait) bool {
-		if w.revision <= c.replica.Revision {
+func (c *Core) releaseReads() {
+	var free []pendingRead
+	c.awaitingStream = slices.DeleteFunc(c.awaitingStream, func(w pendingRead) bool {
+		if w.revision <= c.cache.Revision {
 			free = append(free, w)
 			return true
 		}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -83,13 +83,13 @@
 		}
 		put(c.keys.Block(fmt.Sprint("b", k)), storage.BlockRecord{InstanceType: "m", Zone: "a", Machines: machines})
 	}
-	put(c.keys.Member("n0"), c.proc)
-	put(c.keys.ClusterLeader(), c.proc)
-	put(c.keys.Partition(0), storage.PartitionRecord{Leader: c.proc})
+	put(c.keys.Member("n0"), c.process)
+	put(c.keys.ClusterLeader(), c.process)
+	put(c.keys.Partition(0), storage.PartitionRecord{Leader: c.process})
 	r.Revision = version
 	c.now = micros.Second
-	c.out = &Output{}
-	c.adoptReplica(r, 0)
+	c.output = &Output{}
+	c.installSnapshot(r, 0)
 	c.term.Confirm(c.now)
 	for _, rep := range reports {
 		rep.FencingToken = version
@@ -103,12 +103,12 @@
 	c, reports := newLarge(t, 8000)
 	for _, r := range reports {
 		r.Sequence++
-		c.tickAt = 2 * micros.Second
+		c.lastTick = 2 * micros.Second
 		c.Step(2*micros.Second, 2*micros.Second, &HeartbeatRequest{Request: 1, Heartbeat: r})
 	}
 	told := map[string]int{}
 	for range 2 {
-		for _, p := range c.holders[0].progress() {
+		for _, p := range c.partitions[0].progress() {
 			told[p.ID] += p.Running
 		}
 	}
@@ -132,13 +132,13 @@
 	for b.Loop() {
 		now += 1500 * micros.Millisecond
 		c.term.Confirm(now)
-		c.tickAt = now // reports alone, without the timers
+		c.lastTick = now // reports alone, without the timers
 		for _, r := range reports {
 			r.Sequence++
 			c.Step(now, now, &HeartbeatRequest{Request: 1, Heartbeat: r})
 		}
 	}
-	if n := len(c.holders[0].machines[0].attempts); n != 8 {
+	if n := len(c.partitions[0].machines[0].attempts); n != 8 {
 		b.Fatal("attempts", n)
 	}
 }
@@ -156,10 +156,10 @@
 	now := 2 * micros.Second
 	for _, r := range reports {
 		r.Sequence++
-		c.tickAt = now
+		c.lastTick = now
 		c.Step(now, now, &HeartbeatRequest{Request: 1, Heartbeat: r})
 	}
-	h := c.holders[0]
+	h := c.partitions[0]
 	for _, m := range h.machines {
 		m.kind = c.catalog["m"]
 	}
@@ -168,7 +168,7 @@
 		for _, m := range h.machines {
 			m.seen = now
 		}
-		c.now, c.wall, c.out = now, now, &Output{}
+		c.now, c.wall, c.output = now, now, &Output{}
 		h.dirty = true
 		h.schedule()
 	}
@@ -191,7 +191,7 @@
 	for b.Loop() {
 		now += micros.Millisecond
 		c.term.Confirm(now)
-		c.tickAt = now
+		c.lastTick = now
 		c.Step(now, now, &Lookup{Request: 1, ID: "wk-000001"})
 		for _, w := range c.waiting {
 			w.then(true)
--- a/internal/coordination/calls.go
+++ b/internal/coordination/calls.go
@@ -20,19 +20,19 @@
 			failing = append(failing, m)
 		case !slices.ContainsFunc(m.outbox, func(c Command) bool { return c.Operation == Stop || h.isService(c.Job) }):
 			rest = append(rest, m)
-		case h.c.roomForCalls(false) > 0:
+		case h.c.availableAgentCalls(false) > 0:
 			h.send(m)
 		}
 	}
 	for _, m := range rest {
-		if h.c.roomForCalls(false) <= 0 {
+		if h.c.availableAgentCalls(false) <= 0 {
 			break
 		}
 		h.send(m)
 	}
 	h.turn++
 	for i := range failing {
-		if h.c.roomForCalls(true) <= 0 {
+		if h.c.availableAgentCalls(true) <= 0 {
 			break
 		}
 		h.send(failing[(i+h.turn)%len(failing)])
@@ -48,7 +48,7 @@
 // session is known, so that a machine acknowledges it. The one asked longest ago
 // goes first: many that never answer must not keep the others from being asked.
 func (h *holder) probeSome() {
-	room := h.c.roomForCalls(true)
+	room := h.c.availableAgentCalls(true)
 	if len(h.toProbe) > room {
 		slices.SortStableFunc(h.toProbe, func(a, b *machine) int { return cmp.Compare(a.probed, b.probed) })
 	}
@@ -87,10 +87,10 @@
 func (h *holder) callMachine(m *machine, batch []Command, show bool) {
 	m.calling = true
 	session, seq, token, sent := m.session, m.seq, h.token, h.c.now
-	h.c.callWorker(AgentCall{Machine: m.id, Address: m.addr, FencingToken: token, AgentEpoch: session, Commands: batch, StatusOnly: show,
+	h.c.callAgent(AgentCall{Machine: m.id, Address: m.addr, FencingToken: token, AgentEpoch: session, Commands: batch, StatusOnly: show,
 		Timeout: micros.Second}, func(r *AgentReply) {
 		m.calling = false
-		if h.c.holders[h.queue] != h || h.machine(m.id) != m {
+		if h.c.partitions[h.queue] != h || h.machine(m.id) != m {
 			return
 		}
 		if r.Heartbeat != nil && r.Heartbeat.Machine != m.id {
--- a/internal/coordination/cancelling.go
+++ b/internal/coordination/cancelling.go
@@ -17,53 +17,53 @@
 // machine go.
 
 const (
-	// maxNotices bounds the cancellations that are kept to be told, and heard.
-	maxNotices = 8192
-	// maxNoticesInMessage bounds those in one message.
-	maxNoticesInMessage = 500
+	// maxCancellationNotices bounds the cancellations that are kept to be told, and heard.
+	maxCancellationNotices = 8192
+	// maxNoticesPerMessage bounds those in one message.
+	maxNoticesPerMessage = 500
 )
 
-// cancelNotice is a cancellation that is a fact: committed here, or shown by the stream.
-type cancelNotice struct {
+// cancellationNotice is a cancellation that is a fact: committed here, or shown by the stream.
+type cancellationNotice struct {
 	job      string
-	number   uint64 // counts the notices of this process
+	sequence uint64 // counts the notices of this process
 	revision uint64 // at which it was committed
 	at       micros.Time
 }
 
 // cancellations is what this controller tells of, and heard from its siblings.
 type cancellations struct {
-	notices []cancelNotice // oldest first
-	last    uint64         // number of the newest
-	known   map[string]bool
-	heard   map[string]CancellationAck // by member: how far its notices came
-	told    map[string]micros.Time     // jobs that a sibling knows to be cancelled: since when
-	swept   micros.Time
+	notices      []cancellationNotice // oldest first
+	lastSequence uint64               // number of the newest
+	noticed      map[string]bool
+	acked        map[string]CancellationAck // by member: how far its notices came
+	requested    map[string]micros.Time     // jobs that a sibling knows to be cancelled: since when
+	expiredAt    micros.Time
 }
 
 func newCancellations() cancellations {
-	return cancellations{known: map[string]bool{}, heard: map[string]CancellationAck{}, told: map[string]micros.Time{}}
+	return cancellations{noticed: map[string]bool{}, acked: map[string]CancellationAck{}, requested: map[string]micros.Time{}}
 }
 
-// noticeLifetime is how long a cancellation may matter to somebody who has not heard of it:
+// cancellationNoticeTTL is how long a cancellation may matter to somebody who has not heard of it:
 // within cancel_s, what he holds has ended by itself.
-func (c *Core) noticeLifetime() micros.Time {
-	return 2 * micros.FromSeconds(c.cfg.Settings.Workers.CancelS)
+func (c *Core) cancellationNoticeTTL() micros.Time {
+	return 2 * micros.FromSeconds(c.config.Settings.Workers.CancelS)
 }
 
-// confirmed notes a cancellation that is committed: by this controller, which is about
+// noteCancellation notes a cancellation that is committed: by this controller, which is about
 // to tell its user, or by another, as the stream shows. Whoever knows of it tells it on,
 // since the one that committed it may end right after its answer.
-func (c *Core) confirmed(id string, revision uint64, own bool) {
-	s := &c.cancelled
-	if s.known[id] {
+func (c *Core) noteCancellation(id string, revision uint64, own bool) {
+	s := &c.cancellations
+	if s.noticed[id] {
 		return
 	}
-	s.known[id] = true
-	s.last++
-	s.notices = append(s.notices, cancelNotice{id, s.last, revision, c.now})
-	if len(s.notices) > maxNotices {
-		delete(s.known, s.notices[0].job)
+	s.noticed[id] = true
+	s.lastSequence++
+	s.notices = append(s.notices, cancellationNotice{id, s.lastSequence, revision, c.now})
+	if len(s.notices) > maxCancellationNotices {
+		delete(s.noticed, s.notices[0].job)
 		s.notices = s.notices[1:]
 	}
 	if own {
@@ -72,74 +72,74 @@
 	}
 }
 
-// noticesTo are the cancellations that a sibling may not know of: its stream had not come
+// cancellationNoticesFor are the cancellations that a sibling may not know of: its stream had not come
 // that far when it last spoke, nor has it said that it heard of them.
-func (c *Core) noticesTo(member string) (jobs []string, upTo uint64) {
+func (c *Core) cancellationNoticesFor(member string) (jobs []string, upTo uint64) {
 	var heard, revision uint64
 	if p := c.peers[member]; p != nil {
 		revision = p.status.Revision
 		for _, h := range p.status.CancellationAcks {
-			if h.From == c.proc {
+			if h.From == c.process {
 				heard = h.UpTo
 			}
 		}
 	}
-	for _, w := range c.cancelled.notices {
-		if w.number <= heard || w.revision <= revision {
+	for _, w := range c.cancellations.notices {
+		if w.sequence <= heard || w.revision <= revision {
 			continue
 		}
-		if len(jobs) == maxNoticesInMessage {
+		if len(jobs) == maxNoticesPerMessage {
 			break
 		}
-		jobs, upTo = append(jobs, w.job), w.number
+		jobs, upTo = append(jobs, w.job), w.sequence
 	}
 	return jobs, upTo
 }
 
-// takeNotices takes a sibling's notices. They are believed for stopping only: nobody is told
+// receiveCancellationNotices takes a sibling's notices. They are believed for stopping only: nobody is told
 // that a job is cancelled, and no term gets longer, before the stream shows it. So a
 // late or repeated notice does no harm.
-func (c *Core) takeNotices(s *PeerStatus) {
-	if len(s.Cancelled) == 0 || s.From == c.proc {
+func (c *Core) receiveCancellationNotices(s *PeerStatus) {
+	if len(s.Cancelled) == 0 || s.From == c.process {
 		return
 	}
-	mine := &c.cancelled
-	if h := mine.heard[s.From.Member]; h.From != s.From || h.UpTo < s.CancelledUpTo {
-		mine.heard[s.From.Member] = CancellationAck{s.From, s.CancelledUpTo}
+	mine := &c.cancellations
+	if h := mine.acked[s.From.Member]; h.From != s.From || h.UpTo < s.CancelledUpTo {
+		mine.acked[s.From.Member] = CancellationAck{s.From, s.CancelledUpTo}
 		c.statusSoon = true
 	}
 	for _, id := range s.Cancelled {
-		if _, ok := mine.told[id]; ok || len(mine.told) >= maxNotices {
+		if _, ok := mine.requested[id]; ok || len(mine.requested) >= maxCancellationNotices {
 			continue
 		}
-		mine.told[id] = c.now
+		mine.requested[id] = c.now
 		c.requestCancel(id)
 	}
 }
 
-// cancelsHeard is what siblings are told of how far their notices came.
-func (c *Core) cancelsHeard() []CancellationAck {
+// cancellationAcks is what siblings are told of how far their notices came.
+func (c *Core) cancellationAcks() []CancellationAck {
 	var out []CancellationAck
-	for _, m := range sortedKeys(c.cancelled.heard) {
-		out = append(out, c.cancelled.heard[m])
+	for _, m := range sortedKeys(c.cancellations.acked) {
+		out = append(out, c.cancellations.acked[m])
 	}
 	return out
 }
 
-// tickCancelled forgets what matters to nobody any more.
-func (c *Core) tickCancelled() {
-	s := &c.cancelled
-	if c.now-s.swept < micros.Second {
+// expireCancellationNotices forgets what matters to nobody any more.
+func (c *Core) expireCancellationNotices() {
+	s := &c.cancellations
+	if c.now-s.expiredAt < micros.Second {
 		return
 	}
-	s.swept = c.now
-	for len(s.notices) > 0 && c.now-s.notices[0].at > c.noticeLifetime() {
-		delete(s.known, s.notices[0].job)
+	s.expiredAt = c.now
+	for len(s.notices) > 0 && c.now-s.notices[0].at > c.cancellationNoticeTTL() {
+		delete(s.noticed, s.notices[0].job)
 		s.notices = s.notices[1:]
 	}
-	for id, at := range s.told {
-		if c.now-at > c.noticeLifetime() {
-			delete(s.told, id)
+	for id, at := range s.requested {
+		if c.now-at > c.cancellationNoticeTTL() {
+			delete(s.requested, id)
 		}
 	}
 }
@@ -147,9 +147,9 @@
 // requestCancel stops all work of a job that is known to be cancelled, before the stream
 // shows it.
 func (c *Core) requestCancel(id string) {
-	for _, n := range sortedKeys(c.holders) {
-		if j := c.holders[n].jobs[id]; j != nil {
-			c.holders[n].requestCancel(j)
+	for _, n := range sortedKeys(c.partitions) {
+		if j := c.partitions[n].jobs[id]; j != nil {
+			c.partitions[n].requestCancel(j)
 		}
 	}
 }
@@ -171,7 +171,7 @@
 
 // isCancelled tells whether a job is cancelled as far as the stream shows.
 func (c *Core) isCancelled(id string) bool {
-	e := c.replica.Jobs[id]
+	e := c.cache.Jobs[id]
 	return e != nil && e.Cancelled()
 }
 
@@ -188,7 +188,7 @@
 	// A worker that has its last answer by then loses the task to its lease within
 	// cancel_s, and as much time is left for the cloud to delete the machine.
 	// One whose time is over already still gets the moment that a stop takes.
-	a.killBy = max(h.c.newsBefore+h.c.cfg.LeadershipTerm(), h.c.now+killMoment)
+	a.killBy = max(h.c.previousWatchSentAt+h.c.config.LeadershipTerm(), h.c.now+killMoment)
 	h.kills = append(h.kills, a)
 }
 
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -14,62 +14,62 @@
 )
 
 const (
-	// tickEvery is how often timers are looked at.
-	tickEvery = 50 * micros.Millisecond
-	// tickSoon is how long after the last look they are looked at anew when there
+	// tickInterval is how often timers are looked at.
+	tickInterval = 50 * micros.Millisecond
+	// minTickInterval is how long after the last look they are looked at anew when there
 	// was input: with hundreds of machines a look at every input would be all that
 	// a controller does.
-	tickSoon = 20 * micros.Millisecond
+	minTickInterval = 20 * micros.Millisecond
 )
 
 // Core is the state machine of one controller.
 type Core struct {
-	cfg   *config.Config
-	proc  storage.Process
-	teams map[string]*bookkeeping.Team
-	keys  storage.Keys
+	config  *config.Config
+	process storage.Process
+	teams   map[string]*bookkeeping.Team
+	keys    storage.Keys
 
 	now, wall micros.Time
-	born      micros.Time
-	tickAt    micros.Time
-	out       *Output
-
-	nextCall uint64
-	pending  map[uint64]func(any)
-
-	catalog   bookkeeping.Catalog
-	catalogAt micros.Time
-	catalogOn bool // a call is out
-	// The state service keeps the machine types too, see keepCatalog.
-	catalogOwn   bool // the cloud told us
-	catalogSave  bool // a write is out
-	catalogSaved micros.Time
-
-	budget     *storage.RateLimiter
-	rejected   rejections // transactions that the state service calls invalid
-	workerOut  int        // direct calls to workers that are out
-	workerMost int        // how many may be, for lack of sockets
-	session
-	barrier
-	holders   map[int]*holder
-	ends      map[storage.Process]micros.Time // when a process was first known dead
-	peers     map[string]*peerView
-	cancelled cancellations
-	lists     int                          // of needed jobs that were stored in parts
-	archive   map[string]*storage.JobEntry // records read from there
-	progress  map[string]JobProgress
+	startedAt micros.Time
+	lastTick  micros.Time
+	output    *Output
+
+	lastCallID   uint64
+	pendingCalls map[uint64]func(any)
+
+	catalog          bookkeeping.Catalog
+	catalogFetchedAt micros.Time
+	catalogFetching  bool // a call is out
+	// The state service keeps the machine types too, see persistCatalog.
+	catalogFromCloud bool // the cloud told us
+	catalogWriting   bool // a write is out
+	catalogWrittenAt micros.Time
+
+	storeLimiter       *storage.RateLimiter
+	txnBackoff         txnBackoff // transactions that the state service calls invalid
+	agentCallsInFlight int        // direct calls to workers that are out
+	maxAgentCalls      int        // how many may be, for lack of sockets
+	replication
+	readBarrier
+	partitions      map[int]*holder
+	deathTimes      map[storage.Process]micros.Time // when a process was first known dead
+	peers           map[string]*peerState
+	cancellations   cancellations
+	dependencyLists int                          // of needed jobs that were stored in parts
+	archivedJobs    map[string]*storage.JobEntry // records read from there
+	progress        map[string]JobProgress
 	// progressKept is how many entries of progress were left when it was last bounded.
 	progressKept int
-	leader       leaderState
-	stats        *bookkeeping.RuntimeStats
+	leader       clusterLeader
+	runtimes     *bookkeeping.RuntimeStats
 	faults       *fleet.FaultTracker
 	spot         spotLosses
-	reach        reach
+	reachability reachabilityProbe
 	fair         *fairAdmission // nil: off
-	planned      *holder        // that planned in the last step
-	statusAt     micros.Time
+	lastPlanned  *holder        // that planned in the last step
+	statusSentAt micros.Time
 	statusSoon   bool        // send the status soon
-	okAt         micros.Time // when the state service last answered in time
+	lastServedAt micros.Time // when the state service last answered in time
 }
 
 // spotLosses counts how often spot machines are taken.
@@ -84,26 +84,26 @@
 	return float64(s.losses+1) / (micros.Seconds(s.time) + 1800)
 }
 
-type peerView struct {
-	at     micros.Time
-	status *PeerStatus
+type peerState struct {
+	receivedAt micros.Time
+	status     *PeerStatus
 }
 
 // New starts a controller's core; incarnation must be new with every process.
 func New(cfg *config.Config, incarnation string) *Core {
 	keys := storage.Keys{Prefix: cfg.Operator.KeyPrefix}
 	c := &Core{
-		cfg: cfg, proc: storage.Process{Member: cfg.Member, Incarnation: incarnation},
-		teams: bookkeeping.Teams(cfg), keys: keys, pending: map[uint64]func(any){},
-		workerMost: max(1, cfg.Sockets().Calls/2), // the other half are idle connections
-		budget:     storage.NewRateLimiter(cfg.Settings.StateLimits().RPS, cfg.Settings.StateLimits().WriteRPS, cfg.Settings.Nodes),
-		holders:    map[int]*holder{}, ends: map[storage.Process]micros.Time{},
-		rejected: rejections{}, peers: map[string]*peerView{}, cancelled: newCancellations(), archive: map[string]*storage.JobEntry{}, progress: map[string]JobProgress{},
-		stats: bookkeeping.NewRuntimeStats(), faults: fleet.NewFaultTracker(), fair: newFairAdmission(cfg),
+		config: cfg, process: storage.Process{Member: cfg.Member, Incarnation: incarnation},
+		teams: bookkeeping.Teams(cfg), keys: keys, pendingCalls: map[uint64]func(any){},
+		maxAgentCalls: max(1, cfg.Sockets().Calls/2), // the other half are idle connections
+		storeLimiter:  storage.NewRateLimiter(cfg.Settings.StateLimits().RPS, cfg.Settings.StateLimits().WriteRPS, cfg.Settings.Nodes),
+		partitions:    map[int]*holder{}, deathTimes: map[storage.Process]micros.Time{},
+		txnBackoff: txnBackoff{}, peers: map[string]*peerState{}, cancellations: newCancellations(), archivedJobs: map[string]*storage.JobEntry{}, progress: map[string]JobProgress{},
+		runtimes: bookkeeping.NewRuntimeStats(), faults: fleet.NewFaultTracker(), fair: newFairAdmission(cfg),
 	}
-	c.session.replica = storage.NewCache(keys)
-	c.session.term = lease.Term{Length: cfg.LeadershipTerm()}
-	c.leader.exhausted = fleet.NewCapacityTracker()
+	c.replication.cache = storage.NewCache(keys)
+	c.replication.term = lease.Term{Length: cfg.LeadershipTerm()}
+	c.leader.capacity = fleet.NewCapacityTracker()
 	return c
 }
 
@@ -111,33 +111,33 @@
 // time of day.
 func (c *Core) Step(steady, wall micros.Time, inputs ...Input) *Output {
 	c.now, c.wall = max(c.now, steady), wall
-	if c.born == 0 {
-		c.born = c.now
+	if c.startedAt == 0 {
+		c.startedAt = c.now
 	}
-	c.out = &Output{}
+	c.output = &Output{}
 	for _, in := range inputs {
-		c.input(in)
+		c.dispatch(in)
 	}
-	if due := c.tickAt + tickSoon; c.now >= due {
-		c.tickAt = c.now
+	if due := c.lastTick + minTickInterval; c.now >= due {
+		c.lastTick = c.now
 		c.tick()
-		c.out.NextTick = c.now + tickEvery
+		c.output.NextTick = c.now + tickInterval
 	} else {
-		c.out.NextTick = due
+		c.output.NextTick = due
 	}
-	return c.out
+	return c.output
 }
 
-// Took tells how long the last step took. The core has no clock; that planning
+// ObserveStepDuration tells how long the last step took. The core has no clock; that planning
 // leaves time for everything else is measured outside.
-func (c *Core) Took(d micros.Time) {
-	if c.planned != nil {
-		c.planned.planPause = min(maxPlanInterval, max(planPace, planPart*d))
+func (c *Core) ObserveStepDuration(d micros.Time) {
+	if c.lastPlanned != nil {
+		c.lastPlanned.planPause = min(maxPlanInterval, max(planPace, planPart*d))
 	}
-	c.planned = nil
+	c.lastPlanned = nil
 }
 
-func (c *Core) input(in Input) {
+func (c *Core) dispatch(in Input) {
 	switch in := in.(type) {
 	case *Submit:
 		c.submit(in)
@@ -146,72 +146,72 @@
 	case *Cancel:
 		c.cancel(in)
 	case *LoadShed:
-		c.shed()
+		c.countShed()
 	case *HeartbeatRequest:
-		c.report(in)
+		c.handleHeartbeat(in)
 	case *StoreCompletion:
-		c.complete(in.Call, in.Reply)
+		c.completeCall(in.Call, in.Reply)
 	case *CloudCompletion:
-		c.complete(in.Call, in.Reply)
+		c.completeCall(in.Call, in.Reply)
 	case *AgentCompletion:
-		c.complete(in.Call, in.Reply)
+		c.completeCall(in.Call, in.Reply)
 	case *PeerStatus:
-		c.heard(in)
+		c.receiveStatus(in)
 	}
 }
 
-func (c *Core) complete(call uint64, reply any) {
+func (c *Core) completeCall(call uint64, reply any) {
 	// A completion that comes twice, or was never asked for, has no effect.
-	if done := c.pending[call]; done != nil {
-		delete(c.pending, call)
+	if done := c.pendingCalls[call]; done != nil {
+		delete(c.pendingCalls, call)
 		done(reply)
 	}
 }
 
-func (c *Core) call(done func(any)) uint64 {
-	c.nextCall++
-	c.pending[c.nextCall] = done
-	return c.nextCall
+func (c *Core) registerCall(done func(any)) uint64 {
+	c.lastCallID++
+	c.pendingCalls[c.lastCallID] = done
+	return c.lastCallID
 }
 
-// callState sends a request to the state service if the budget allows.
-func (c *Core) callState(r *storage.Request, urgency storage.Urgency, timeout micros.Time, done func(*storage.Reply)) bool {
-	if c.rejected.holdBack(r, c.now) || !c.budget.Allow(c.now, r.Writes(), urgency) {
+// callStore sends a request to the state service if the budget allows.
+func (c *Core) callStore(r *storage.Request, urgency storage.Urgency, timeout micros.Time, done func(*storage.Reply)) bool {
+	if c.txnBackoff.blocked(r, c.now) || !c.storeLimiter.Allow(c.now, r.Writes(), urgency) {
 		return false
 	}
-	id := c.call(func(v any) {
+	id := c.registerCall(func(v any) {
 		reply := v.(*storage.Reply)
-		c.rejected.note(r, reply.Outcome, c.now)
+		c.txnBackoff.observe(r, reply.Outcome, c.now)
 		done(reply)
 	})
-	c.out.StoreCalls = append(c.out.StoreCalls, StoreCall{id, r, timeout})
+	c.output.StoreCalls = append(c.output.StoreCalls, StoreCall{id, r, timeout})
 	return true
 }
 
 func (c *Core) callCloud(call CloudCall, done func(*CloudReply)) {
-	call.Call = c.call(func(v any) { done(v.(*CloudReply)) })
-	c.out.CloudCalls = append(c.out.CloudCalls, call)
+	call.Call = c.registerCall(func(v any) { done(v.(*CloudReply)) })
+	c.output.CloudCalls = append(c.output.CloudCalls, call)
 }
 
-// callWorker sends a direct call; there must be room for it.
-func (c *Core) callWorker(call AgentCall, done func(*AgentReply)) {
-	c.workerOut++
-	call.Call = c.call(func(v any) {
-		c.workerOut--
+// callAgent sends a direct call; there must be room for it.
+func (c *Core) callAgent(call AgentCall, done func(*AgentReply)) {
+	c.agentCallsInFlight++
+	call.Call = c.registerCall(func(v any) {
+		c.agentCallsInFlight--
 		done(v.(*AgentReply))
 	})
-	c.out.AgentCalls = append(c.out.AgentCalls, call)
+	c.output.AgentCalls = append(c.output.AgentCalls, call)
 }
 
-// roomForCalls is how many direct calls may be sent now. Each takes a socket: to
+// availableAgentCalls is how many direct calls may be sent now. Each takes a socket: to
 // ask or command a whole fleet at once would leave none for the workers' reports.
 // Probes, whose machines often do not answer, leave a third to commands.
-func (c *Core) roomForCalls(probe bool) int {
-	most := c.workerMost
+func (c *Core) availableAgentCalls(probe bool) int {
+	most := c.maxAgentCalls
 	if probe {
 		most -= most / 3
 	}
-	return most - c.workerOut
+	return most - c.agentCallsInFlight
 }
 
 // Log levels, as in log/slog.
@@ -222,43 +222,43 @@
 )
 
 func (c *Core) log(level int, text string, args ...any) {
-	c.out.LogRecords = append(c.out.LogRecords, LogRecord{level, text, args})
+	c.output.LogRecords = append(c.output.LogRecords, LogRecord{level, text, args})
 }
 
 func (c *Core) tick() {
-	if c.stateOK() {
-		c.okAt = c.now
+	if c.storeReachable() {
+		c.lastServedAt = c.now
 	}
-	c.tickSession()
-	c.tickBarrier()
-	c.tickCatalog()
-	c.keepCatalog()
+	c.tickReplication()
+	c.advanceReadBarrier()
+	c.refreshCatalog()
+	c.persistCatalog()
 	c.tickLeader()
-	for _, n := range sortedKeys(c.holders) {
-		c.holders[n].tick()
+	for _, n := range sortedKeys(c.partitions) {
+		c.partitions[n].tick()
 	}
-	c.tickReach()
-	c.tickCancelled()
-	c.tickStatus()
+	c.probeReachability()
+	c.expireCancellationNotices()
+	c.sendStatus()
 }
 
-// tickCatalog fetches the machine types; prices move, so they are fetched anew
+// refreshCatalog fetches the machine types; prices move, so they are fetched anew
 // now and then.
-func (c *Core) tickCatalog() {
+func (c *Core) refreshCatalog() {
 	every := 60 * micros.Second
 	if c.catalog == nil {
 		every = micros.Second
 	}
-	if c.catalogOn || (c.catalogAt != 0 && c.now-c.catalogAt < every) {
+	if c.catalogFetching || (c.catalogFetchedAt != 0 && c.now-c.catalogFetchedAt < every) {
 		return
 	}
-	c.catalogOn, c.catalogAt = true, c.now
+	c.catalogFetching, c.catalogFetchedAt = true, c.now
 	c.callCloud(CloudCall{Operation: CloudCatalog, Timeout: 3 * micros.Second}, func(r *CloudReply) {
-		c.catalogOn = false
+		c.catalogFetching = false
 		if r.Outcome == CloudOK && len(r.Catalog) > 0 {
 			c.catalog = r.Catalog
-			c.catalogOwn = true
-			for _, h := range c.holders {
+			c.catalogFromCloud = true
+			for _, h := range c.partitions {
 				h.dirty = true
 			}
 		}
@@ -266,45 +266,45 @@
 }
 
 const (
-	// staleAfter is how old news of the state may be before it counts as out of
+	// storeStaleAfter is how old news of the state may be before it counts as out of
 	// reach: a watch comes back once a second.
-	staleAfter = 2500 * micros.Millisecond
-	// aloneAfter is how long a controller without state and siblings takes it for
+	storeStaleAfter = 2500 * micros.Millisecond
+	// isolationTimeout is how long a controller without state and siblings takes it for
 	// an outage for all.
-	aloneAfter = 6 * micros.Second
+	isolationTimeout = 6 * micros.Second
 )
 
-// stateOK tells whether this controller can serve users now.
-func (c *Core) stateOK() bool {
-	return c.synced && c.catalog != nil && c.term.SinceConfirmed(c.now) < staleAfter
+// storeReachable tells whether this controller can serve users now.
+func (c *Core) storeReachable() bool {
+	return c.synced && c.catalog != nil && c.term.SinceConfirmed(c.now) < storeStaleAfter
 }
 
-// heardWithin tells whether any sibling that meets the condition has been heard
+// anyPeerHeard tells whether any sibling that meets the condition has been heard
 // of late.
-func (c *Core) heardWithin(d micros.Time, cond func(*PeerStatus) bool) bool {
+func (c *Core) anyPeerHeard(d micros.Time, cond func(*PeerStatus) bool) bool {
 	for member, p := range c.peers {
-		if member != c.proc.Member && c.now-p.at < d && cond(p.status) {
+		if member != c.process.Member && c.now-p.receivedAt < d && cond(p.status) {
 			return true
 		}
 	}
 	return false
 }
 
-// heardFromAll tells whether every sibling has been heard of late.
-func (c *Core) heardFromAll() bool {
-	for _, s := range c.cfg.Peers {
-		if p := c.peers[s.Member]; p == nil || c.now-p.at >= 3*micros.Second {
+// allPeersHeard tells whether every sibling has been heard of late.
+func (c *Core) allPeersHeard() bool {
+	for _, s := range c.config.Peers {
+		if p := c.peers[s.Member]; p == nil || c.now-p.receivedAt >= 3*micros.Second {
 			return false
 		}
 	}
 	return true
 }
 
-// alone tells whether neither the state service nor any sibling has been heard of
+// isolated tells whether neither the state service nor any sibling has been heard of
 // late: then this controller's view may be outdated, whatever it says.
-func (c *Core) alone() bool {
-	return c.term.SinceConfirmed(c.now) >= staleAfter && c.now > c.born+2*micros.Second &&
-		!c.heardWithin(2*micros.Second, func(*PeerStatus) bool { return true })
+func (c *Core) isolated() bool {
+	return c.term.SinceConfirmed(c.now) >= storeStaleAfter && c.now > c.startedAt+2*micros.Second &&
+		!c.anyPeerHeard(2*micros.Second, func(*PeerStatus) bool { return true })
 }
 
 // Healthy tells whether the controller should be sent users' requests: it is
@@ -316,99 +316,99 @@
 // stay open here would not be answered for as long as it lasts.
 func (c *Core) Healthy() bool {
 	switch {
-	case c.stateOK():
+	case c.storeReachable():
 		return true
-	case c.now < c.born+micros.Second:
+	case c.now < c.startedAt+micros.Second:
 		return false // it may only be starting
-	case c.heardWithin(2*micros.Second, func(s *PeerStatus) bool { return s.StoreReachable }):
+	case c.anyPeerHeard(2*micros.Second, func(s *PeerStatus) bool { return s.StoreReachable }):
 		return false
-	case len(c.cfg.Peers) == 0 || c.heardWithin(2*micros.Second, func(*PeerStatus) bool { return true }):
+	case len(c.config.Peers) == 0 || c.anyPeerHeard(2*micros.Second, func(*PeerStatus) bool { return true }):
 		return true
 	}
-	return c.now-max(c.okAt, c.born) < aloneAfter
+	return c.now-max(c.lastServedAt, c.startedAt) < isolationTimeout
 }
 
-// tickStatus tells the siblings how things stand.
-func (c *Core) tickStatus() {
+// sendStatus tells the siblings how things stand.
+func (c *Core) sendStatus() {
 	every := 500 * micros.Millisecond
 	if c.statusSoon {
 		every = 100 * micros.Millisecond
 	}
-	if c.now-c.statusAt < every {
+	if c.now-c.statusSentAt < every {
 		return
 	}
-	c.statusAt, c.statusSoon = c.now, false
-	s := &PeerStatus{From: c.proc, Revision: c.replica.Revision, StoreReachable: c.stateOK(), Usage: c.budget.RecentUsage(), Reachability: c.reach.told(c.now)}
+	c.statusSentAt, c.statusSoon = c.now, false
+	s := &PeerStatus{From: c.process, Revision: c.cache.Revision, StoreReachable: c.storeReachable(), Usage: c.storeLimiter.RecentUsage(), Reachability: c.reachability.report(c.now)}
 	var others storage.Usage
 	for member, p := range c.peers {
-		if member == c.proc.Member {
+		if member == c.process.Member {
 			continue
 		}
-		if c.now-p.at < 3*micros.Second {
+		if c.now-p.receivedAt < 3*micros.Second {
 			others.Requests += p.status.Usage.Requests
 			others.Writes += p.status.Usage.Writes
 		}
 	}
-	if !c.heardFromAll() {
+	if !c.allPeersHeard() {
 		// What one that is not heard of uses is not known: an even share only.
 		others = storage.Usage{Requests: 1 << 40, Writes: 1 << 40}
 	}
-	c.budget.SetPeerUsage(others)
-	for _, n := range sortedKeys(c.holders) {
-		h := c.holders[n]
+	c.storeLimiter.SetPeerUsage(others)
+	for _, n := range sortedKeys(c.partitions) {
+		h := c.partitions[n]
 		s.Partitions = append(s.Partitions, h.status())
 		s.Progress = append(s.Progress, h.progress()...)
 	}
-	s.TerminatedMachines = c.leader.recentlyGone(c.now)
-	s.CancellationAcks = c.cancelsHeard()
-	s.Demand = c.demandToTell()
-	for _, p := range c.cfg.Peers {
+	s.TerminatedMachines = c.leader.recentlyTerminated(c.now)
+	s.CancellationAcks = c.cancellationAcks()
+	s.Demand = c.demandForPeers()
+	for _, p := range c.config.Peers {
 		mine := *s
-		mine.Transfers = c.leader.shifts[p.Member]
-		mine.Cancelled, mine.CancelledUpTo = c.noticesTo(p.Member)
-		c.out.PeerMessages = append(c.out.PeerMessages, PeerMessage{p.Member, &mine})
+		mine.Transfers = c.leader.transfers[p.Member]
+		mine.Cancelled, mine.CancelledUpTo = c.cancellationNoticesFor(p.Member)
+		c.output.PeerMessages = append(c.output.PeerMessages, PeerMessage{p.Member, &mine})
 	}
-	for _, sh := range c.leader.shifts[c.proc.Member] {
-		c.shift(sh)
+	for _, sh := range c.leader.transfers[c.process.Member] {
+		c.transferMachine(sh)
 	}
-	c.leader.shifts = nil
-	c.heard(s)
+	c.leader.transfers = nil
+	c.receiveStatus(s)
 }
 
-// heard takes a status, our own included. Nothing in it is believed that the
+// receiveStatus takes a status, our own included. Nothing in it is believed that the
 // stream of changes must tell, except that a machine is gone: that is a fact
 // which nothing makes untrue.
-func (c *Core) heard(s *PeerStatus) {
-	c.peers[s.From.Member] = &peerView{c.now, s}
-	c.takeNotices(s)
-	c.heardDemandOf(s)
+func (c *Core) receiveStatus(s *PeerStatus) {
+	c.peers[s.From.Member] = &peerState{c.now, s}
+	c.receiveCancellationNotices(s)
+	c.receiveDemand(s)
 	for _, m := range s.TerminatedMachines {
-		for _, h := range c.holders {
+		for _, h := range c.partitions {
 			h.machineGone(m)
 		}
 	}
-	if s.From != c.proc {
+	if s.From != c.process {
 		for _, sh := range s.Transfers {
-			c.shift(sh)
+			c.transferMachine(sh)
 		}
 	}
-	c.boundProgress()
+	c.pruneProgress()
 	for _, p := range s.Progress {
 		c.progress[p.ID] = p
 	}
 }
 
-// minProgress is how many jobs' progress is kept at least, for display.
-const minProgress = 4096
+// minProgressEntries is how many jobs' progress is kept at least, for display.
+const minProgressEntries = 4096
 
-// boundProgress forgets the progress of jobs that are over, once there is much of it: with
+// pruneProgress forgets the progress of jobs that are over, once there is much of it: with
 // more active jobs than that all of theirs is kept.
-func (c *Core) boundProgress() {
-	if len(c.progress) <= max(minProgress, 2*c.progressKept) {
+func (c *Core) pruneProgress() {
+	if len(c.progress) <= max(minProgressEntries, 2*c.progressKept) {
 		return
 	}
 	for id := range c.progress {
-		if e := c.replica.Jobs[id]; e == nil || e.Job.Phase != bookkeeping.Active {
+		if e := c.cache.Jobs[id]; e == nil || e.Job.Phase != bookkeeping.Active {
 			delete(c.progress, id)
 		}
 	}
--- a/internal/coordination/exceptions.go
+++ b/internal/coordination/exceptions.go
@@ -18,7 +18,7 @@
 // is gained any more, and the index decides again.
 func (h *holder) nearObjective(j *job) bool {
 	age := h.c.wall - j.ready
-	for _, o := range h.c.cfg.Settings.Objectives {
+	for _, o := range h.c.config.Settings.Objectives {
 		if o.Class != j.Class {
 			continue
 		}
@@ -26,7 +26,7 @@
 		switch o.Kind {
 		case "wait":
 		case "finished":
-			limit -= micros.Time(float64(h.estimate(j)) * h.c.stats.TailRatio(j.Class))
+			limit -= micros.Time(float64(h.estimate(j)) * h.c.runtimes.TailRatio(j.Class))
 		default:
 			continue
 		}
--- a/internal/coordination/fairness.go
+++ b/internal/coordination/fairness.go
@@ -26,18 +26,18 @@
 	if c.fair == nil {
 		return nil
 	}
-	bound := micros.Time(c.cfg.Operator.FairAdmission.LagS) * micros.Second
-	s := &fairShares{queue: admission.NewFairQueue(c.now, len(c.cfg.Settings.Teams), bound, &c.fair.settings), bound: bound}
+	bound := micros.Time(c.config.Operator.FairAdmission.LagS) * micros.Second
+	s := &fairShares{queue: admission.NewFairQueue(c.now, len(c.config.Settings.Teams), bound, &c.fair.settings), bound: bound}
 	var last *PartitionStatus
 	var lastAt micros.Time
 	for _, member := range sortedKeys(c.peers) {
 		p := c.peers[member]
-		if c.now-p.at > lagKept || p.at <= lastAt {
+		if c.now-p.receivedAt > lagKept || p.receivedAt <= lastAt {
 			continue
 		}
 		for i := range p.status.Partitions {
 			if q := &p.status.Partitions[i]; q.Partition == queue && len(q.Lags) > 0 {
-				last, lastAt = q, p.at
+				last, lastAt = q, p.receivedAt
 			}
 		}
 	}
--- a/internal/coordination/finished.go
+++ b/internal/coordination/finished.go
@@ -24,7 +24,7 @@
 // finParts tells whether finished ranges are written in parts: where a chunk would not
 // fit at its worst, as soon as no older version is about, which reads chunks only.
 func (c *Core) finParts() bool {
-	return c.replica.Format >= storage.Format && c.cfg.Settings.MaxValue() < bookkeeping.LargeSegmentBytes
+	return c.cache.Format >= storage.Format && c.config.Settings.MaxValue() < bookkeeping.LargeSegmentBytes
 }
 
 // partialEvery is how often finished tasks of an unfinished job are stored.
@@ -52,7 +52,7 @@
 	} else {
 		written = h.putFinished(r, j)
 	}
-	j.storing = h.c.callState(r, urgency, stateTimeout, func(reply *storage.Reply) {
+	j.storing = h.c.callStore(r, urgency, storeTimeout, func(reply *storage.Reply) {
 		j.storing = false
 		j.storeAt = h.c.now + 300*micros.Millisecond
 		if reply.Outcome == storage.OK {
@@ -67,7 +67,7 @@
 	over.CompletedAt = h.c.wall
 	r.Puts = append(r.Puts, storage.Put{Key: h.c.keys.Job(j.ID), Value: storage.Encode(over)})
 	for _, chunk := range sortedKeys(j.entry.CompletedRevisions) {
-		if len(r.Deletes)+1 < h.c.cfg.Settings.StateLimits().TxnOps {
+		if len(r.Deletes)+1 < h.c.config.Settings.StateLimits().TxnOps {
 			r.Deletes = append(r.Deletes, h.c.keys.CompletedSegment(j.ID, chunk))
 		}
 	}
@@ -84,7 +84,7 @@
 	}
 	written := map[int]*bookkeeping.Bitmap{}
 	for _, chunk := range sortedKeys(j.chunks) {
-		if len(r.Puts) >= h.c.cfg.Settings.StateLimits().TxnOps {
+		if len(r.Puts) >= h.c.config.Settings.StateLimits().TxnOps {
 			break
 		}
 		key := h.c.keys.CompletedSegment(j.ID, chunk)
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -132,10 +132,10 @@
 		jobs: map[string]*job{}, usage: map[string]bookkeeping.Resources{}, dirty: true, lastTick: c.now,
 		calmAt: c.now, planPause: planPace, noRoom: map[roomShape]bool{}, zones: map[string]*zoneView{}, marking: map[string]micros.Time{},
 		unknown: map[string]micros.Time{}, cancelledBefore: map[string]bool{}}
-	for _, id := range sortedKeys(c.replica.Machines) {
+	for _, id := range sortedKeys(c.cache.Machines) {
 		h.blockChanged(id)
 	}
-	for _, id := range sortedKeys(c.replica.Jobs) {
+	for _, id := range sortedKeys(c.cache.Jobs) {
 		h.jobChanged(id)
 	}
 	h.lostBefore()
@@ -143,7 +143,7 @@
 	return h
 }
 
-func (c *Core) queueOf(j *bookkeeping.Job) int {
+func (c *Core) partitionOfJob(j *bookkeeping.Job) int {
 	if t := c.teams[j.Team]; t != nil {
 		return t.Partition
 	}
@@ -164,19 +164,19 @@
 	for _, id := range sortedKeys(old.Jobs) {
 		h.jobChanged(id)
 	}
-	for _, id := range sortedKeys(h.c.replica.Jobs) {
+	for _, id := range sortedKeys(h.c.cache.Jobs) {
 		h.jobChanged(id)
 	}
 	for _, id := range sortedKeys(old.Machines) {
 		h.blockChanged(id)
 	}
-	for _, id := range sortedKeys(h.c.replica.Machines) {
+	for _, id := range sortedKeys(h.c.cache.Machines) {
 		h.blockChanged(id)
 	}
 }
 
 func (h *holder) blockChanged(id string) {
-	v, ok := h.c.replica.Machines[id]
+	v, ok := h.c.cache.Machines[id]
 	m := h.machine(id)
 	switch {
 	case !ok || v.Value.Partition != h.queue:
@@ -270,12 +270,12 @@
 }
 
 func (h *holder) jobChanged(id string) {
-	e := h.c.replica.Jobs[id]
+	e := h.c.cache.Jobs[id]
 	j := h.jobs[id]
-	if e != nil && e.CancelledByDependency && e.Job.Phase == bookkeeping.Active && h.c.queueOf(e.Job) == h.queue {
+	if e != nil && e.CancelledByDependency && e.Job.Phase == bookkeeping.Active && h.c.partitionOfJob(e.Job) == h.queue {
 		h.cancelledBefore[id] = true
 	}
-	if e == nil || e.Job.Phase != bookkeeping.Active || e.CancelledByDependency || h.c.queueOf(e.Job) != h.queue {
+	if e == nil || e.Job.Phase != bookkeeping.Active || e.CancelledByDependency || h.c.partitionOfJob(e.Job) != h.queue {
 		if j != nil {
 			h.jobOver(j)
 		}
@@ -299,8 +299,8 @@
 	h.jobs[id] = j
 	i, _ := slices.BinarySearchFunc(h.order, id, func(o *job, id string) int { return cmp.Compare(o.ID, id) })
 	h.order = slices.Insert(h.order, i, j)
-	_, j.cancelRequested = h.c.cancelled.told[id]
-	j.cancelRequested = j.cancelRequested || h.c.cancelled.known[id]
+	_, j.cancelRequested = h.c.cancellations.requested[id]
+	j.cancelRequested = j.cancelRequested || h.c.cancellations.noticed[id]
 	h.wait(j)
 	h.dirty = true
 	h.c.log(levelDebug, "job", "job", id, "class", j.Class, "tasks", j.Tasks, "cpu", j.Resources.CPU, "estimate_ms", j.Estimate/micros.Millisecond,
@@ -396,7 +396,7 @@
 		return s
 	}
 	s.Lags = h.lags()
-	several := h.c.queues() > 1
+	several := h.c.partitionCount() > 1
 	idle := map[bool]int{} // of spot machines, and of the others
 	for _, m := range h.machines {
 		if m.draining == "silent" && (h.c.now < h.doubtUntil || h.zoneInDoubt(m.block.Zone)) && !m.expired {
@@ -449,22 +449,22 @@
 	return out
 }
 
-// shift moves an empty machine to another queue: this holder has let go, and
+// transferMachine moves an empty machine to another queue: this holder has let go, and
 // both queues get new tokens in the same transaction, so that the machine obeys
 // the new holder only, and that one only after the machine acknowledged it.
-func (c *Core) shift(s MachineTransfer) {
-	b, ok := c.replica.Machines[s.Machine]
-	h := c.holders[b.Value.Partition]
+func (c *Core) transferMachine(s MachineTransfer) {
+	b, ok := c.cache.Machines[s.Machine]
+	h := c.partitions[b.Value.Partition]
 	if !ok || h == nil || s.ToPartition == h.queue || !c.term.Valid(c.now) {
 		return
 	}
-	to, ok := c.replica.Partitions[s.ToPartition]
+	to, ok := c.cache.Partitions[s.ToPartition]
 	m := h.machine(s.Machine)
 	if !ok || m == nil || m.draining != "" || !h.empty(m) {
 		return
 	}
-	from := c.replica.Partitions[h.queue]
-	rest := c.replica.Blocks[b.Value.Block]
+	from := c.cache.Partitions[h.queue]
+	rest := c.cache.Blocks[b.Value.Block]
 	moved := storage.BlockRecord{Partition: s.ToPartition, InstanceType: b.Value.InstanceType, Zone: b.Value.Zone, Spot: b.Value.Spot}.With(m.id, b.Value.MachineRecord)
 	key := c.keys.Block(fmt.Sprintf("m%d-%s", h.token, m.id))
 	h.drain(m, "moving")
@@ -473,11 +473,11 @@
 			{Key: c.keys.Block(b.Value.Block), ModRevision: rest.ModRevision}, {Key: key}},
 		Puts: []storage.Put{{Key: key, Value: storage.Encode(moved)},
 			{Key: c.keys.Partition(h.queue), Value: storage.Encode(from.Value)}, {Key: c.keys.Partition(s.ToPartition), Value: storage.Encode(to.Value)}}}
-	if c.putBlock(r, b.Value.Block, rest.Value.Without(m.id)); len(r.Puts) > c.cfg.Settings.StateLimits().TxnOps {
+	if c.putBlock(r, b.Value.Block, rest.Value.Without(m.id)); len(r.Puts) > c.config.Settings.StateLimits().TxnOps {
 		m.draining = "" // a record of an older version, too large: the next change splits it
 		return
 	}
-	if !c.callState(r, storage.Deferrable, stateTimeout, func(r *storage.Reply) {
+	if !c.callStore(r, storage.Deferrable, storeTimeout, func(r *storage.Reply) {
 		// Without a clear no, the move may still happen: the machine stays drained
 		// here until the stream tells.
 		if r.Outcome == storage.Conflict || r.Outcome == storage.Unavailable || r.Outcome == storage.Invalid {
--- a/internal/coordination/large_bench_test.go
+++ b/internal/coordination/large_bench_test.go
@@ -19,18 +19,18 @@
 			now := 2 * micros.Second
 			for b.Loop() {
 				now += 10 * micros.Second
-				c.now, c.out = now, &Output{}
+				c.now, c.output = now, &Output{}
 				c.term.Confirm(now)
-				c.holders[0] = newHolder(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: c.replica.Partitions[0].ModRevision})
+				c.partitions[0] = newHolder(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: c.cache.Partitions[0].ModRevision})
 				for _, r := range reports {
 					r.Sequence++
-					c.tickAt = now
+					c.lastTick = now
 					c.Step(now, now, &HeartbeatRequest{Request: 1, Heartbeat: r})
 				}
-				c.out = &Output{}
-				c.holders[0].schedule()
+				c.output = &Output{}
+				c.partitions[0].schedule()
 			}
-			if h := c.holders[0]; len(h.machines) != size || !h.machines[size-1].known {
+			if h := c.partitions[0]; len(h.machines) != size || !h.machines[size-1].known {
 				b.Fatal("not taken over")
 			}
 		})
@@ -45,11 +45,11 @@
 			now := 2 * micros.Second
 			for _, r := range reports {
 				r.Sequence++
-				c.tickAt = now
+				c.lastTick = now
 				c.Step(now, now, &HeartbeatRequest{Request: 1, Heartbeat: r})
 			}
-			h := c.holders[0]
-			c.now, c.out = now+h.silence()+micros.Second, &Output{}
+			h := c.partitions[0]
+			c.now, c.output = now+h.silence()+micros.Second, &Output{}
 			b.ReportAllocs()
 			for b.Loop() {
 				c.now += 50 * micros.Millisecond
@@ -65,7 +65,7 @@
 					h.tickMachine(m)
 					m.draining = ""
 				}
-				c.out = &Output{}
+				c.output = &Output{}
 			}
 		})
 	}
@@ -80,16 +80,16 @@
 			for _, r := range reports {
 				r.Sequence++
 				r.Tasks = nil
-				c.tickAt = now
+				c.lastTick = now
 				c.Step(now, now, &HeartbeatRequest{Request: 1, Heartbeat: r})
 			}
-			h := c.holders[0]
+			h := c.partitions[0]
 			c.now = now + 100*micros.Second
 			b.ReportAllocs()
 			for b.Loop() {
 				c.now += micros.Second
 				c.term.Confirm(c.now)
-				c.out = &Output{}
+				c.output = &Output{}
 				h.needs = nil
 				for _, m := range h.machines {
 					m.seen, m.answered, m.kind, m.draining = c.now, c.now, c.catalog["m"], ""
@@ -110,7 +110,7 @@
 		c, reports := newLarge(t, size)
 		for _, r := range reports {
 			r.Sequence++
-			c.tickAt = 2 * micros.Second
+			c.lastTick = 2 * micros.Second
 			c.Step(2*micros.Second, 2*micros.Second, &HeartbeatRequest{Request: 1, Heartbeat: r})
 		}
 		runtime.GC()
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -10,176 +10,176 @@
 	"pipitlatch/internal/storage"
 )
 
-// leaderState is what the leader does: it leases queues, assigns machines, and
+// clusterLeader is what the leader does: it leases queues, assigns machines, and
 // alone rents and deletes them.
-type leaderState struct {
-	version    uint64 // of the leader key under which the rest was begun
-	since      micros.Time
-	assignAt   micros.Time
-	assigning  bool
-	counter    int
-	renting    map[string]fleet.InstanceKind // charters with a call or write out
-	retry      map[string]micros.Time        // charters: not before
-	deleting   map[string]bool
-	deleteCall bool
-	deleteAt   micros.Time
-	removing   map[string]micros.Time // blocks that lose machines: not again before
-	gone       map[string]micros.Time
-	listing    bool
-	listAt     micros.Time
-	deaf       map[storage.Process]micros.Time // holders that lost their machines: when
-	absent     map[string]micros.Time          // blocks without a machine in the list: since when
-	orphans    map[string]orphan
-	adoptAt    micros.Time
-	adoptKey   string // of a block whose write was not answered
-	closed     uint64 // revision at which the last rental was written down, or became a block
-	rentAt     micros.Time
-	cloudLeft  float64 // rentals that may be sent
-	cloudAt    micros.Time
-	exhausted  *fleet.CapacityTracker
-	shifts     map[string][]MachineTransfer
-	shiftAt    micros.Time
-	archive    archive
-	formatCall bool
-	formatAt   micros.Time
+type clusterLeader struct {
+	revision            uint64 // of the leader key under which the rest was begun
+	acquiredAt          micros.Time
+	nextAssignmentAt    micros.Time
+	assignmentInFlight  bool
+	nameCounter         int
+	requestsInFlight    map[string]fleet.InstanceKind // charters with a call or write out
+	requestRetryAt      map[string]micros.Time        // charters: not before
+	toTerminate         map[string]bool
+	terminateInFlight   bool
+	terminateRetryAt    micros.Time
+	blockWriteAfter     map[string]micros.Time // blocks that lose machines: not again before
+	terminated          map[string]micros.Time
+	listInFlight        bool
+	nextListAt          micros.Time
+	isolatedLeaders     map[storage.Process]micros.Time // holders that lost their machines: when
+	absentSince         map[string]micros.Time          // blocks without a machine in the list: since when
+	orphans             map[string]orphan
+	nextAdoptionAt      micros.Time
+	adoptionKey         string // of a block whose write was not answered
+	provisionedRevision uint64 // revision at which the last rental was written down, or became a block
+	nextScaleOutAt      micros.Time
+	cloudTokens         float64 // rentals that may be sent
+	cloudTokensAt       micros.Time
+	capacity            *fleet.CapacityTracker
+	transfers           map[string][]MachineTransfer
+	nextTransferAt      micros.Time
+	archiver            archiver
+	formatInFlight      bool
+	formatRetryAt       micros.Time
 }
 
-func (l *leaderState) begin(c *Core) {
-	l.version, l.since = c.replica.ClusterLeader.ModRevision, c.now
-	l.assigning, l.deleteCall, l.listing = false, false, false
-	l.renting, l.retry = map[string]fleet.InstanceKind{}, map[string]micros.Time{}
-	l.deleting, l.removing, l.orphans = map[string]bool{}, map[string]micros.Time{}, map[string]orphan{}
-	l.closed = c.replica.Revision
-	l.absent = map[string]micros.Time{}
-	l.deaf = map[storage.Process]micros.Time{}
-	l.gone = map[string]micros.Time{}
-	l.counter, l.adoptKey = 0, ""
-	l.archive = archive{}
-	l.formatCall = false
-	c.log(levelInfo, "leading", "token", l.version)
+func (l *clusterLeader) acquire(c *Core) {
+	l.revision, l.acquiredAt = c.cache.ClusterLeader.ModRevision, c.now
+	l.assignmentInFlight, l.terminateInFlight, l.listInFlight = false, false, false
+	l.requestsInFlight, l.requestRetryAt = map[string]fleet.InstanceKind{}, map[string]micros.Time{}
+	l.toTerminate, l.blockWriteAfter, l.orphans = map[string]bool{}, map[string]micros.Time{}, map[string]orphan{}
+	l.provisionedRevision = c.cache.Revision
+	l.absentSince = map[string]micros.Time{}
+	l.isolatedLeaders = map[storage.Process]micros.Time{}
+	l.terminated = map[string]micros.Time{}
+	l.nameCounter, l.adoptionKey = 0, ""
+	l.archiver = archiver{}
+	l.formatInFlight = false
+	c.log(levelInfo, "leading", "token", l.revision)
 }
 
-// recentlyGone are machines that are surely gone, told for a while, the latest first where
+// recentlyTerminated are machines that are surely gone, told for a while, the latest first where
 // one message has no room for all.
-func (l *leaderState) recentlyGone(now micros.Time) []string {
+func (l *clusterLeader) recentlyTerminated(now micros.Time) []string {
 	var out []string
-	for m, at := range l.gone {
-		if now-at < tellGoneFor {
+	for m, at := range l.terminated {
+		if now-at < terminatedNoticeTTL {
 			out = append(out, m)
 		}
 	}
-	slices.SortFunc(out, func(a, b string) int { return cmp.Or(cmp.Compare(l.gone[b], l.gone[a]), cmp.Compare(a, b)) })
-	return out[:min(len(out), maxGoneTold)]
+	slices.SortFunc(out, func(a, b string) int { return cmp.Or(cmp.Compare(l.terminated[b], l.terminated[a]), cmp.Compare(a, b)) })
+	return out[:min(len(out), maxTerminatedPerMessage)]
 }
 
 const (
-	// tellGoneFor is how long siblings are told that a machine is gone.
-	tellGoneFor = 10 * micros.Second
-	// maxGoneTold bounds the machines in one message. The records tell as well.
-	maxGoneTold = 1000
+	// terminatedNoticeTTL is how long siblings are told that a machine is gone.
+	terminatedNoticeTTL = 10 * micros.Second
+	// maxTerminatedPerMessage bounds the machines in one message. The records tell as well.
+	maxTerminatedPerMessage = 1000
 )
 
 func (c *Core) tickLeader() {
-	if !c.leading() {
+	if !c.isClusterLeader() {
 		return
 	}
 	l := &c.leader
-	if l.version != c.replica.ClusterLeader.ModRevision {
-		l.begin(c)
+	if l.revision != c.cache.ClusterLeader.ModRevision {
+		l.acquire(c)
 	}
-	if c.permit == 0 || !c.term.Valid(c.now) {
+	if c.leaseID == 0 || !c.term.Valid(c.now) {
 		return
 	}
-	c.assignQueues()
+	c.assignPartitions()
 	c.tickAdmission()
-	c.deleteMachines()
-	c.listMachines()
-	c.rentMachines()
-	c.removeBlocks()
-	c.adoptMachines()
-	c.shiftBlocks()
-	c.tickArchive()
-	c.tickFormat()
+	c.terminateInstances()
+	c.listInstances()
+	c.scaleOut()
+	c.pruneBlocks()
+	c.adoptOrphans()
+	c.transferIdleMachines()
+	c.archiveTerminalJobs()
+	c.upgradeFormat()
 }
 
-// assignQueues leases queues without a live holder. A holder that is registered
+// assignPartitions leases queues without a live holder. A holder that is registered
 // but has not been heard from by the leader for long cannot tell its needs; its
 // queues go to another.
-func (c *Core) assignQueues() {
+func (c *Core) assignPartitions() {
 	l := &c.leader
-	if l.assigning || c.now < l.assignAt {
+	if l.assignmentInFlight || c.now < l.nextAssignmentAt {
 		return
 	}
 	mute := func(p storage.Process) bool {
 		v := c.peers[p.Member]
-		heard := v != nil && v.status.From == p && c.now-v.at < 6*micros.Second
-		return !heard && c.now-l.since > 6*micros.Second
+		heard := v != nil && v.status.From == p && c.now-v.receivedAt < 6*micros.Second
+		return !heard && c.now-l.acquiredAt > 6*micros.Second
 	}
-	todo := lease.Assign(c.replica, c.queues(), c.proc, func(p storage.Process) bool { return mute(p) || c.cutOff(p) }, c.reachOf)
+	todo := lease.Assign(c.cache, c.partitionCount(), c.process, func(p storage.Process) bool { return mute(p) || c.leaderIsolated(p) }, c.reachableMachines)
 	if len(todo) == 0 {
 		return
 	}
-	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.asLeader()}}
+	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.leaderCompare()}}
 	for _, a := range todo {
-		if len(r.Puts) >= c.cfg.Settings.StateLimits().TxnOps {
+		if len(r.Puts) >= c.config.Settings.StateLimits().TxnOps {
 			break
 		}
 		m := a.Record.Leader.Member
 		r.Compares = append(r.Compares,
-			storage.Compare{Key: c.keys.Partition(a.Partition), ModRevision: c.replica.Partitions[a.Partition].ModRevision},
-			storage.Compare{Key: c.keys.Member(m), ModRevision: c.replica.Members[m].ModRevision})
+			storage.Compare{Key: c.keys.Partition(a.Partition), ModRevision: c.cache.Partitions[a.Partition].ModRevision},
+			storage.Compare{Key: c.keys.Member(m), ModRevision: c.cache.Members[m].ModRevision})
 		r.Puts = append(r.Puts, storage.Put{Key: c.keys.Partition(a.Partition), Value: storage.Encode(a.Record)})
 	}
-	l.assigning = c.callState(r, storage.Urgent, stateTimeout, func(*storage.Reply) {
-		l.assigning = false
-		l.assignAt = c.now + 300*micros.Millisecond
+	l.assignmentInFlight = c.callStore(r, storage.Urgent, storeTimeout, func(*storage.Reply) {
+		l.assignmentInFlight = false
+		l.nextAssignmentAt = c.now + 300*micros.Millisecond
 	})
 }
 
-// deafFor is how long a controller that could not hear its machines is given no
+// isolationPenalty is how long a controller that could not hear its machines is given no
 // queue.
-const deafFor = 30 * micros.Second
+const isolationPenalty = 30 * micros.Second
 
-// clearGain is how many more machines another controller must reach at least, and
+// minReachabilityGain is how many more machines another controller must reach at least, and
 // an eighth of all, for a queue to change hands: that costs a second or two.
-const clearGain = 3
+const minReachabilityGain = 3
 
-// cutOff tells whether a holder has lost machines, but not the state service, while
+// leaderIsolated tells whether a holder has lost machines, but not the state service, while
 // another controller reaches clearly more of them: the queue goes there, long before
 // the workers' leases end. Two zones may not reach each other while a third reaches
 // both. One that lost a queue gets none for a while, so it does not go back and forth.
-func (c *Core) cutOff(p storage.Process) bool {
+func (c *Core) leaderIsolated(p storage.Process) bool {
 	l := &c.leader
-	if at, ok := l.deaf[p]; ok && c.now-at < deafFor {
+	if at, ok := l.isolatedLeaders[p]; ok && c.now-at < isolationPenalty {
 		return true
 	}
 	v := c.peers[p.Member]
-	if v == nil || v.status.From != p || c.now-v.at > 3*micros.Second {
+	if v == nil || v.status.From != p || c.now-v.receivedAt > 3*micros.Second {
 		return false
 	}
 	for _, q := range v.status.Partitions {
-		if len(q.UnreachableZones) == 0 || c.replica.Partitions[q.Partition].Value.Leader != p {
+		if len(q.UnreachableZones) == 0 || c.cache.Partitions[q.Partition].Value.Leader != p {
 			continue
 		}
-		mine, theirs, most := c.reachOf(p, q.Partition), 0, 0
+		mine, theirs, most := c.reachableMachines(p, q.Partition), 0, 0
 		for _, o := range c.peers {
-			if o.status.From != p && o.status.StoreReachable && c.replica.Live(o.status.From) {
-				theirs = max(theirs, c.reachOf(o.status.From, q.Partition))
+			if o.status.From != p && o.status.StoreReachable && c.cache.Live(o.status.From) {
+				theirs = max(theirs, c.reachableMachines(o.status.From, q.Partition))
 			}
 		}
-		for _, n := range c.inUse(q.Partition) {
+		for _, n := range c.machinesInUse(q.Partition) {
 			most += n
 		}
-		if theirs >= mine+max(clearGain, most/8) {
+		if theirs >= mine+max(minReachabilityGain, most/8) {
 			c.log(levelInfo, "holder is cut off from machines", "holder", p.Member, "queue", q.Partition, "zones", q.UnreachableZones, "reaches", mine, "another", theirs)
-			l.deaf[p] = c.now
+			l.isolatedLeaders[p] = c.now
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Core) queues() int {
+func (c *Core) partitionCount() int {
 	n := 1
 	for _, t := range c.teams {
 		n = max(n, t.Partition+1)
@@ -187,16 +187,16 @@
 	return n
 }
 
-// statuses are what the present holders last said of their queues.
-func (c *Core) statuses() []PartitionStatus {
+// partitionStatuses are what the present holders last said of their queues.
+func (c *Core) partitionStatuses() []PartitionStatus {
 	var out []PartitionStatus
 	for _, m := range sortedKeys(c.peers) {
 		p := c.peers[m]
-		if c.now-p.at > statusLifetime {
+		if c.now-p.receivedAt > statusLifetime {
 			continue
 		}
 		for _, q := range p.status.Partitions {
-			v := c.replica.Partitions[q.Partition]
+			v := c.cache.Partitions[q.Partition]
 			if v.Value.Leader == p.status.From && v.ModRevision == q.FencingToken {
 				out = append(out, q)
 			}
@@ -205,155 +205,155 @@
 	return out
 }
 
-// deleteMachines deletes what holders let go. The cloud's 200 proves that the
+// terminateInstances deletes what holders let go. The cloud's 200 proves that the
 // machines, and all on them, are gone.
-func (c *Core) deleteMachines() {
+func (c *Core) terminateInstances() {
 	l := &c.leader
 	// One that is cut off hears nobody, and what it asks of the cloud may be carried
 	// out when the cut ends: it would delete machines that serve another by then.
-	if l.deleteCall || c.now < l.deleteAt || c.alone() {
+	if l.terminateInFlight || c.now < l.terminateRetryAt || c.isolated() {
 		return
 	}
 	var names []string
 	add := func(m string) {
-		if _, gone := l.gone[m]; !gone && !slices.Contains(names, m) && len(names) < 100 {
+		if _, gone := l.terminated[m]; !gone && !slices.Contains(names, m) && len(names) < 100 {
 			names = append(names, m)
 		}
 	}
-	for _, q := range c.statuses() {
+	for _, q := range c.partitionStatuses() {
 		for _, m := range q.Terminate {
-			if b, ok := c.replica.Machines[m]; ok && b.Value.Partition == q.Partition {
+			if b, ok := c.cache.Machines[m]; ok && b.Value.Partition == q.Partition {
 				add(m)
 			}
 		}
 	}
-	for _, m := range sortedKeys(l.deleting) {
+	for _, m := range sortedKeys(l.toTerminate) {
 		add(m)
 	}
 	if len(names) == 0 {
 		return
 	}
-	l.deleteCall = true
-	version := l.version
+	l.terminateInFlight = true
+	version := l.revision
 	c.callCloud(CloudCall{Operation: CloudTerminate, Names: names, Timeout: 3 * micros.Second}, func(r *CloudReply) {
-		l.deleteCall = false
-		l.deleteAt = c.now + 200*micros.Millisecond
+		l.terminateInFlight = false
+		l.terminateRetryAt = c.now + 200*micros.Millisecond
 		if r.Outcome != CloudOK {
-			l.deleteAt = c.now + micros.Second
+			l.terminateRetryAt = c.now + micros.Second
 			return
 		}
 		for _, m := range names {
-			c.machineGone(m)
+			c.instanceTerminated(m)
 		}
-		if l.version == version {
-			c.removeBlocks()
+		if l.revision == version {
+			c.pruneBlocks()
 		}
 		c.statusSoon = true
 	})
 }
 
-// machineGone notes proof that a machine is gone.
-func (c *Core) machineGone(m string) {
-	c.leader.gone[m] = c.now
-	if v, ok := c.replica.Machines[m]; ok {
-		c.leader.exhausted.Terminated(fleet.InstanceKind{InstanceType: v.Value.InstanceType, Zone: v.Value.Zone, Spot: v.Value.Spot})
+// instanceTerminated notes proof that a machine is gone.
+func (c *Core) instanceTerminated(m string) {
+	c.leader.terminated[m] = c.now
+	if v, ok := c.cache.Machines[m]; ok {
+		c.leader.capacity.Terminated(fleet.InstanceKind{InstanceType: v.Value.InstanceType, Zone: v.Value.Zone, Spot: v.Value.Spot})
 	}
-	delete(c.leader.deleting, m)
-	for _, n := range sortedKeys(c.holders) {
-		c.holders[n].machineGone(m)
+	delete(c.leader.toTerminate, m)
+	for _, n := range sortedKeys(c.partitions) {
+		c.partitions[n].machineGone(m)
 	}
 }
 
-// removeBlocks removes machines that are gone from their blocks' records.
-func (c *Core) removeBlocks() {
+// pruneBlocks removes machines that are gone from their blocks' records.
+func (c *Core) pruneBlocks() {
 	l := &c.leader
 	gone := map[string][]string{} // by block
-	for m, at := range l.gone {
-		if b, ok := c.replica.Machines[m]; ok {
+	for m, at := range l.terminated {
+		if b, ok := c.cache.Machines[m]; ok {
 			gone[b.Value.Block] = append(gone[b.Value.Block], m)
-		} else if c.now-at > goneFor {
-			delete(l.gone, m)
+		} else if c.now-at > terminatedTTL {
+			delete(l.terminated, m)
 		}
 	}
 	for _, name := range sortedKeys(gone) {
 		slices.Sort(gone[name])
-		if c.now < l.removing[name] {
+		if c.now < l.blockWriteAfter[name] {
 			continue
 		}
-		b := c.replica.Blocks[name]
-		r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.asLeader(), {Key: c.keys.Block(name), ModRevision: b.ModRevision}}}
+		b := c.cache.Blocks[name]
+		r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.leaderCompare(), {Key: c.keys.Block(name), ModRevision: b.ModRevision}}}
 		if rest := b.Value.Without(gone[name]...); len(rest.Machines) == 0 && rest.Requested == 0 {
 			r.Deletes = append(r.Deletes, c.keys.Block(name))
 		} else {
 			c.putBlock(r, name, rest)
 		}
-		l.removing[name] = c.now + stateTimeout + micros.Second
-		if !c.callState(r, storage.Deferrable, stateTimeout, func(*storage.Reply) { l.removing[name] = c.now + 500*micros.Millisecond }) {
-			delete(l.removing, name)
+		l.blockWriteAfter[name] = c.now + storeTimeout + micros.Second
+		if !c.callStore(r, storage.Deferrable, storeTimeout, func(*storage.Reply) { l.blockWriteAfter[name] = c.now + 500*micros.Millisecond }) {
+			delete(l.blockWriteAfter, name)
 			return
 		}
 	}
 }
 
-// goneFor is how long a machine that is gone is remembered after its record went:
+// terminatedTTL is how long a machine that is gone is remembered after its record went:
 // late copies of its reports, and lists, may still show it.
-const goneFor = 300 * micros.Second
+const terminatedTTL = 300 * micros.Second
 
-// listMachines compares the cloud's list with the blocks. Absence from a list
+// listInstances compares the cloud's list with the blocks. Absence from a list
 // proves nothing; a failed machine is gone, and an unknown one is adopted.
-func (c *Core) listMachines() {
+func (c *Core) listInstances() {
 	l := &c.leader
-	if l.listing || c.now < l.listAt {
+	if l.listInFlight || c.now < l.nextListAt {
 		return
 	}
-	l.listing = true
-	c.listMachinesPage("", map[string]bool{})
+	l.listInFlight = true
+	c.listInstancesPage("", map[string]bool{})
 }
 
 const (
-	// listPage is how many machines one page of the cloud's list has.
-	listPage = 500
-	// listPace is how often the list is read where it has few pages.
-	listPace = 2 * micros.Second
-	// listShare is the part of the cloud's limit that lists may take: those of a large
+	// listPageSize is how many machines one page of the cloud's list has.
+	listPageSize = 500
+	// minListInterval is how often the list is read where it has few pages.
+	minListInterval = 2 * micros.Second
+	// listRateShare is the part of the cloud's limit that lists may take: those of a large
 	// fleet have many pages, and rentals and deletions need the rest.
-	listShare = 0.25
+	listRateShare = 0.25
 )
 
-// listPause is how long the next reading of the cloud's list waits.
-func (c *Core) listPause() micros.Time {
-	pages := 1 + len(c.replica.Machines)/listPage
-	return max(listPace, micros.FromSeconds(float64(pages)/(c.cfg.Settings.Cloud.RPS*listShare)))
+// listInterval is how long the next reading of the cloud's list waits.
+func (c *Core) listInterval() micros.Time {
+	pages := 1 + len(c.cache.Machines)/listPageSize
+	return max(minListInterval, micros.FromSeconds(float64(pages)/(c.config.Settings.Cloud.RPS*listRateShare)))
 }
 
-func (c *Core) listMachinesPage(after string, seen map[string]bool) {
+func (c *Core) listInstancesPage(after string, seen map[string]bool) {
 	l := &c.leader
-	version := l.version
-	c.callCloud(CloudCall{Operation: CloudList, After: after, Limit: listPage, Timeout: 3 * micros.Second}, func(r *CloudReply) {
-		if version != l.version {
+	version := l.revision
+	c.callCloud(CloudCall{Operation: CloudList, After: after, Limit: listPageSize, Timeout: 3 * micros.Second}, func(r *CloudReply) {
+		if version != l.revision {
 			return
 		}
-		l.listAt = c.now + c.listPause()
+		l.nextListAt = c.now + c.listInterval()
 		if r.Outcome != CloudOK {
-			l.listing = false
+			l.listInFlight = false
 			return
 		}
 		for _, m := range r.Instances {
 			seen[m.Machine] = true
-			if _, gone := l.gone[m.Machine]; gone {
+			if _, gone := l.terminated[m.Machine]; gone {
 				continue
 			}
-			b, known := c.replica.Machines[m.Machine]
+			b, known := c.cache.Machines[m.Machine]
 			switch {
 			case m.Failed:
-				if !l.deleting[m.Machine] {
-					l.deleting[m.Machine] = true
+				if !l.toTerminate[m.Machine] {
+					l.toTerminate[m.Machine] = true
 					c.log(levelInfo, "machine failed", "machine", m.Machine)
 				}
-			case !known && c.now-l.since > micros.Second && m.Age > 2*micros.Second:
-				c.adoptMachine(m.Machine, m.Address, fleet.InstanceKind{InstanceType: m.InstanceType, Zone: m.Zone, Spot: m.Spot})
+			case !known && c.now-l.acquiredAt > micros.Second && m.Age > 2*micros.Second:
+				c.addOrphan(m.Machine, m.Address, fleet.InstanceKind{InstanceType: m.InstanceType, Zone: m.Zone, Spot: m.Spot})
 			case known:
-				if h := c.holders[b.Value.Partition]; h != nil && m.Address != "" {
+				if h := c.partitions[b.Value.Partition]; h != nil && m.Address != "" {
 					if hm := h.machine(m.Machine); hm != nil && hm.addr == "" && m.Running {
 						hm.addr = m.Address
 					}
@@ -361,42 +361,42 @@
 			}
 		}
 		if r.More && len(r.Instances) > 0 {
-			c.listMachinesPage(r.Instances[len(r.Instances)-1].Machine, seen)
+			c.listInstancesPage(r.Instances[len(r.Instances)-1].Machine, seen)
 			return
 		}
-		l.listing = false
-		lag := micros.FromSeconds(c.cfg.Settings.Cloud.ListLagS)
-		for _, id := range sortedKeys(c.replica.Machines) {
+		l.listInFlight = false
+		lag := micros.FromSeconds(c.config.Settings.Cloud.ListLagS)
+		for _, id := range sortedKeys(c.cache.Machines) {
 			if seen[id] {
-				delete(l.absent, id)
-			} else if _, ok := l.absent[id]; !ok {
-				l.absent[id] = c.now
-			} else if c.now-l.absent[id] > 4*lag+20*micros.Second {
+				delete(l.absentSince, id)
+			} else if _, ok := l.absentSince[id]; !ok {
+				l.absentSince[id] = c.now
+			} else if c.now-l.absentSince[id] > 4*lag+20*micros.Second {
 				// Deleting is what proves it; the name may be unknown by now.
-				if h := c.holders[b0(c, id)]; h == nil || h.machine(id) == nil || c.now-h.machine(id).seen > 10*micros.Second {
-					l.deleting[id] = true
+				if h := c.partitions[partitionOfMachine(c, id)]; h == nil || h.machine(id) == nil || c.now-h.machine(id).seen > 10*micros.Second {
+					l.toTerminate[id] = true
 				}
-				delete(l.absent, id)
+				delete(l.absentSince, id)
 			}
 		}
-		for id := range l.absent {
-			if _, ok := c.replica.Machines[id]; !ok {
-				delete(l.absent, id)
+		for id := range l.absentSince {
+			if _, ok := c.cache.Machines[id]; !ok {
+				delete(l.absentSince, id)
 			}
 		}
 	})
 }
 
-func b0(c *Core, id string) int { return c.replica.Machines[id].Value.Partition }
+func partitionOfMachine(c *Core, id string) int { return c.cache.Machines[id].Value.Partition }
 
-// shiftBlocks moves idle machines of one queue to another that needs them.
-func (c *Core) shiftBlocks() {
+// transferIdleMachines moves idle machines of one queue to another that needs them.
+func (c *Core) transferIdleMachines() {
 	l := &c.leader
-	if c.now < l.shiftAt || c.queues() < 2 {
+	if c.now < l.nextTransferAt || c.partitionCount() < 2 {
 		return
 	}
-	l.shiftAt = c.now + 2*micros.Second
-	statuses := c.statuses()
+	l.nextTransferAt = c.now + 2*micros.Second
+	statuses := c.partitionStatuses()
 	for _, needy := range statuses {
 		if len(needy.CapacityRequests) == 0 {
 			continue
@@ -406,15 +406,15 @@
 				continue
 			}
 			for _, m := range q.Idle {
-				b, ok := c.replica.Machines[m]
+				b, ok := c.cache.Machines[m]
 				if !ok || (b.Value.Spot && !slices.ContainsFunc(needy.CapacityRequests, func(n fleet.CapacityRequest) bool { return n.Spot })) {
 					continue
 				}
-				holder := c.replica.Partitions[q.Partition].Value.Leader.Member
-				if l.shifts == nil {
-					l.shifts = map[string][]MachineTransfer{}
+				holder := c.cache.Partitions[q.Partition].Value.Leader.Member
+				if l.transfers == nil {
+					l.transfers = map[string][]MachineTransfer{}
 				}
-				l.shifts[holder] = append(l.shifts[holder], MachineTransfer{Machine: m, ToPartition: needy.Partition})
+				l.transfers[holder] = append(l.transfers[holder], MachineTransfer{Machine: m, ToPartition: needy.Partition})
 				c.statusSoon = true
 				return
 			}
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -98,7 +98,7 @@
 // usable tells whether tasks may be started on the machine.
 func (h *holder) usable(m *machine) bool {
 	return m.known && !m.expired && m.ack == h.token && m.session != 0 && m.block.Used && m.draining == "" &&
-		m.notice == 0 && m.addr != "" && m.failed == 0 && h.c.now-m.seen < h.silence()*3/4 && h.unanswered(m) < h.c.cfg.AgentLease()/2
+		m.notice == 0 && m.addr != "" && m.failed == 0 && h.c.now-m.seen < h.silence()*3/4 && h.unanswered(m) < h.c.config.AgentLease()/2
 }
 
 func (h *holder) tick() {
@@ -149,7 +149,7 @@
 	// A holder that is cut off may have been replaced long before its term ends, and its
 	// successor may answer a machine that is silent here: only news from after the lease's end,
 	// that this is still the holder, show that nobody renewed it.
-	if up && !m.expired && h.c.term.ConfirmedSince(h.lastAnswer(m)+h.c.cfg.AgentLeaseExpiry()) && quiet > h.silence() {
+	if up && !m.expired && h.c.term.ConfirmedSince(h.lastAnswer(m)+h.c.config.AgentLeaseExpiry()) && quiet > h.silence() {
 		h.c.log(levelInfo, "machine's lease ran out", "machine", m.id)
 		h.emptied(m)
 		m.expired = true
@@ -166,7 +166,7 @@
 			// Two calls in a row without an answer: its replicas do not wait for the
 			// time that reports may take.
 			h.drain(m, "silent")
-		case up && m.expired && quiet > 3*h.c.cfg.AgentLeaseExpiry():
+		case up && m.expired && quiet > 3*h.c.config.AgentLeaseExpiry():
 			// Long empty; a fault near this controller would have shown by now.
 			h.drain(m, "silent")
 		case up && m.notice != 0 && now > m.notice+micros.Second && m.failed > 0:
@@ -228,7 +228,7 @@
 		return false
 	}
 	for _, a := range m.attempts {
-		if a.stop && !a.shown && a.lost > 0 && h.c.now-a.stopped > h.c.cfg.AgentLease()/2 {
+		if a.stop && !a.shown && a.lost > 0 && h.c.now-a.stopped > h.c.config.AgentLease()/2 {
 			return true
 		}
 	}
@@ -280,7 +280,7 @@
 		name := m.block.Block
 		b, ok := marked[name]
 		if !ok {
-			if b, ok = h.c.replica.Blocks[name].Value, h.c.replica.Blocks[name].ModRevision == m.version; !ok {
+			if b, ok = h.c.cache.Blocks[name].Value, h.c.cache.Blocks[name].ModRevision == m.version; !ok {
 				continue
 			}
 			if marked == nil {
@@ -291,11 +291,11 @@
 		marked[name] = b.With(m.id, storage.MachineRecord{Address: m.addr, Used: true})
 	}
 	for _, name := range order {
-		h.marking[name] = h.c.now + stateTimeout + micros.Second
+		h.marking[name] = h.c.now + storeTimeout + micros.Second
 		r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{{Key: h.c.keys.Partition(h.queue), ModRevision: h.token},
-			{Key: h.c.keys.Block(name), ModRevision: h.c.replica.Blocks[name].ModRevision}}}
+			{Key: h.c.keys.Block(name), ModRevision: h.c.cache.Blocks[name].ModRevision}}}
 		h.c.putBlock(r, name, marked[name])
-		if !h.c.callState(r, storage.Urgent, stateTimeout, func(*storage.Reply) { h.marking[name] = h.c.now + markPace }) {
+		if !h.c.callStore(r, storage.Urgent, storeTimeout, func(*storage.Reply) { h.marking[name] = h.c.now + markPace }) {
 			h.marking[name] = h.c.now + markPace
 			break
 		}
--- a/internal/coordination/reach.go
+++ b/internal/coordination/reach.go
@@ -8,43 +8,43 @@
 	"pipitlatch/internal/storage"
 )
 
-// reach is what a controller finds out about machines that their holder does not
+// reachabilityProbe is what a controller finds out about machines that their holder does not
 // hear: whether they answer here. Nobody else can tell whether the machines are gone
 // or only out of that holder's reach.
-type reach struct {
-	asked   []ZoneReachability
-	answers int // still out
-	askedAt micros.Time
-	endedAt micros.Time
+type reachabilityProbe struct {
+	results       []ZoneReachability
+	callsInFlight int // still out
+	sentAt        micros.Time
+	completedAt   micros.Time
 }
 
 const (
-	// reachSample is how many machines of a zone are asked; some may be dead.
-	reachSample = 8
-	// reachPace is how often they are asked while their holder does not hear them.
-	reachPace = 2 * micros.Second
-	// reachFor is how long an answer counts.
-	reachFor = 4 * micros.Second
+	// probeSample is how many machines of a zone are asked; some may be dead.
+	probeSample = 8
+	// probeInterval is how often they are asked while their holder does not hear them.
+	probeInterval = 2 * micros.Second
+	// probeResultTTL is how long an answer counts.
+	probeResultTTL = 4 * micros.Second
 )
 
-// told is what siblings are told.
-func (r *reach) told(now micros.Time) []ZoneReachability {
-	if r.answers > 0 || r.endedAt == 0 || now-r.endedAt > reachFor {
+// report is what siblings are told.
+func (r *reachabilityProbe) report(now micros.Time) []ZoneReachability {
+	if r.callsInFlight > 0 || r.completedAt == 0 || now-r.completedAt > probeResultTTL {
 		return nil
 	}
-	return r.asked
+	return r.results
 }
 
-// tickReach asks some machines of every zone of a queue whose holder does not hear
+// probeReachability asks some machines of every zone of a queue whose holder does not hear
 // all of them, or is not heard itself.
-func (c *Core) tickReach() {
-	r := &c.reach
-	if !c.synced || r.answers > 0 || (r.askedAt != 0 && c.now-r.askedAt < reachPace) {
+func (c *Core) probeReachability() {
+	r := &c.reachability
+	if !c.synced || r.callsInFlight > 0 || (r.sentAt != 0 && c.now-r.sentAt < probeInterval) {
 		return
 	}
 	var queues []int
-	for n, q := range c.replica.Partitions {
-		if h := q.Value.Leader; h != c.proc && c.replica.Live(h) && c.misses(n, h) {
+	for n, q := range c.cache.Partitions {
+		if h := q.Value.Leader; h != c.process && c.cache.Live(h) && c.leaderMissesMachines(n, h) {
 			queues = append(queues, n)
 		}
 	}
@@ -52,28 +52,28 @@
 		return
 	}
 	slices.Sort(queues)
-	r.asked, r.askedAt = nil, c.now
+	r.results, r.sentAt = nil, c.now
 	for _, n := range queues {
 		byZone := map[string][]string{}
-		for _, id := range sortedKeys(c.replica.Machines) {
-			if m := c.replica.Machines[id].Value; m.Partition == n && m.Used && m.Address != "" {
+		for _, id := range sortedKeys(c.cache.Machines) {
+			if m := c.cache.Machines[id].Value; m.Partition == n && m.Used && m.Address != "" {
 				byZone[m.Zone] = append(byZone[m.Zone], id)
 			}
 		}
 		for _, zone := range sortedKeys(byZone) {
 			ids := byZone[zone]
-			k := min(len(ids), reachSample)
-			r.asked = append(r.asked, ZoneReachability{Partition: n, Zone: zone, Probed: k})
-			at := len(r.asked) - 1
+			k := min(len(ids), probeSample)
+			r.results = append(r.results, ZoneReachability{Partition: n, Zone: zone, Probed: k})
+			at := len(r.results) - 1
 			for i := range k {
 				id := ids[i*len(ids)/k]
-				r.answers++
-				c.callWorker(AgentCall{Machine: id, Address: c.replica.Machines[id].Value.Address, StatusOnly: true, Timeout: micros.Second}, func(reply *AgentReply) {
+				r.callsInFlight++
+				c.callAgent(AgentCall{Machine: id, Address: c.cache.Machines[id].Value.Address, StatusOnly: true, Timeout: micros.Second}, func(reply *AgentReply) {
 					if reply.Heartbeat != nil && reply.Heartbeat.Machine == id {
-						r.asked[at].Answered++
+						r.results[at].Answered++
 					}
-					if r.answers--; r.answers == 0 {
-						r.endedAt = c.now
+					if r.callsInFlight--; r.callsInFlight == 0 {
+						r.completedAt = c.now
 						c.statusSoon = true
 					}
 				})
@@ -82,20 +82,20 @@
 	}
 }
 
-// misses tells whether a queue's holder said of late that it does not hear a zone, or
+// leaderMissesMachines tells whether a queue's holder said of late that it does not hear a zone, or
 // is registered and not heard itself.
-func (c *Core) misses(queue int, h storage.Process) bool {
+func (c *Core) leaderMissesMachines(queue int, h storage.Process) bool {
 	p := c.peers[h.Member]
-	if p == nil || p.status.From != h || c.now-p.at > 2*micros.Second {
-		return c.now > c.born+2*micros.Second
+	if p == nil || p.status.From != h || c.now-p.receivedAt > 2*micros.Second {
+		return c.now > c.startedAt+2*micros.Second
 	}
 	return slices.ContainsFunc(p.status.Partitions, func(q PartitionStatus) bool { return q.Partition == queue && len(q.UnreachableZones) > 0 })
 }
 
-// inUse is how many machines of a queue are in use, by zone.
-func (c *Core) inUse(queue int) map[string]int {
+// machinesInUse is how many machines of a queue are in use, by zone.
+func (c *Core) machinesInUse(queue int) map[string]int {
 	out := map[string]int{}
-	for _, m := range c.replica.Machines {
+	for _, m := range c.cache.Machines {
 		if m.Value.Partition == queue && m.Value.Used {
 			out[m.Value.Zone]++
 		}
@@ -103,16 +103,16 @@
 	return out
 }
 
-// reachOf is how many of a queue's machines a controller reaches, as far as it told:
+// reachableMachines is how many of a queue's machines a controller reaches, as far as it told:
 // its holder all but those of zones it does not hear, another what answered it of late.
-func (c *Core) reachOf(p storage.Process, queue int) int {
+func (c *Core) reachableMachines(p storage.Process, queue int) int {
 	v := c.peers[p.Member]
-	if v == nil || v.status.From != p || c.now-v.at > 3*micros.Second {
+	if v == nil || v.status.From != p || c.now-v.receivedAt > 3*micros.Second {
 		return 0
 	}
 	n := 0
-	for zone, machines := range c.inUse(queue) {
-		if c.replica.Partitions[queue].Value.Leader == p {
+	for zone, machines := range c.machinesInUse(queue) {
+		if c.cache.Partitions[queue].Value.Leader == p {
 			if !slices.ContainsFunc(v.status.Partitions, func(q PartitionStatus) bool { return q.Partition == queue && slices.Contains(q.UnreachableZones, zone) }) {
 				n += machines
 			}
@@ -125,13 +125,13 @@
 	return n
 }
 
-// outOfReach tells whether a machine should not be sent to its queue's holder, which
+// unreachableFromLeader tells whether a machine should not be sent to its queue's holder, which
 // does not hear it: it would lose the time in which another could take over before its
 // lease ends. Either the holder said so, or it is not heard here and the worker, which
 // shows the holder's token, has left it.
-func (c *Core) outOfReach(r *Heartbeat, m storage.Machine, q storage.Versioned[storage.PartitionRecord]) bool {
+func (c *Core) unreachableFromLeader(r *Heartbeat, m storage.Machine, q storage.Versioned[storage.PartitionRecord]) bool {
 	p := c.peers[q.Value.Leader.Member]
-	if p == nil || p.status.From != q.Value.Leader || c.now-p.at > 2*micros.Second {
+	if p == nil || p.status.From != q.Value.Leader || c.now-p.receivedAt > 2*micros.Second {
 		return r.FencingToken == q.ModRevision
 	}
 	return slices.ContainsFunc(p.status.Partitions, func(s PartitionStatus) bool {
@@ -210,7 +210,7 @@
 func (h *holder) lostBefore() {
 	for _, member := range sortedKeys(h.c.peers) {
 		p := h.c.peers[member]
-		if h.c.now-p.at > reachFor {
+		if h.c.now-p.receivedAt > probeResultTTL {
 			continue
 		}
 		for _, q := range p.status.Partitions {
@@ -254,7 +254,7 @@
 	}
 	asked, reached := 0, false
 	for member, p := range h.c.peers {
-		if member == h.c.proc.Member || h.c.now-p.at > 2*micros.Second {
+		if member == h.c.process.Member || h.c.now-p.receivedAt > 2*micros.Second {
 			continue
 		}
 		i := slices.IndexFunc(p.status.Reachability, func(z ZoneReachability) bool { return z.Partition == h.queue && z.Zone == zone })
--- a/internal/coordination/reclaim.go
+++ b/internal/coordination/reclaim.go
@@ -11,7 +11,7 @@
 // wants, or, within its team's guarantee, as the objective on guarantees does.
 func (h *holder) startBy(r ranked) (micros.Time, bool) {
 	within, found := micros.Max, false
-	for _, o := range h.c.cfg.Settings.Objectives {
+	for _, o := range h.c.config.Settings.Objectives {
 		if (o.Kind == "wait" && o.Class == r.j.Class) || (o.Kind == "guarantee" && r.Guaranteed) {
 			within, found = min(within, micros.FromSeconds(o.WithinS)), true
 		}
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -12,9 +12,9 @@
 // change comes unannounced, and a record that could not be written any more would stop
 // its job, block or queue.
 
-// maxBlock is how many machines a block is given.
-func (c *Core) maxBlock() int {
-	return max(1, min(storage.MaxBlockMachines, (c.cfg.Settings.MaxValue()-200)/storage.MachineRecordBytes))
+// maxBlockMachines is how many machines a block is given.
+func (c *Core) maxBlockMachines() int {
+	return max(1, min(storage.MaxBlockMachines, (c.config.Settings.MaxValue()-200)/storage.MachineRecordBytes))
 }
 
 // putBlock adds the write of a block's record to a request: in several blocks where it is
@@ -22,11 +22,11 @@
 // of the others are new, so that they meet nothing that is there.
 func (c *Core) putBlock(r *storage.Request, name string, rec storage.BlockRecord) {
 	n := 0
-	for i, part := range rec.Split(c.cfg.Settings.MaxValue()) {
+	for i, part := range rec.Split(c.config.Settings.MaxValue()) {
 		key := c.keys.Block(name)
 		if i > 0 {
 			for key = ""; key == ""; n++ {
-				if _, taken := c.replica.Blocks[fmt.Sprintf("%s+%d", name, n)]; !taken {
+				if _, taken := c.cache.Blocks[fmt.Sprintf("%s+%d", name, n)]; !taken {
 					key = c.keys.Block(fmt.Sprintf("%s+%d", name, n))
 				}
 			}
@@ -36,43 +36,43 @@
 	}
 }
 
-// keepCatalog takes the machine types from the state when the cloud has not told
+// persistCatalog takes the machine types from the state when the cloud has not told
 // them yet: a controller that starts while the cloud is down must be able to
 // judge submissions and to plan. The leader writes them down, in parts if they are too
 // many for one record.
-func (c *Core) keepCatalog() {
-	stored := c.replica.Catalog.Value
+func (c *Core) persistCatalog() {
+	stored := c.cache.Catalog.Value
 	if c.catalog == nil && len(stored) > 0 {
 		c.catalog = stored
 	}
-	if !c.leading() || !c.catalogOwn || c.catalogSave || c.now-c.catalogSaved < 10*micros.Second || c.catalog.SameTypes(stored) {
+	if !c.isClusterLeader() || !c.catalogFromCloud || c.catalogWriting || c.now-c.catalogWrittenAt < 10*micros.Second || c.catalog.SameTypes(stored) {
 		return
 	}
-	c.catalogSaved = c.now
-	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.asLeader()}}
-	if value := storage.Encode(c.catalog); len(value) <= c.cfg.Settings.MaxValue() {
+	c.catalogWrittenAt = c.now
+	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.leaderCompare()}}
+	if value := storage.Encode(c.catalog); len(value) <= c.config.Settings.MaxValue() {
 		key := c.keys.Catalog()
-		r.Compares = append(r.Compares, storage.Compare{Key: key, ModRevision: c.replica.Catalog.ModRevision})
+		r.Compares = append(r.Compares, storage.Compare{Key: key, ModRevision: c.cache.Catalog.ModRevision})
 		r.Puts = append(r.Puts, storage.Put{Key: key, Value: value})
-	} else if c.replica.Format < storage.Format {
+	} else if c.cache.Format < storage.Format {
 		return // an older version would take a part for all
 	} else {
-		c.putTypes(r, stored)
+		c.putCatalogParts(r, stored)
 	}
-	c.catalogSave = c.callState(r, storage.Deferrable, stateTimeout, func(*storage.Reply) { c.catalogSave = false })
+	c.catalogWriting = c.callStore(r, storage.Deferrable, storeTimeout, func(*storage.Reply) { c.catalogWriting = false })
 }
 
-// putTypes adds the parts of the catalog that are not stored as they are, as many as one
+// putCatalogParts adds the parts of the catalog that are not stored as they are, as many as one
 // transaction takes; the next look writes the others.
-func (c *Core) putTypes(r *storage.Request, stored bookkeeping.Catalog) {
+func (c *Core) putCatalogParts(r *storage.Request, stored bookkeeping.Catalog) {
 	part, n := bookkeeping.Catalog{}, 0
 	flush := func() {
 		same := true
 		for name, t := range part {
 			same = same && stored[name] != nil && bookkeeping.Catalog{name: t}.SameTypes(bookkeeping.Catalog{name: stored[name]})
 		}
-		if key := c.keys.CatalogPart(n); !same && len(r.Puts) < c.cfg.Settings.StateLimits().TxnOps {
-			r.Compares = append(r.Compares, storage.Compare{Key: key, ModRevision: c.replica.CatalogPartRevision(n)})
+		if key := c.keys.CatalogPart(n); !same && len(r.Puts) < c.config.Settings.StateLimits().TxnOps {
+			r.Compares = append(r.Compares, storage.Compare{Key: key, ModRevision: c.cache.CatalogPartRevision(n)})
 			r.Puts = append(r.Puts, storage.Put{Key: key, Value: storage.Encode(part)})
 		}
 		part = bookkeeping.Catalog{}
@@ -80,7 +80,7 @@
 	}
 	for _, name := range sortedKeys(c.catalog) {
 		part[name] = c.catalog[name]
-		if len(part) > 1 && len(storage.Encode(part)) > c.cfg.Settings.MaxValue() {
+		if len(part) > 1 && len(storage.Encode(part)) > c.config.Settings.MaxValue() {
 			delete(part, name)
 			flush()
 			part[name] = c.catalog[name]
--- a/internal/coordination/rejected.go
+++ b/internal/coordination/rejected.go
@@ -5,24 +5,24 @@
 	"pipitlatch/internal/storage"
 )
 
-// rejections are the transactions that the state service rejected as malformed or too
+// txnBackoff are the transactions that the state service rejected as malformed or too
 // large, by their first key. Such a transaction did not fail for its conditions, and sent
 // again as it is it would be rejected again; so the next one for that key waits longer and
 // longer, while all others go on.
-type rejections map[string]rejection
+type txnBackoff map[string]backoffEntry
 
-type rejection struct {
-	pause micros.Time
+type backoffEntry struct {
+	delay micros.Time
 	until micros.Time
 }
 
 const (
-	// firstRejectionPause is how long a key waits after its first rejection.
-	firstRejectionPause = micros.Second
-	// maxRejectionPause bounds the pause, which doubles each time.
-	maxRejectionPause = 30 * micros.Second
-	// maxRejections bounds the keys that are remembered.
-	maxRejections = 1024
+	// minTxnBackoff is how long a key waits after its first rejection.
+	minTxnBackoff = micros.Second
+	// maxTxnBackoff bounds the pause, which doubles each time.
+	maxTxnBackoff = 30 * micros.Second
+	// maxTxnBackoffKeys bounds the keys that are remembered.
+	maxTxnBackoffKeys = 1024
 )
 
 // transactionKey names what a transaction is about; empty for other requests.
@@ -38,15 +38,15 @@
 	return ""
 }
 
-// holdBack tells whether a transaction has to wait because the last one for its key was
+// blocked tells whether a transaction has to wait because the last one for its key was
 // rejected.
-func (s rejections) holdBack(r *storage.Request, now micros.Time) bool {
+func (s txnBackoff) blocked(r *storage.Request, now micros.Time) bool {
 	key := transactionKey(r)
 	return key != "" && now < s[key].until
 }
 
-// note takes the outcome of a request.
-func (s rejections) note(r *storage.Request, outcome storage.Outcome, now micros.Time) {
+// observe takes the outcome of a request.
+func (s txnBackoff) observe(r *storage.Request, outcome storage.Outcome, now micros.Time) {
 	key := transactionKey(r)
 	if key == "" {
 		return
@@ -57,9 +57,9 @@
 		}
 		return
 	}
-	if len(s) >= maxRejections {
+	if len(s) >= maxTxnBackoffKeys {
 		clear(s)
 	}
-	pause := min(maxRejectionPause, max(firstRejectionPause, 2*s[key].pause))
-	s[key] = rejection{pause: pause, until: now + pause}
+	pause := min(maxTxnBackoff, max(minTxnBackoff, 2*s[key].delay))
+	s[key] = backoffEntry{delay: pause, until: now + pause}
 }
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -7,33 +7,33 @@
 	"pipitlatch/internal/micros"
 )
 
-// report answers a worker.
-func (c *Core) report(in *HeartbeatRequest) {
+// handleHeartbeat answers a worker.
+func (c *Core) handleHeartbeat(in *HeartbeatRequest) {
 	r := in.Heartbeat
 	if !c.synced {
-		c.unavailable(in.Request, "starting")
+		c.respondUnavailable(in.Request, "starting")
 		return
 	}
-	b, ok := c.replica.Machines[r.Machine]
+	b, ok := c.cache.Machines[r.Machine]
 	if !ok {
-		switch l := c.replica.ClusterLeader; {
-		case c.leading():
-			c.leader.found(c, r)
-			c.unavailable(in.Request, "unknown machine")
-		case l.ModRevision != 0 && l.Value.Member != c.proc.Member && !c.alone():
-			c.answer(Response{Request: in.Request, Kind: HeartbeatRedirected, RedirectTo: l.Value.Member})
+		switch l := c.cache.ClusterLeader; {
+		case c.isClusterLeader():
+			c.leader.heardFromUnmanaged(c, r)
+			c.respondUnavailable(in.Request, "unknown machine")
+		case l.ModRevision != 0 && l.Value.Member != c.process.Member && !c.isolated():
+			c.respond(Response{Request: in.Request, Kind: HeartbeatRedirected, RedirectTo: l.Value.Member})
 		default:
-			c.unavailable(in.Request, "no leader")
+			c.respondUnavailable(in.Request, "no leader")
 		}
 		return
 	}
-	h := c.holders[b.Value.Partition]
+	h := c.partitions[b.Value.Partition]
 	if h == nil {
-		q, ok := c.replica.Partitions[b.Value.Partition]
-		if ok && q.Value.Leader.Member != c.proc.Member && c.replica.Live(q.Value.Leader) && !c.alone() && !c.outOfReach(r, b.Value, q) {
-			c.answer(Response{Request: in.Request, Kind: HeartbeatRedirected, RedirectTo: q.Value.Leader.Member})
+		q, ok := c.cache.Partitions[b.Value.Partition]
+		if ok && q.Value.Leader.Member != c.process.Member && c.cache.Live(q.Value.Leader) && !c.isolated() && !c.unreachableFromLeader(r, b.Value, q) {
+			c.respond(Response{Request: in.Request, Kind: HeartbeatRedirected, RedirectTo: q.Value.Leader.Member})
 		} else {
-			c.unavailable(in.Request, "no holder")
+			c.respondUnavailable(in.Request, "no holder")
 		}
 		return
 	}
@@ -44,18 +44,18 @@
 	r := in.Heartbeat
 	switch {
 	case m == nil:
-		h.c.unavailable(in.Request, "unknown machine")
+		h.c.respondUnavailable(in.Request, "unknown machine")
 		return
 	case !h.c.term.Valid(h.c.now):
 		// Silence past the term: a cancellation that is not seen here must end
 		// these tasks when the workers' leases run out. Nobody is named: what is
 		// known here of other holders is as old as the term.
-		h.c.answer(Response{Request: in.Request, Kind: HeartbeatRedirected})
+		h.c.respond(Response{Request: in.Request, Kind: HeartbeatRedirected})
 		return
 	case r.FencingToken > h.token:
 		// The worker would drop a 200 and stay here until its tasks die.
 		h.outranked()
-		h.c.answer(Response{Request: in.Request, Kind: HeartbeatRedirected})
+		h.c.respond(Response{Request: in.Request, Kind: HeartbeatRedirected})
 		return
 	}
 	newer := m.newer(r)
@@ -63,7 +63,7 @@
 		// A copy of an old report, whose answer reaches nobody, or a worker that
 		// began anew: an answer must neither count nor renew a lease.
 		h.odd("old report", m, r)
-		h.c.unavailable(in.Request, "old report")
+		h.c.respondUnavailable(in.Request, "old report")
 		return
 	}
 	if newer {
@@ -73,7 +73,7 @@
 	if m.lost() || m.vain > maxVain {
 		// Given up, or out of reach of our answers: more of them would only push off
 		// the time from which its lease has surely run out.
-		h.c.unavailable(in.Request, "machine is given up")
+		h.c.respondUnavailable(in.Request, "machine is given up")
 		return
 	}
 	m.answered, m.replied = h.c.now, h.c.now
@@ -81,7 +81,7 @@
 	if newer {
 		cmds = h.orders(m)
 	}
-	h.c.answer(Response{Request: in.Request, Kind: HeartbeatAcknowledged, FencingToken: h.token, Commands: cmds})
+	h.c.respond(Response{Request: in.Request, Kind: HeartbeatAcknowledged, FencingToken: h.token, Commands: cmds})
 }
 
 // newer tells whether a report is newer than all that is known of the machine.
@@ -269,7 +269,7 @@
 func (h *holder) adopt(m *machine, t *TaskStatus) *attempt {
 	a := &attempt{id: t.AttemptID, m: m, state: t.State, made: h.c.now, sent: true}
 	a.j = h.jobs[t.Job]
-	if e := h.c.replica.Jobs[t.Job]; e != nil {
+	if e := h.c.cache.Jobs[t.Job]; e != nil {
 		a.team, a.need = e.Job.Team, e.Job.Resources
 	}
 	if a.j != nil && (t.Task < 0 || t.Task >= a.j.Tasks) {
@@ -352,7 +352,7 @@
 				a.m.ran += min(20, float64(h.c.now-a.running)*float64(j.ranN)/float64(max(1, j.ran)))
 				a.m.ranN++
 			}
-			h.c.stats.Observe(j.Class, j.Estimate, h.c.now-a.running)
+			h.c.runtimes.Observe(j.Class, j.Estimate, h.c.now-a.running)
 			j.ran += h.c.now - a.running
 			j.ranN++
 		}
--- a/internal/coordination/room.go
+++ b/internal/coordination/room.go
@@ -249,7 +249,7 @@
 	if s.kind == nil {
 		return s
 	}
-	s.growth = (replicas*int(h.c.cfg.Operator.SparePercent)+99)/100 + 1
+	s.growth = (replicas*int(h.c.config.Operator.SparePercent)+99)/100 + 1
 	for _, m := range h.machines {
 		if n := h.spareRoomOn(m, s.kind, booting); n > 0 {
 			s.roomOn[m] = n
--- a/internal/coordination/scheduling.go
+++ b/internal/coordination/scheduling.go
@@ -38,7 +38,7 @@
 	}
 	h.planAt, h.dirty = now, false
 	h.inherited = nil
-	h.c.planned = h
+	h.c.lastPlanned = h
 	clear(h.noRoom)
 	h.replicas = 0
 	for _, j := range h.jobs {
@@ -173,7 +173,7 @@
 	}
 	if due = min(due, after.due); due != micros.Max {
 		// A job is done with its slowest task: the slack has to do for that one.
-		due -= micros.Time(float64(p) * (h.c.stats.TailRatio(j.Class) - 1) / 2)
+		due -= micros.Time(float64(p) * (h.c.runtimes.TailRatio(j.Class) - 1) / 2)
 	} else {
 		due = j.ready + 2*p
 	}
@@ -191,7 +191,7 @@
 	if j.est > 0 && j.estAt == h.planAt {
 		return j.est // once a plan
 	}
-	p := h.c.stats.Estimate(j.Job)
+	p := h.c.runtimes.Estimate(j.Job)
 	p = (p*trust + j.ran) / micros.Time(trust+j.ranN)
 	for _, a := range j.live {
 		if a.state == Running && a.running > 0 {
@@ -351,7 +351,7 @@
 // need is what a rental for tasks of the job has to offer.
 func (h *holder) need(j *job, count int) fleet.CapacityRequest {
 	n := fleet.CapacityRequest{Resources: j.Resources, Count: count, Spot: j.Spot, InstanceTypes: j.InstanceTypes, Zone: j.Zone,
-		Service: j.Kind == bookkeeping.Service, Hold: micros.Time(h.c.cfg.Operator.IdleKeepS) * micros.Second}
+		Service: j.Kind == bookkeeping.Service, Hold: micros.Time(h.c.config.Operator.IdleKeepS) * micros.Second}
 	if n.Service {
 		n.Hold *= 4
 		n.Replicas = h.replicas
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -9,7 +9,7 @@
 
 // silence is how long a machine may go without news.
 func (h *holder) silence() micros.Time {
-	return micros.Time(h.c.cfg.Operator.SilenceMs) * micros.Millisecond
+	return micros.Time(h.c.config.Operator.SilenceMs) * micros.Millisecond
 }
 
 // askAfter is how long a machine may be quiet before it is asked: one that serves
@@ -32,7 +32,7 @@
 // mute tells whether a machine that answers calls has reached no controller for a lease,
 // while most others do: it is empty by now, and would stay so.
 func (h *holder) mute(m *machine) bool {
-	if m.session == 0 || h.unanswered(m) <= h.c.cfg.AgentLeaseExpiry() {
+	if m.session == 0 || h.unanswered(m) <= h.c.config.AgentLeaseExpiry() {
 		return false
 	}
 	census := h.census()
@@ -46,9 +46,9 @@
 	last := h.taken
 	if m.block.Used {
 		for _, p := range h.former {
-			end, dead := h.c.ends[p]
+			end, dead := h.c.deathTimes[p]
 			if !dead {
-				end = h.taken + h.c.cfg.LeadershipTerm()
+				end = h.taken + h.c.config.LeadershipTerm()
 			}
 			last = max(last, end)
 		}
@@ -142,7 +142,7 @@
 		}
 		n.up++
 		n.seen = append(n.seen, m.seen)
-		if h.unanswered(m) < h.c.cfg.AgentLease()/2 {
+		if h.unanswered(m) < h.c.config.AgentLease()/2 {
 			n.answered++
 		}
 	}
--- a/internal/coordination/surplus.go
+++ b/internal/coordination/surplus.go
@@ -44,7 +44,7 @@
 		}
 	}
 	most := max(maxLeaving, len(h.machines)/maxLeavingPart)
-	if leaving >= most || now-h.mergedAt < movePace || now-h.taken < 10*micros.Second || h.c.term.SinceConfirmed(now) >= staleAfter {
+	if leaving >= most || now-h.mergedAt < movePace || now-h.taken < 10*micros.Second || h.c.term.SinceConfirmed(now) >= storeStaleAfter {
 		return
 	}
 	h.mergedAt = now
@@ -140,7 +140,7 @@
 // returnIdle gives machines back that have had no task for a while and are not
 // part of the spare room for services.
 func (h *holder) returnIdle() {
-	if h.c.term.SinceConfirmed(h.c.now) >= staleAfter {
+	if h.c.term.SinceConfirmed(h.c.now) >= storeStaleAfter {
 		// Nothing can be submitted while the state service is out: all users come back
 		// at once, and what was given back would have to boot first.
 		for _, m := range h.machines {
@@ -171,7 +171,7 @@
 		surplus = idle[n-1]
 	}
 	for _, m := range h.machines {
-		keep, takesOver := micros.Time(h.c.cfg.Operator.IdleKeepS)*micros.Second, false
+		keep, takesOver := micros.Time(h.c.config.Operator.IdleKeepS)*micros.Second, false
 		if !m.block.Spot {
 			keep /= 3 // ordinary machines cost more; arrays mostly need not wait for them
 			if large != nil && m.kind != nil && m.kind.Capacity.CPU < large.kind.Capacity.CPU {
--- a/internal/coordination/waits.go
+++ b/internal/coordination/waits.go
@@ -18,67 +18,67 @@
 // Format is written once every member of the settings was registered with a version that
 // reads the new forms: until then an older one may still become the holder, and would
 // start a job without regard to what it waits for.
-func (c *Core) tickFormat() {
+func (c *Core) upgradeFormat() {
 	l := &c.leader
-	if c.replica.Format >= storage.Format || l.formatCall || c.now < l.formatAt {
+	if c.cache.Format >= storage.Format || l.formatInFlight || c.now < l.formatRetryAt {
 		return
 	}
-	members := []string{c.proc.Member}
-	for _, s := range c.cfg.Peers {
+	members := []string{c.process.Member}
+	for _, s := range c.config.Peers {
 		members = append(members, s.Member)
 	}
 	for _, m := range members {
-		if c.replica.Members[m].ModRevision == 0 || c.replica.MemberFormats[m] < storage.Format {
+		if c.cache.Members[m].ModRevision == 0 || c.cache.MemberFormats[m] < storage.Format {
 			return
 		}
 	}
-	l.formatAt = c.now + micros.Second
-	l.formatCall = c.callState(&storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.asLeader()},
+	l.formatRetryAt = c.now + micros.Second
+	l.formatInFlight = c.callStore(&storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.leaderCompare()},
 		Puts: []storage.Put{{Key: c.keys.Format(), Value: storage.Encode(map[string]int{"v": storage.Format})}},
-	}, storage.Urgent, stateTimeout, func(r *storage.Reply) {
-		l.formatCall = false
+	}, storage.Urgent, storeTimeout, func(r *storage.Reply) {
+		l.formatInFlight = false
 		if r.Outcome == storage.OK {
 			c.log(levelInfo, "every member reads the new records", "format", storage.Format)
 		}
 	})
 }
 
-// olderRegistered tells whether a process of an older version serves now: one that came
+// olderMemberRegistered tells whether a process of an older version serves now: one that came
 // back old although all were new once. It must not get to hold jobs that wait.
-func (c *Core) olderRegistered() bool {
-	for member := range c.replica.Members {
-		if c.replica.MemberFormats[member] < storage.Format {
+func (c *Core) olderMemberRegistered() bool {
+	for member := range c.cache.Members {
+		if c.cache.MemberFormats[member] < storage.Format {
 			return true
 		}
 	}
 	return false
 }
 
-// needs is what is to be found out of the jobs that a submission names.
-type needs struct {
+// dependencyCheck is what is to be found out of the jobs that a submission names.
+type dependencyCheck struct {
 	open      []string // neither done nor cancelled
 	cancelled bool     // one of them is
 }
 
-// checkNeeds looks the jobs up that a submission names, and calls then with what they
+// checkDependencies looks the jobs up that a submission names, and calls then with what they
 // are, or says why it cannot be taken. The replica must be fresh.
-func (c *Core) checkNeeds(req RequestID, job *bookkeeping.Job, refs []string, n needs, then func(needs)) {
+func (c *Core) checkDependencies(req RequestID, job *bookkeeping.Job, refs []string, n dependencyCheck, then func(dependencyCheck)) {
 	for i, ref := range refs {
 		if ref == job.ID {
-			c.cannotRun(req, job.ID, "it waits on itself")
+			c.rejectUnschedulable(req, job.ID, "it waits on itself")
 			return
 		}
-		e := c.replica.Jobs[ref]
+		e := c.cache.Jobs[ref]
 		if e == nil {
-			c.archived(ref, func(e *storage.JobEntry, ok bool) {
+			c.lookupArchived(ref, func(e *storage.JobEntry, ok bool) {
 				switch {
 				case !ok:
-					c.unavailable(req, "the state service does not answer")
+					c.respondUnavailable(req, "the state service does not answer")
 				case e == nil:
-					c.cannotRun(req, job.ID, "it waits on a job that was never accepted: "+ref)
+					c.rejectUnschedulable(req, job.ID, "it waits on a job that was never accepted: "+ref)
 				default:
 					n.cancelled = n.cancelled || e.Cancelled()
-					c.checkNeeds(req, job, refs[i+1:], n, then)
+					c.checkDependencies(req, job, refs[i+1:], n, then)
 				}
 			})
 			return
@@ -89,7 +89,7 @@
 		case e.Job.Phase == bookkeeping.Done:
 		case e.Job.Kind == bookkeeping.Service:
 			// It ends only by cancellation, so what waits on it could never run.
-			c.cannotRun(req, job.ID, "it waits on a service: "+ref)
+			c.rejectUnschedulable(req, job.ID, "it waits on a service: "+ref)
 			return
 		default:
 			n.open = append(n.open, ref)
@@ -98,37 +98,37 @@
 	then(n)
 }
 
-// acceptWaiting accepts a job that names others. Where all of them are in the replica it
+// acceptWithDependencies accepts a job that names others. Where all of them are in the replica it
 // need not be as new as the question: they were accepted, done and cancelled are final, and
 // what has become of them since makes the job wait, start or be cancelled all the same.
-func (c *Core) acceptWaiting(req RequestID, job *bookkeeping.Job) {
+func (c *Core) acceptWithDependencies(req RequestID, job *bookkeeping.Job) {
 	for _, ref := range job.DependsOn {
-		if c.replica.Jobs[ref] == nil {
-			c.fresh(func(ok bool) {
+		if c.cache.Jobs[ref] == nil {
+			c.linearizableRead(func(ok bool) {
 				if !ok {
-					c.unavailable(req, "the state service does not answer")
+					c.respondUnavailable(req, "the state service does not answer")
 					return
 				}
-				c.judgeWaiting(req, job)
+				c.resolveSubmission(req, job)
 			})
 			return
 		}
 	}
-	c.judgeWaiting(req, job)
+	c.resolveSubmission(req, job)
 }
 
-// judgeWaiting accepts a job that names others as one that waits on those that are not done
+// resolveSubmission accepts a job that names others as one that waits on those that are not done
 // yet, or as cancelled if one of them is, or says why it cannot be taken.
-func (c *Core) judgeWaiting(req RequestID, job *bookkeeping.Job) {
-	if c.replica.Format < storage.Format || c.olderRegistered() {
-		c.viewOr(req, job.ID, func() { c.unavailable(req, "an older version is still running") })
+func (c *Core) resolveSubmission(req RequestID, job *bookkeeping.Job) {
+	if c.cache.Format < storage.Format || c.olderMemberRegistered() {
+		c.respondStatusOr(req, job.ID, func() { c.respondUnavailable(req, "an older version is still running") })
 		return
 	}
-	if c.replica.Jobs[job.ID] != nil {
-		c.viewOr(req, job.ID, func() { c.unavailable(req, "try again") })
+	if c.cache.Jobs[job.ID] != nil {
+		c.respondStatusOr(req, job.ID, func() { c.respondUnavailable(req, "try again") })
 		return
 	}
-	c.checkNeeds(req, job, job.DependsOn, needs{}, func(n needs) {
+	c.checkDependencies(req, job, job.DependsOn, dependencyCheck{}, func(n dependencyCheck) {
 		if n.cancelled {
 			over := job.Tombstone(bookkeeping.Cancelled)
 			over.Submitted = c.wall
@@ -136,96 +136,96 @@
 			return
 		}
 		job.DependsOn = n.open
-		c.storeNeeds(req, job)
+		c.storeDependencies(req, job)
 	})
 }
 
-// storeNeeds writes a list of needed jobs that the record has no room for, in parts, and
+// storeDependencies writes a list of needed jobs that the record has no room for, in parts, and
 // then the record. Parts count only with the record, which names them.
-func (c *Core) storeNeeds(req RequestID, job *bookkeeping.Job) {
-	most := c.cfg.Settings.MaxValue()
-	if len(storage.Encode(job)) <= most-recordSlack {
+func (c *Core) storeDependencies(req RequestID, job *bookkeeping.Job) {
+	most := c.config.Settings.MaxValue()
+	if len(storage.Encode(job)) <= most-acceptedRecordReserve {
 		c.accept(req, job, storage.Prompt)
 		return
 	}
-	each := max(1, most/(maxRefBytes+3))
+	each := max(1, most/(maxJobIDBytes+3))
 	var parts []storage.Put
-	c.lists++
-	job.DependencyListName = fmt.Sprintf("%s.%d", c.proc.Incarnation, c.lists)
+	c.dependencyLists++
+	job.DependencyListName = fmt.Sprintf("%s.%d", c.process.Incarnation, c.dependencyLists)
 	for list := range slices.Chunk(job.DependsOn, each) {
 		parts = append(parts, storage.Put{Key: c.keys.DependencyPart(job.ID, job.DependencyListName, len(parts)), Value: storage.Encode(list)})
 	}
 	job.DependsOn, job.DependencyParts = nil, len(parts)
-	c.storeParts(req, job, parts, 0)
+	c.storeDependencyParts(req, job, parts, 0)
 }
 
 const (
-	// recordSlack is left for what a record gets when it is accepted.
-	recordSlack = 40
-	// maxPartBytes bounds the parts in one transaction, which may have 64 KiB.
-	maxPartBytes = 32 << 10
-	// maxRefBytes is the longest that a job's id may be.
-	maxRefBytes = 23
+	// acceptedRecordReserve is left for what a record gets when it is accepted.
+	acceptedRecordReserve = 40
+	// maxPartTxnBytes bounds the parts in one transaction, which may have 64 KiB.
+	maxPartTxnBytes = 32 << 10
+	// maxJobIDBytes is the longest that a job's id may be.
+	maxJobIDBytes = 23
 )
 
-// storeParts writes the parts of a list, as many at a time as a transaction takes, and then
+// storeDependencyParts writes the parts of a list, as many at a time as a transaction takes, and then
 // the job's record; first is the revision of the list's first part, 0 before it is written.
 // The record requires that part: carried out minutes late, after the leader deleted the
 // parts that no job had, it would be a job that waits for ever.
-func (c *Core) storeParts(req RequestID, job *bookkeeping.Job, parts []storage.Put, first uint64) {
+func (c *Core) storeDependencyParts(req RequestID, job *bookkeeping.Job, parts []storage.Put, first uint64) {
 	if len(parts) == 0 {
 		c.accept(req, job, storage.Prompt, storage.Compare{Key: c.keys.DependencyPart(job.ID, job.DependencyListName, 0), ModRevision: first})
 		return
 	}
 	n, size := 0, 0
-	for n < min(len(parts), c.cfg.Settings.StateLimits().TxnOps) && (n == 0 || size+len(parts[n].Value) <= maxPartBytes) {
+	for n < min(len(parts), c.config.Settings.StateLimits().TxnOps) && (n == 0 || size+len(parts[n].Value) <= maxPartTxnBytes) {
 		size += len(parts[n].Value)
 		n++
 	}
-	if !c.callState(&storage.Request{Kind: storage.Txn, Puts: parts[:n]}, storage.Urgent, stateTimeout, func(r *storage.Reply) {
+	if !c.callStore(&storage.Request{Kind: storage.Txn, Puts: parts[:n]}, storage.Urgent, storeTimeout, func(r *storage.Reply) {
 		if r.Outcome != storage.OK {
-			c.unavailable(req, "the state service does not answer")
+			c.respondUnavailable(req, "the state service does not answer")
 			return
 		}
 		if first == 0 {
 			first = r.Revision
 		}
-		c.storeParts(req, job, parts[n:], first)
+		c.storeDependencyParts(req, job, parts[n:], first)
 	}) {
-		c.answer(Response{Request: req, Kind: Overloaded, Text: "too many changes", RetryAfter: comeBack})
+		c.respond(Response{Request: req, Kind: Overloaded, Text: "too many changes", RetryAfter: defaultRetryAfter})
 	}
 }
 
-// resolveNeeded reads the records of jobs before this one that were moved away, and calls
+// resolveDependencies reads the records of jobs before this one that were moved away, and calls
 // then when it is known whether it is cancelled with one of them. Without this a controller
 // that began after the move would call a job queued that another calls cancelled.
-func (c *Core) resolveNeeded(id string, then func(ok bool)) {
-	c.readNeeded(c.replica, c.replica.Unresolved(id), then)
+func (c *Core) resolveDependencies(id string, then func(ok bool)) {
+	c.readArchivedDependencies(c.cache, c.cache.Unresolved(id), then)
 }
 
-func (c *Core) readNeeded(replica *storage.Cache, ids []string, then func(ok bool)) {
-	if len(ids) == 0 || c.replica != replica {
-		then(c.replica == replica) // a new copy of the state knows nothing of what was read
+func (c *Core) readArchivedDependencies(replica *storage.Cache, ids []string, then func(ok bool)) {
+	if len(ids) == 0 || c.cache != replica {
+		then(c.cache == replica) // a new copy of the state knows nothing of what was read
 		return
 	}
-	c.archived(ids[0], func(e *storage.JobEntry, ok bool) {
+	c.lookupArchived(ids[0], func(e *storage.JobEntry, ok bool) {
 		if !ok {
 			then(false)
 			return
 		}
-		if e != nil && c.replica == replica {
+		if e != nil && c.cache == replica {
 			replica.Resolve(ids[0], e.Job.Phase)
-			c.touched()
+			c.reevaluateAffected()
 		}
-		c.readNeeded(replica, ids[1:], then)
+		c.readArchivedDependencies(replica, ids[1:], then)
 	})
 }
 
-// touched looks at the jobs again for which something changed with another job.
-func (c *Core) touched() {
-	for _, id := range c.replica.TakeAffected() {
-		for _, n := range sortedKeys(c.holders) {
-			c.holders[n].jobChanged(id)
+// reevaluateAffected looks at the jobs again for which something changed with another job.
+func (c *Core) reevaluateAffected() {
+	for _, id := range c.cache.TakeAffected() {
+		for _, n := range sortedKeys(c.partitions) {
+			c.partitions[n].jobChanged(id)
 		}
 	}
 }
@@ -235,7 +235,7 @@
 	if !j.blocked {
 		return
 	}
-	blocked, unknown := h.c.replica.Blocked(j.entry)
+	blocked, unknown := h.c.cache.Blocked(j.entry)
 	if unknown != "" {
 		h.unknown[unknown] = max(h.unknown[unknown], 1)
 	}
@@ -246,7 +246,7 @@
 	// done as its record tells.
 	j.blocked, j.ready = false, j.Submitted
 	for _, w := range j.entry.Dependencies {
-		if e := h.c.replica.Jobs[w]; e != nil && e.Job.CompletedAt > 0 {
+		if e := h.c.cache.Jobs[w]; e != nil && e.Job.CompletedAt > 0 {
 			j.ready = max(j.ready, e.Job.CompletedAt)
 		} else {
 			j.ready = h.c.wall
@@ -269,7 +269,7 @@
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(h.unknown)) {
-		if h.c.replica.Jobs[id] != nil || len(h.c.replica.Dependents[id]) == 0 || h.c.replica.ArchivedPhases[id] != bookkeeping.Active {
+		if h.c.cache.Jobs[id] != nil || len(h.c.cache.Dependents[id]) == 0 || h.c.cache.ArchivedPhases[id] != bookkeeping.Active {
 			delete(h.unknown, id)
 			continue
 		}
@@ -278,11 +278,11 @@
 		}
 		h.unknown[id] = h.c.now + resolvePace
 		h.resolving++
-		h.c.archived(id, func(e *storage.JobEntry, ok bool) {
+		h.c.lookupArchived(id, func(e *storage.JobEntry, ok bool) {
 			h.resolving--
 			if ok && e != nil {
-				h.c.replica.Resolve(id, e.Job.Phase)
-				h.c.touched()
+				h.c.cache.Resolve(id, e.Job.Phase)
+				h.c.reevaluateAffected()
 			}
 		})
 	}
@@ -296,12 +296,12 @@
 	}
 	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{{Key: h.c.keys.Partition(h.queue), ModRevision: h.token}}}
 	for _, id := range slices.Sorted(maps.Keys(h.cancelledBefore)) {
-		e := h.c.replica.Jobs[id]
+		e := h.c.cache.Jobs[id]
 		if e == nil || e.Job.Phase != bookkeeping.Active {
 			delete(h.cancelledBefore, id)
 			continue
 		}
-		if len(r.Puts) < h.c.cfg.Settings.StateLimits().TxnOps {
+		if len(r.Puts) < h.c.config.Settings.StateLimits().TxnOps {
 			r.Compares = append(r.Compares, storage.Compare{Key: h.c.keys.Job(id), ModRevision: e.ModRevision})
 			r.Puts = append(r.Puts, storage.Put{Key: h.c.keys.Job(id), Value: storage.Encode(e.Job.Tombstone(bookkeeping.Cancelled))})
 		}
@@ -310,7 +310,7 @@
 		return
 	}
 	h.writeCancelledAt = h.c.now + 300*micros.Millisecond
-	h.writingCancelled = h.c.callState(r, storage.Deferrable, stateTimeout, func(*storage.Reply) { h.writingCancelled = false })
+	h.writingCancelled = h.c.callStore(r, storage.Deferrable, storeTimeout, func(*storage.Reply) { h.writingCancelled = false })
 }
 
 // startSlack is what the start of a task takes besides its image.
@@ -328,14 +328,14 @@
 // due dates of their own: users set them on the last job only.
 func (h *holder) inheritFrom(id string) inheritance {
 	out := inheritance{due: micros.Max}
-	if len(h.c.replica.Dependents[id]) == 0 {
+	if len(h.c.cache.Dependents[id]) == 0 {
 		return out
 	}
 	if got, ok := h.inherited[id]; ok {
 		return got
 	}
-	for dep := range h.c.replica.Dependents[id] {
-		e := h.c.replica.Jobs[dep]
+	for dep := range h.c.cache.Dependents[id] {
+		e := h.c.cache.Jobs[dep]
 		if e == nil || e.Job.Phase != bookkeeping.Active || e.CancelledByDependency {
 			continue
 		}
@@ -345,7 +345,7 @@
 			due = min(due, e.Job.Submitted+e.Job.Deadline)
 		}
 		if due != micros.Max {
-			run := micros.Time(float64(h.c.stats.Estimate(e.Job)) * h.c.stats.TailRatio(e.Job.Class))
+			run := micros.Time(float64(h.c.runtimes.Estimate(e.Job)) * h.c.runtimes.TailRatio(e.Job.Class))
 			out.due = min(out.due, due-run-h.fetchTime(e.Job.ImageGB)-startSlack)
 		}
 		out.priority = max(out.priority, after.priority, e.Job.Priority)
--- a/internal/scenario/expectations_test.go
+++ b/internal/scenario/expectations_test.go
@@ -203,8 +203,8 @@
 // expectKept: jobs in the memory of any controller.
 func (w *World) expectKept(l *line, j *userJob) string {
 	for _, n := range w.nodes {
-		if n.up() && float64(n.core.Kept()) > l.num("most", 0) {
-			return fmt.Sprintf("%s keeps %d", n.name, n.core.Kept())
+		if n.up() && float64(n.core.CachedJobs()) > l.num("most", 0) {
+			return fmt.Sprintf("%s keeps %d", n.name, n.core.CachedJobs())
 		}
 	}
 	return ""
--- a/internal/transport/driver.go
+++ b/internal/transport/driver.go
@@ -127,7 +127,7 @@
 		}
 		begin := d.steady()
 		out := d.core.Step(begin, time.Now().UnixMicro(), batch...)
-		d.core.Took(d.steady() - begin)
+		d.core.ObserveStepDuration(d.steady() - begin)
 		clear(batch)
 		d.carryOut(ctx, out)
 		d.healthy.Store(d.core.Healthy())
