--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -143,7 +143,7 @@
 		if e := f.view.Current(c.now); e != nil {
 			c.log(levelDebug, "admission epoch", "epoch", e.Number, "leader", e.Leader, "flows", len(e.Windows))
 		}
-	case errors.Is(err, admission.ErrStale) || c.now-f.ignoredLoggedAt < oddEvery:
+	case errors.Is(err, admission.ErrStale) || c.now-f.ignoredLoggedAt < ignoredLogInterval:
 	default:
 		f.ignoredLoggedAt = c.now
 		c.log(levelWarn, "admission epoch ignored", "version", stored.ModRevision, "err", err)
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -194,14 +194,14 @@
 	told := &PeerStatus{From: storage.Process{Member: "n1", Incarnation: "x"}, Partitions: []PartitionStatus{{Partition: 0,
 		Lags: []admission.FlowLag{{Flow: flow, Lag: admission.Lag{Team: 40 * micros.Second, Class: 50 * micros.Second}}}}}}
 	for age, want := range map[micros.Time]admission.Lag{
-		3 * micros.Second:       {Team: 40 * micros.Second, Class: 50 * micros.Second},
-		lagKept + micros.Second: {},
+		3 * micros.Second:      {Team: 40 * micros.Second, Class: 50 * micros.Second},
+		lagTTL + micros.Second: {},
 	} {
 		c := newFair(t)
 		c.now += 100 * micros.Second
 		c.peers["n1"] = &peerState{receivedAt: c.now - age, status: told}
-		h := newHolder(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: 20})
-		if got := h.shares.queue.Lag(flow); got != want {
+		h := newPartitionLeader(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: 20})
+		if got := h.fairShares.queue.Lag(flow); got != want {
 			t.Errorf("told %d before: %+v", age, got)
 		}
 	}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -108,7 +108,7 @@
 	}
 	told := map[string]int{}
 	for range 2 {
-		for _, p := range c.partitions[0].progress() {
+		for _, p := range c.partitions[0].jobProgress() {
 			told[p.ID] += p.Running
 		}
 	}
@@ -161,18 +161,18 @@
 	}
 	h := c.partitions[0]
 	for _, m := range h.machines {
-		m.kind = c.catalog["m"]
+		m.instanceType = c.catalog["m"]
 	}
 	for b.Loop() {
-		now += planPace
+		now += minPlanInterval
 		for _, m := range h.machines {
-			m.seen = now
+			m.lastContact = now
 		}
 		c.now, c.wall, c.output = now, now, &Output{}
-		h.dirty = true
+		h.planStale = true
 		h.schedule()
 	}
-	if len(h.planMachines()) != size || len(h.needs) == 0 {
+	if len(h.buildTimelines()) != size || len(h.capacityRequests) == 0 {
 		b.Fatal("nothing to plan")
 	}
 }
--- a/internal/coordination/calls.go
+++ b/internal/coordination/calls.go
@@ -8,136 +8,136 @@
 	"pipitlatch/internal/micros"
 )
 
-// sendSome sends what waits for machines: what services and cancellations wait for
+// sendCommands sends what waits for machines: what services and cancellations wait for
 // first, what machines wait for that did not answer last, and of these another
 // first every time.
-func (h *holder) sendSome() {
+func (p *partitionLeader) sendCommands() {
 	var rest, failing []*machine
-	for _, m := range h.machines {
+	for _, m := range p.machines {
 		switch {
-		case len(m.outbox) == 0 || m.calling:
-		case m.failed > 0:
+		case len(m.outbox) == 0 || m.callInFlight:
+		case m.failedCalls > 0:
 			failing = append(failing, m)
-		case !slices.ContainsFunc(m.outbox, func(c Command) bool { return c.Operation == Stop || h.isService(c.Job) }):
+		case !slices.ContainsFunc(m.outbox, func(c Command) bool { return c.Operation == Stop || p.isService(c.Job) }):
 			rest = append(rest, m)
-		case h.c.availableAgentCalls(false) > 0:
-			h.send(m)
+		case p.core.availableAgentCalls(false) > 0:
+			p.sendOutbox(m)
 		}
 	}
 	for _, m := range rest {
-		if h.c.availableAgentCalls(false) <= 0 {
+		if p.core.availableAgentCalls(false) <= 0 {
 			break
 		}
-		h.send(m)
+		p.sendOutbox(m)
 	}
-	h.turn++
+	p.sendRound++
 	for i := range failing {
-		if h.c.availableAgentCalls(true) <= 0 {
+		if p.core.availableAgentCalls(true) <= 0 {
 			break
 		}
-		h.send(failing[(i+h.turn)%len(failing)])
+		p.sendOutbox(failing[(i+p.sendRound)%len(failing)])
 	}
 }
 
-func (h *holder) isService(id string) bool {
-	j := h.jobs[id]
+func (p *partitionLeader) isService(id string) bool {
+	j := p.jobs[id]
 	return j != nil && j.Kind == bookkeeping.Service
 }
 
-// probeSome asks machines for their reports: directly, under our token once its
+// sendProbes asks machines for their reports: directly, under our token once its
 // session is known, so that a machine acknowledges it. The one asked longest ago
 // goes first: many that never answer must not keep the others from being asked.
-func (h *holder) probeSome() {
-	room := h.c.availableAgentCalls(true)
-	if len(h.toProbe) > room {
-		slices.SortStableFunc(h.toProbe, func(a, b *machine) int { return cmp.Compare(a.probed, b.probed) })
+func (p *partitionLeader) sendProbes() {
+	room := p.core.availableAgentCalls(true)
+	if len(p.probeQueue) > room {
+		slices.SortStableFunc(p.probeQueue, func(a, b *machine) int { return cmp.Compare(a.lastProbe, b.lastProbe) })
 	}
-	for i, m := range h.toProbe {
+	for i, m := range p.probeQueue {
 		if i >= room {
 			break
 		}
-		if m.calling {
+		if m.callInFlight {
 			continue
 		}
-		m.probed = h.c.now
-		h.callMachine(m, nil, m.session == 0)
+		m.lastProbe = p.core.now
+		p.callMachine(m, nil, m.epoch == 0)
 	}
-	clear(h.toProbe)
-	h.toProbe = h.toProbe[:0]
+	clear(p.probeQueue)
+	p.probeQueue = p.probeQueue[:0]
 }
 
-// send sends what waits for a machine.
-func (h *holder) send(m *machine) {
-	if m.calling || len(m.outbox) == 0 || m.ack != h.token || m.session == 0 || m.addr == "" || h.c.now < m.callAt {
+// sendOutbox sends what waits for a machine.
+func (p *partitionLeader) sendOutbox(m *machine) {
+	if m.callInFlight || len(m.outbox) == 0 || m.ackedToken != p.fencingToken || m.epoch == 0 || m.address == "" || p.core.now < m.nextCallAt {
 		return
 	}
-	n := min(len(m.outbox), maxOrders)
+	n := min(len(m.outbox), maxCommandsPerMessage)
 	batch := slices.Clone(m.outbox[:n])
 	m.outbox = slices.Delete(m.outbox, 0, n)
 	for i := range batch {
 		a := m.attempts[batch[i].AttemptID]
 		if a != nil && batch[i].Operation == Start {
-			a.open++
-			a.sent = true
+			a.startsInFlight++
+			a.startSent = true
 		}
 	}
-	h.callMachine(m, batch, false)
+	p.callMachine(m, batch, false)
 }
 
-func (h *holder) callMachine(m *machine, batch []Command, show bool) {
-	m.calling = true
-	session, seq, token, sent := m.session, m.seq, h.token, h.c.now
-	h.c.callAgent(AgentCall{Machine: m.id, Address: m.addr, FencingToken: token, AgentEpoch: session, Commands: batch, StatusOnly: show,
+func (p *partitionLeader) callMachine(m *machine, batch []Command, show bool) {
+	m.callInFlight = true
+	session, seq, token, sent := m.epoch, m.sequence, p.fencingToken, p.core.now
+	p.core.callAgent(AgentCall{Machine: m.id, Address: m.address, FencingToken: token, AgentEpoch: session, Commands: batch, StatusOnly: show,
 		Timeout: micros.Second}, func(r *AgentReply) {
-		m.calling = false
-		if h.c.partitions[h.queue] != h || h.machine(m.id) != m {
+		m.callInFlight = false
+		if p.core.partitions[p.partition] != p || p.machine(m.id) != m {
 			return
 		}
 		if r.Heartbeat != nil && r.Heartbeat.Machine != m.id {
 			r.Heartbeat = nil // an address that another machine has now
-			m.addr = ""
+			m.address = ""
 		}
 		for _, cmd := range batch {
 			a := m.attempts[cmd.AttemptID]
 			if a == nil || cmd.Operation != Start {
 				continue
 			}
-			a.open--
-			if r.Heartbeat == nil && m.session == session {
-				a.lost++ // it may still be executed, even minutes later
-				m.lostStarts = true
+			a.startsInFlight--
+			if r.Heartbeat == nil && m.epoch == session {
+				a.startsUnanswered++ // it may still be executed, even minutes later
+				m.hasUnansweredStarts = true
 			}
 		}
 		if r.Heartbeat == nil {
-			if m.failed++; m.failed == 1 {
-				m.vainAt = sent
+			if m.failedCalls++; m.failedCalls == 1 {
+				m.firstFailedCallAt = sent
 			}
-			m.callAt = h.c.now + 300*micros.Millisecond<<min(m.failed-1, 3)
-			if m.session == session {
+			m.nextCallAt = p.core.now + 300*micros.Millisecond<<min(m.failedCalls-1, 3)
+			if m.epoch == session {
 				// The same attempts again: repeating them is safe.
-				m.outbox = append(h.stillWanted(m, batch), m.outbox...)
+				m.outbox = append(p.commandsToRetry(m, batch), m.outbox...)
 			}
 			return
 		}
 		if rep := r.Heartbeat; rep.AgentEpoch < session || (rep.AgentEpoch == session && rep.Sequence <= seq) {
 			// Its answer, given after the call, is older than what was known before it.
-			h.restarted(m)
+			p.drainRestarted(m)
 			return
 		}
-		m.seen, m.failed, m.vain = h.c.now, 0, 0
-		h.observe(m, r.Heartbeat)
+		m.lastContact, m.failedCalls, m.unackedReplies = p.core.now, 0, 0
+		p.observeHeartbeat(m, r.Heartbeat)
 		if show {
-			m.probed = 0 // its session is known now: it can be told our token
+			m.lastProbe = 0 // its session is known now: it can be told our token
 		}
 	})
 }
 
-// stillWanted are the commands of a lost batch that are worth sending again.
-func (h *holder) stillWanted(m *machine, batch []Command) []Command {
+// commandsToRetry are the commands of a lost batch that are worth sending again.
+func (p *partitionLeader) commandsToRetry(m *machine, batch []Command) []Command {
 	var out []Command
 	for _, cmd := range batch {
 		a := m.attempts[cmd.AttemptID]
-		if a == nil || a.state == Exited || (cmd.Operation == Start && (a.stop || a.shown)) {
+		if a == nil || a.state == Exited || (cmd.Operation == Start && (a.stopping || a.reported)) {
 			continue
 		}
 		out = append(out, cmd)
--- a/internal/coordination/cancelling.go
+++ b/internal/coordination/cancelling.go
@@ -154,19 +154,19 @@
 	}
 }
 
-func (h *holder) requestCancel(j *job) {
+func (p *partitionLeader) requestCancel(j *job) {
 	if j.cancelRequested {
 		return
 	}
 	j.cancelRequested = true
-	h.c.log(levelInfo, "job called off", "job", j.ID, "tasks", len(j.live))
-	for _, t := range sortedKeys(j.live) {
-		h.kill(j.live[t])
+	p.core.log(levelInfo, "job called off", "job", j.ID, "tasks", len(j.activeAttempts))
+	for _, t := range sortedKeys(j.activeAttempts) {
+		p.kill(j.activeAttempts[t])
 	}
-	for _, a := range j.double {
-		h.kill(a)
+	for _, a := range j.duplicateAttempts {
+		p.kill(a)
 	}
-	h.dirty = true
+	p.planStale = true
 }
 
 // isCancelled tells whether a job is cancelled as far as the stream shows.
@@ -177,51 +177,51 @@
 
 // kill stops a task of a cancelled job. The cancellation came after the news before
 // this: it would have been in them. From there its clock is taken to run.
-func (h *holder) kill(a *attempt) {
+func (p *partitionLeader) kill(a *attempt) {
 	if a.state == Exited {
 		return
 	}
-	h.stop(a, 0)
-	if a.state == Exited || a.killBy != 0 {
+	p.stopAttempt(a, 0)
+	if a.state == Exited || a.killDeadline != 0 {
 		return // its start was not sent yet; or it is counted already
 	}
 	// A worker that has its last answer by then loses the task to its lease within
 	// cancel_s, and as much time is left for the cloud to delete the machine.
 	// One whose time is over already still gets the moment that a stop takes.
-	a.killBy = max(h.c.previousWatchSentAt+h.c.config.LeadershipTerm(), h.c.now+killMoment)
-	h.kills = append(h.kills, a)
+	a.killDeadline = max(p.core.previousWatchSentAt+p.core.config.LeadershipTerm(), p.core.now+killLatency)
+	p.pendingKills = append(p.pendingKills, a)
 }
 
-// killMoment is how long a stop takes at most where nothing is wrong.
-const killMoment = 1500 * micros.Millisecond
+// killLatency is how long a stop takes at most where nothing is wrong.
+const killLatency = 1500 * micros.Millisecond
 
 // killAdopted is kill for a task that a predecessor left: when its job was cancelled is
 // not known, but its machine just spoke under this token, so that a stop takes a moment.
-func (h *holder) killAdopted(a *attempt) {
-	h.kill(a)
-	if a.killBy != 0 {
-		a.killBy = min(a.killBy, h.c.now+2*h.silence())
+func (p *partitionLeader) killAdopted(a *attempt) {
+	p.kill(a)
+	if a.killDeadline != 0 {
+		a.killDeadline = min(a.killDeadline, p.core.now+2*p.suspicionTimeout())
 	}
 }
 
-// overdueKills gives up the machines on which a cancelled task is not shown gone in
+// drainOverdueKills gives up the machines on which a cancelled task is not shown gone in
 // time: hung, or out of reach. They are deleted, and get no answers, so that their lease
 // ends too. A kill is done when its task is gone, not when it was sent.
-func (h *holder) overdueKills() {
-	h.kills = slices.DeleteFunc(h.kills, func(a *attempt) bool {
-		if a.state == Exited || h.machine(a.m.id) != a.m {
+func (p *partitionLeader) drainOverdueKills() {
+	p.pendingKills = slices.DeleteFunc(p.pendingKills, func(a *attempt) bool {
+		if a.state == Exited || p.machine(a.machine.id) != a.machine {
 			return true
 		}
-		if h.c.now < a.killBy || a.m.lost() {
+		if p.core.now < a.killDeadline || a.machine.decommissioned() {
 			return false
 		}
-		h.drain(a.m, killNotShown)
+		p.drain(a.machine, drainKillTimeout)
 		return false
 	})
 }
 
-// killNotShown is why such a machine drains.
-const killNotShown = "kill not shown"
+// drainKillTimeout is why such a machine drains.
+const drainKillTimeout = "kill not shown"
 
 // CancellationAck is how far the notices of a process came.
 type CancellationAck struct {
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -51,7 +51,7 @@
 	maxAgentCalls      int        // how many may be, for lack of sockets
 	replication
 	readBarrier
-	partitions      map[int]*holder
+	partitions      map[int]*partitionLeader
 	deathTimes      map[storage.Process]micros.Time // when a process was first known dead
 	peers           map[string]*peerState
 	cancellations   cancellations
@@ -65,8 +65,8 @@
 	faults       *fleet.FaultTracker
 	spot         spotLosses
 	reachability reachabilityProbe
-	fair         *fairAdmission // nil: off
-	lastPlanned  *holder        // that planned in the last step
+	fair         *fairAdmission   // nil: off
+	lastPlanned  *partitionLeader // that planned in the last step
 	statusSentAt micros.Time
 	statusSoon   bool        // send the status soon
 	lastServedAt micros.Time // when the state service last answered in time
@@ -97,7 +97,7 @@
 		teams: bookkeeping.Teams(cfg), keys: keys, pendingCalls: map[uint64]func(any){},
 		maxAgentCalls: max(1, cfg.Sockets().Calls/2), // the other half are idle connections
 		storeLimiter:  storage.NewRateLimiter(cfg.Settings.StateLimits().RPS, cfg.Settings.StateLimits().WriteRPS, cfg.Settings.Nodes),
-		partitions:    map[int]*holder{}, deathTimes: map[storage.Process]micros.Time{},
+		partitions:    map[int]*partitionLeader{}, deathTimes: map[storage.Process]micros.Time{},
 		txnBackoff: txnBackoff{}, peers: map[string]*peerState{}, cancellations: newCancellations(), archivedJobs: map[string]*storage.JobEntry{}, progress: map[string]JobProgress{},
 		runtimes: bookkeeping.NewRuntimeStats(), faults: fleet.NewFaultTracker(), fair: newFairAdmission(cfg),
 	}
@@ -132,7 +132,7 @@
 // leaves time for everything else is measured outside.
 func (c *Core) ObserveStepDuration(d micros.Time) {
 	if c.lastPlanned != nil {
-		c.lastPlanned.planPause = min(maxPlanInterval, max(planPace, planPart*d))
+		c.lastPlanned.planInterval = min(maxPlanInterval, max(minPlanInterval, planTimeDivisor*d))
 	}
 	c.lastPlanned = nil
 }
@@ -259,7 +259,7 @@
 			c.catalog = r.Catalog
 			c.catalogFromCloud = true
 			for _, h := range c.partitions {
-				h.dirty = true
+				h.planStale = true
 			}
 		}
 	})
@@ -357,7 +357,7 @@
 	for _, n := range sortedKeys(c.partitions) {
 		h := c.partitions[n]
 		s.Partitions = append(s.Partitions, h.status())
-		s.Progress = append(s.Progress, h.progress()...)
+		s.Progress = append(s.Progress, h.jobProgress()...)
 	}
 	s.TerminatedMachines = c.leader.recentlyTerminated(c.now)
 	s.CancellationAcks = c.cancellationAcks()
@@ -384,7 +384,7 @@
 	c.receiveDemand(s)
 	for _, m := range s.TerminatedMachines {
 		for _, h := range c.partitions {
-			h.machineGone(m)
+			h.machineTerminated(m)
 		}
 	}
 	if s.From != c.process {
--- a/internal/coordination/exceptions.go
+++ b/internal/coordination/exceptions.go
@@ -16,9 +16,9 @@
 // the index ranks what is long and late behind all that is short, so that under load
 // such a job begins last of all, and then long after these times. Past them nothing
 // is gained any more, and the index decides again.
-func (h *holder) nearObjective(j *job) bool {
-	age := h.c.wall - j.ready
-	for _, o := range h.c.config.Settings.Objectives {
+func (p *partitionLeader) nearObjective(j *job) bool {
+	age := p.core.wall - j.readySince
+	for _, o := range p.core.config.Settings.Objectives {
 		if o.Class != j.Class {
 			continue
 		}
@@ -26,7 +26,7 @@
 		switch o.Kind {
 		case "wait":
 		case "finished":
-			limit -= micros.Time(float64(h.estimate(j)) * h.c.runtimes.TailRatio(j.Class))
+			limit -= micros.Time(float64(p.estimate(j)) * p.core.runtimes.TailRatio(j.Class))
 		default:
 			continue
 		}
@@ -37,32 +37,32 @@
 	return false
 }
 
-// firstPatience is how long a job waits for the start of its first task before
+// maxFirstTaskWait is how long a job waits for the start of its first task before
 // that task goes ahead of the index.
-const firstPatience = 120 * micros.Second
+const maxFirstTaskWait = 120 * micros.Second
 
-// placeFirst places the first task of the jobs that have waited long for it,
+// placeLongWaiting places the first task of the jobs that have waited long for it,
 // before all others. Exception to the design: the index ranks what is long and
 // late behind all that is short, under load for ever, and every job is to begin.
-func (h *holder) placeFirst(arrays []ranked, machines []*plan.Machine) {
-	var late []ranked
+func (p *partitionLeader) placeLongWaiting(arrays []rankedJob, machines []*plan.Machine) {
+	var late []rankedJob
 	for _, r := range arrays {
-		j := r.j
-		if h.c.wall-j.ready > firstPatience && len(j.live) == 0 && j.finishedCount() == 0 {
+		j := r.job
+		if p.core.wall-j.readySince > maxFirstTaskWait && len(j.activeAttempts) == 0 && j.completedCount() == 0 {
 			late = append(late, r)
 		}
 	}
-	slices.SortStableFunc(late, func(a, b ranked) int { return cmp.Compare(a.j.ready, b.j.ready) })
+	slices.SortStableFunc(late, func(a, b rankedJob) int { return cmp.Compare(a.job.readySince, b.job.readySince) })
 	for _, r := range late {
 		one := 1
-		h.placeArray(r, machines, &one)
+		p.placeArray(r, machines, &one)
 	}
 }
 
-// guaranteed tells whether the job fits into its team's guarantee with all that
+// withinGuarantee tells whether the job fits into its team's guarantee with all that
 // the team runs: such work need not wait on other teams. Exception to the design,
 // whose index knows no teams: it comes before what teams borrow.
-func (h *holder) guaranteed(j *job) bool {
-	t := h.c.teams[j.Team]
-	return t != nil && t.GuaranteeCPU+t.GuaranteeGPU > 0 && t.WithinGuarantee(h.usage[j.Team].Add(j.Resources.Times(int64(j.waiting.Len()))))
+func (p *partitionLeader) withinGuarantee(j *job) bool {
+	t := p.core.teams[j.Team]
+	return t != nil && t.GuaranteeCPU+t.GuaranteeGPU > 0 && t.WithinGuarantee(p.teamUsage[j.Team].Add(j.Resources.Times(int64(j.pendingTasks.Len()))))
 }
--- a/internal/coordination/fairness.go
+++ b/internal/coordination/fairness.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// lagKept is how long what a holder said of its flows' lags counts for its successor.
-	lagKept = 30 * micros.Second
-	// lagLogEvery is how often flows that are behind are logged.
-	lagLogEvery = 10 * micros.Second
+	// lagTTL is how long what a holder said of its flows' lags counts for its successor.
+	lagTTL = 30 * micros.Second
+	// lagLogInterval is how often flows that are behind are logged.
+	lagLogInterval = 10 * micros.Second
 )
 
 // fairShares is what a holder knows of how far flows are behind. Off, it is nil.
@@ -32,7 +32,7 @@
 	var lastAt micros.Time
 	for _, member := range sortedKeys(c.peers) {
 		p := c.peers[member]
-		if c.now-p.receivedAt > lagKept || p.receivedAt <= lastAt {
+		if c.now-p.receivedAt > lagTTL || p.receivedAt <= lastAt {
 			continue
 		}
 		for i := range p.status.Partitions {
@@ -49,71 +49,71 @@
 
 // advanceShares brings the lags to now, and takes what every flow uses and whether it waits
 // for room alone: what its team's limit keeps waiting is not behind.
-func (h *holder) advanceShares(silent bool) {
-	if h.shares == nil {
+func (p *partitionLeader) advanceShares(silent bool) {
+	if p.fairShares == nil {
 		return
 	}
 	var loads []admission.Load
-	for _, j := range h.order {
+	for _, j := range p.sortedJobs {
 		if j.Kind != bookkeeping.Array {
 			continue
 		}
 		l := admission.Load{Flow: flowOf(j.Job)}
-		for _, a := range j.live {
+		for _, a := range j.activeAttempts {
 			if a.state != Exited {
-				l.Use += a.need.CPU
+				l.Use += a.resources.CPU
 			}
 		}
-		l.Waiting = h.mayStart(j, silent) && h.allowance(j) > 0
+		l.Waiting = p.startable(j, silent) && p.quotaAllowance(j) > 0
 		if l.Use > 0 || l.Waiting {
 			loads = append(loads, l)
 		}
 	}
-	h.shares.queue.Advance(h.c.now, loads)
-	h.logShares()
+	p.fairShares.queue.Advance(p.core.now, loads)
+	p.logShares()
 }
 
-// mayStart tells whether a job has tasks that may start once there is room.
-func (h *holder) mayStart(j *job, silent bool) bool {
-	if j.waiting.Len() == 0 || j.pause > h.c.now || j.cancelRequested || j.blocked {
+// startable tells whether a job has tasks that may start once there is room.
+func (p *partitionLeader) startable(j *job, silent bool) bool {
+	if j.pendingTasks.Len() == 0 || j.startsPausedUntil > p.core.now || j.cancelRequested || j.blockedByDependencies {
 		return false
 	}
 	// Tasks of a job older than the lease may run on any machine that is not known yet;
 	// nothing of it starts until there is none.
-	return !silent || j.version >= h.since
+	return !silent || j.modRevision >= p.acquiredToken
 }
 
-// behind is how far a job's flow is behind its fair share, if that is more than the bound.
+// lagBeyondBound is how far a job's flow is behind its fair share, if that is more than the bound.
 // Exception to the design, whose index knows no flows: such work goes before the rest, after
 // what is guaranteed, so that a flow of low priority is not starved by a steady stream.
-func (h *holder) behind(j *job) admission.Lag {
-	if h.shares == nil {
+func (p *partitionLeader) lagBeyondBound(j *job) admission.Lag {
+	if p.fairShares == nil {
 		return admission.Lag{}
 	}
-	return h.shares.queue.Lag(flowOf(j.Job)).Beyond(h.shares.bound)
+	return p.fairShares.queue.Lag(flowOf(j.Job)).Beyond(p.fairShares.bound)
 }
 
 // logShares tells which flows are behind.
-func (h *holder) logShares() {
-	s := h.shares
-	if h.c.now-s.loggedAt < lagLogEvery {
+func (p *partitionLeader) logShares() {
+	s := p.fairShares
+	if p.core.now-s.loggedAt < lagLogInterval {
 		return
 	}
-	s.loggedAt = h.c.now
+	s.loggedAt = p.core.now
 	for _, l := range s.queue.Lags() {
 		level := levelDebug
 		if l.Lag.Beyond(s.bound) != (admission.Lag{}) {
 			level = levelInfo
 		}
-		h.c.log(level, "flow behind its fair share", "queue", h.queue, "team", l.Flow.Team, "class", l.Flow.Class,
+		p.core.log(level, "flow behind its fair share", "queue", p.partition, "team", l.Flow.Team, "class", l.Flow.Class,
 			"team_lag_ms", l.Lag.Team/micros.Millisecond, "class_lag_ms", l.Lag.Class/micros.Millisecond)
 	}
 }
 
-// lags is what the siblings are told.
-func (h *holder) lags() []admission.FlowLag {
-	if h.shares == nil {
+// flowLags is what the siblings are told.
+func (p *partitionLeader) flowLags() []admission.FlowLag {
+	if p.fairShares == nil {
 		return nil
 	}
-	return h.shares.queue.Lags()
+	return p.fairShares.queue.Lags()
 }
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -12,91 +12,91 @@
 	"pipitlatch/internal/storage"
 )
 
-// holder plans one queue and directs its machines, under one lease.
-type holder struct {
-	c      *Core
-	queue  int
-	since  uint64 // version at the change of holder: older jobs may be on silent machines
-	token  uint64 // version now: the fencing token
-	former []storage.Process
-	taken  micros.Time
-
-	machines []*machine // by name
-	order    []*job     // by id
-	jobs     map[string]*job
-	usage    map[string]bookkeeping.Resources // by team
-	counter  uint64
-
-	dirty     bool
-	planAt    micros.Time
-	planPause micros.Time        // until the next plan
-	replicas  int                // service tasks, running or not, as of planAt
-	noRoom    map[roomShape]bool // of this plan
-	needs     []fleet.CapacityRequest
-	// unknownUse is what machines whose tasks are not known may be running, in this plan.
-	unknownUse bookkeeping.Resources
-	lastTick   micros.Time
-	calmAt     micros.Time // silence is judged from then on
+// partitionLeader plans one queue and directs its machines, under one lease.
+type partitionLeader struct {
+	core          *Core
+	partition     int
+	acquiredToken uint64 // version at the change of holder: older jobs may be on silent machines
+	fencingToken  uint64 // version now: the fencing token
+	formerLeaders []storage.Process
+	acquiredAt    micros.Time
+
+	machines       []*machine // by name
+	sortedJobs     []*job     // by id
+	jobs           map[string]*job
+	teamUsage      map[string]bookkeeping.Resources // by team
+	attemptCounter uint64
+
+	planStale        bool
+	lastPlanAt       micros.Time
+	planInterval     micros.Time              // until the next plan
+	serviceReplicas  int                      // service tasks, running or not, as of lastPlanAt
+	preemptionFailed map[preemptionShape]bool // of this plan
+	capacityRequests []fleet.CapacityRequest
+	// unreconciledUsage is what machines whose tasks are not known may be running, in this plan.
+	unreconciledUsage bookkeeping.Resources
+	lastTick          micros.Time
+	silenceCountsFrom micros.Time // silence is judged from then on
 	// Until then, silence is put down to the network near this controller.
-	doubtUntil       micros.Time
-	zones            map[string]*zoneView // of machines in use
-	zonesAt          micros.Time          // last look at them
-	oddAt            micros.Time          // last report told as not believed
-	told             string               // the job with which the next message on progress begins
-	allKnown         bool                 // all machines are known, or were
-	fleetAt          micros.Time
-	mergedAt         micros.Time            // last look at surplus machines
-	movedAt          micros.Time            // last move of a replica
-	load             int64                  // CPU that arrays used of late
-	toProbe          []*machine             // of this tick
-	counted          *census                // of this tick
-	turn             int                    // counts rounds of sending
-	marking          map[string]micros.Time // blocks whose record of use is being written, or was: not again before
-	kills            []*attempt             // of cancelled jobs, not shown gone
-	unknown          map[string]micros.Time // needed jobs that are not in memory: not looked up before
-	resolving        int                    // look-ups that are out
-	cancelledBefore  map[string]bool        // cancelled with a job before them, which is to be written down
-	writingCancelled bool
-	writeCancelledAt micros.Time
-	inherited        map[string]inheritance // of this plan
-	shares           *fairShares            // nil: off
+	networkSuspectUntil       micros.Time
+	zones                     map[string]*zoneHealth // of machines in use
+	zonesCheckedAt            micros.Time            // last look at them
+	ignoredHeartbeatLoggedAt  micros.Time            // last report told as not believed
+	progressCursor            string                 // the job with which the next message on progress begins
+	allReconciled             bool                   // all machines are known, or were
+	fleetLoggedAt             micros.Time
+	consolidatedAt            micros.Time            // last look at surplus machines
+	replicaMovedAt            micros.Time            // last move of a replica
+	recentArrayCPU            int64                  // CPU that arrays used of late
+	probeQueue                []*machine             // of this tick
+	healthSummary             *fleetHealth           // of this tick
+	sendRound                 int                    // counts rounds of sending
+	useWriteAfter             map[string]micros.Time // blocks whose record of use is being written, or was: not again before
+	pendingKills              []*attempt             // of cancelled jobs, not shown gone
+	unresolvedDependencies    map[string]micros.Time // needed jobs that are not in memory: not looked up before
+	lookupsInFlight           int                    // look-ups that are out
+	dependencyCancellations   map[string]bool        // cancelled with a job before them, which is to be written down
+	cancellationWriteInFlight bool
+	nextCancellationWriteAt   micros.Time
+	inheritedUrgency          map[string]inheritedUrgency // of this plan
+	fairShares                *fairShares                 // nil: off
 }
 
 // job is an active job of the queue.
 type job struct {
 	*bookkeeping.Job
-	version         uint64
-	entry           *storage.JobEntry
-	waiting         *bookkeeping.Bitmap
-	pending         *bookkeeping.Bitmap // finished, not known to be stored
-	live            map[int]*attempt
-	attempts        map[*attempt]struct{} // all that machines may still show, ended ones included
-	chunks          map[int]bool          // with pending tasks
-	storing         bool
-	storeAt         micros.Time
-	pause           micros.Time // no starts before
-	ran             micros.Time // run times of its completed tasks, added up
-	ranN            int
-	est             micros.Time // estimate of a task as of estAt
-	estAt           micros.Time
-	wasGuaranteed   bool                // it was within its team's guarantee when it was planned
-	spared          *bookkeeping.Bitmap // stopped once for another job, and not again
-	double          []*attempt          // second attempts at a live task, being stopped
-	cancelRequested bool                // a sibling knows it to be cancelled: it starts nothing any more
-	blocked         bool                // it waits on others
-	ready           micros.Time         // time of day since which it may start
+	modRevision            uint64
+	record                 *storage.JobEntry
+	pendingTasks           *bookkeeping.Bitmap
+	unpersistedTasks       *bookkeeping.Bitmap // finished, not known to be stored
+	activeAttempts         map[int]*attempt
+	attempts               map[*attempt]struct{} // all that machines may still show, ended ones included
+	dirtySegments          map[int]bool          // with pending tasks
+	writeInFlight          bool
+	nextWriteAt            micros.Time
+	startsPausedUntil      micros.Time // no starts before
+	runtimeTotal           micros.Time // run times of its completed tasks, added up
+	runtimeSamples         int
+	estimate               micros.Time // estimate of a task as of estimatedAt
+	estimatedAt            micros.Time
+	plannedWithinGuarantee bool                // it was within its team's guarantee when it was planned
+	preemptedOnce          *bookkeeping.Bitmap // stopped once for another job, and not again
+	duplicateAttempts      []*attempt          // second attempts at a live task, being stopped
+	cancelRequested        bool                // a sibling knows it to be cancelled: it starts nothing any more
+	blockedByDependencies  bool                // it waits on others
+	readySince             micros.Time         // time of day since which it may start
 }
 
-func (j *job) finished(task int) bool {
-	return j.pending.Has(task) || (j.entry.Completed != nil && j.entry.Completed.Has(task))
+func (j *job) taskCompleted(task int) bool {
+	return j.unpersistedTasks.Has(task) || (j.record.Completed != nil && j.record.Completed.Has(task))
 }
 
-func (j *job) finishedCount() int {
-	n := j.pending.Len()
-	if j.entry.Completed != nil {
-		n += j.entry.Completed.Len()
-		for t := j.pending.Next(0); t >= 0; t = j.pending.Next(t + 1) {
-			if j.entry.Completed.Has(t) {
+func (j *job) completedCount() int {
+	n := j.unpersistedTasks.Len()
+	if j.record.Completed != nil {
+		n += j.record.Completed.Len()
+		for t := j.unpersistedTasks.Next(0); t >= 0; t = j.unpersistedTasks.Next(t + 1) {
+			if j.record.Completed.Has(t) {
 				n--
 			}
 		}
@@ -106,40 +106,40 @@
 
 // attempt is one attempt at a task, on its machine.
 type attempt struct {
-	id      AttemptID
-	m       *machine
-	j       *job // nil: the job is over or unknown
-	team    string
-	need    bookkeeping.Resources
-	state   TaskState
-	shown   bool // a report showed it
-	stored  bool // nothing more is to be kept of it
-	sent    bool // its start went out, or a report showed it
-	open    int  // sends of its start without an answer yet
-	lost    int  // sends of its start that got no answer: they may come late
-	made    micros.Time
-	running micros.Time // since when
-	length  micros.Time // planned
-	stop    bool
-	grace   micros.Time
-	stopped micros.Time // when the stop was first ordered
-	own     bool        // started by this holder
-	killBy  micros.Time // of a cancelled job: when it must be shown gone; 0: it is not
+	id               AttemptID
+	machine          *machine
+	job              *job // nil: the job is over or unknown
+	team             string
+	resources        bookkeeping.Resources
+	state            TaskState
+	reported         bool // a report showed it
+	persisted        bool // nothing more is to be kept of it
+	startSent        bool // its start went out, or a report showed it
+	startsInFlight   int  // sends of its start without an answer yet
+	startsUnanswered int  // sends of its start that got no answer: they may come late
+	createdAt        micros.Time
+	runningSince     micros.Time // since when
+	plannedDuration  micros.Time // planned
+	stopping         bool
+	gracePeriod      micros.Time
+	stoppedAt        micros.Time // when the stop was first ordered
+	startedHere      bool        // started by this holder
+	killDeadline     micros.Time // of a cancelled job: when it must be shown gone; 0: it is not
 }
 
-func newHolder(c *Core, n int, v storage.Versioned[storage.PartitionRecord]) *holder {
-	h := &holder{c: c, queue: n, since: v.ModRevision, token: v.ModRevision, former: v.Value.FormerLeaders, taken: c.now,
-		jobs: map[string]*job{}, usage: map[string]bookkeeping.Resources{}, dirty: true, lastTick: c.now,
-		calmAt: c.now, planPause: planPace, noRoom: map[roomShape]bool{}, zones: map[string]*zoneView{}, marking: map[string]micros.Time{},
-		unknown: map[string]micros.Time{}, cancelledBefore: map[string]bool{}}
+func newPartitionLeader(c *Core, n int, v storage.Versioned[storage.PartitionRecord]) *partitionLeader {
+	h := &partitionLeader{core: c, partition: n, acquiredToken: v.ModRevision, fencingToken: v.ModRevision, formerLeaders: v.Value.FormerLeaders, acquiredAt: c.now,
+		jobs: map[string]*job{}, teamUsage: map[string]bookkeeping.Resources{}, planStale: true, lastTick: c.now,
+		silenceCountsFrom: c.now, planInterval: minPlanInterval, preemptionFailed: map[preemptionShape]bool{}, zones: map[string]*zoneHealth{}, useWriteAfter: map[string]micros.Time{},
+		unresolvedDependencies: map[string]micros.Time{}, dependencyCancellations: map[string]bool{}}
 	for _, id := range sortedKeys(c.cache.Machines) {
-		h.blockChanged(id)
+		h.machineChanged(id)
 	}
 	for _, id := range sortedKeys(c.cache.Jobs) {
 		h.jobChanged(id)
 	}
-	h.lostBefore()
-	h.shares = c.newFairShares(n)
+	h.inheritUnreachableZones()
+	h.fairShares = c.newFairShares(n)
 	return h
 }
 
@@ -150,84 +150,84 @@
 	return 0
 }
 
-// newToken takes a new token under the same lease: every machine has to
+// renewToken takes a new token under the same lease: every machine has to
 // acknowledge it before it is given commands again.
-func (h *holder) newToken(v uint64) {
-	if v != h.token {
-		h.token = v
-		h.dirty = true
+func (p *partitionLeader) renewToken(v uint64) {
+	if v != p.fencingToken {
+		p.fencingToken = v
+		p.planStale = true
 	}
 }
 
-// resync compares everything with a fresh copy of the state.
-func (h *holder) resync(old *storage.Cache) {
+// reconcileSnapshot compares everything with a fresh copy of the state.
+func (p *partitionLeader) reconcileSnapshot(old *storage.Cache) {
 	for _, id := range sortedKeys(old.Jobs) {
-		h.jobChanged(id)
+		p.jobChanged(id)
 	}
-	for _, id := range sortedKeys(h.c.cache.Jobs) {
-		h.jobChanged(id)
+	for _, id := range sortedKeys(p.core.cache.Jobs) {
+		p.jobChanged(id)
 	}
 	for _, id := range sortedKeys(old.Machines) {
-		h.blockChanged(id)
+		p.machineChanged(id)
 	}
-	for _, id := range sortedKeys(h.c.cache.Machines) {
-		h.blockChanged(id)
+	for _, id := range sortedKeys(p.core.cache.Machines) {
+		p.machineChanged(id)
 	}
 }
 
-func (h *holder) blockChanged(id string) {
-	v, ok := h.c.cache.Machines[id]
-	m := h.machine(id)
+func (p *partitionLeader) machineChanged(id string) {
+	v, ok := p.core.cache.Machines[id]
+	m := p.machine(id)
 	switch {
-	case !ok || v.Value.Partition != h.queue:
+	case !ok || v.Value.Partition != p.partition:
 		// The leader removes a block only after the cloud confirmed that the
 		// machine is gone, and a block moves only after its holder let go.
-		h.machineGone(id)
+		p.machineTerminated(id)
 	case m == nil:
-		m = &machine{id: id, block: v.Value, version: v.ModRevision, addr: v.Value.Address, added: h.c.now, seen: h.c.now,
-			attempts: map[AttemptID]*attempt{}, idle: h.c.now}
+		m = &machine{id: id, record: v.Value, modRevision: v.ModRevision, address: v.Value.Address, addedAt: p.core.now, lastContact: p.core.now,
+			attempts: map[AttemptID]*attempt{}, idleSince: p.core.now}
 		// Nobody starts tasks on a machine before the record says so, and a block
 		// that came after the lease was never a predecessor's.
-		m.known = !v.Value.Used || v.ModRevision > h.since
-		i, _ := slices.BinarySearchFunc(h.machines, id, func(m *machine, id string) int { return cmp.Compare(m.id, id) })
-		h.machines = slices.Insert(h.machines, i, m)
-		h.dirty = true
+		m.reconciled = !v.Value.Used || v.ModRevision > p.acquiredToken
+		i, _ := slices.BinarySearchFunc(p.machines, id, func(m *machine, id string) int { return cmp.Compare(m.id, id) })
+		p.machines = slices.Insert(p.machines, i, m)
+		p.planStale = true
 	default:
-		m.block, m.version = v.Value, v.ModRevision
-		h.dirty = true
+		m.record, m.modRevision = v.Value, v.ModRevision
+		p.planStale = true
 	}
 }
 
-func (h *holder) machineGone(id string) {
-	m := h.machine(id)
+func (p *partitionLeader) machineTerminated(id string) {
+	m := p.machine(id)
 	if m == nil {
 		return
 	}
-	if m.block.Spot && m.session != 0 && (m.draining == "silent" || m.notice != 0) {
-		h.c.spot.losses++
+	if m.record.Spot && m.epoch != 0 && (m.drainReason == "silent" || m.preemptAt != 0) {
+		p.core.spot.losses++
 	}
-	h.emptied(m)
-	h.machines = slices.DeleteFunc(h.machines, func(o *machine) bool { return o == m })
-	h.c.faults.ForgetMachine(id)
-	h.dirty = true
-	h.c.log(levelInfo, "machine gone", "machine", id, "why", m.draining)
+	p.clearAttempts(m)
+	p.machines = slices.DeleteFunc(p.machines, func(o *machine) bool { return o == m })
+	p.core.faults.ForgetMachine(id)
+	p.planStale = true
+	p.core.log(levelInfo, "machine gone", "machine", id, "why", m.drainReason)
 }
 
-// emptied notes that the machine surely has none of the tasks known so far.
-func (h *holder) emptied(m *machine) {
+// clearAttempts notes that the machine surely has none of the tasks known so far.
+func (p *partitionLeader) clearAttempts(m *machine) {
 	for _, id := range sortedAttempts(m) {
 		a := m.attempts[id]
-		h.leave(a)
-		h.requeue(a)
-		a.forget()
+		p.release(a)
+		p.requeue(a)
+		a.unindex()
 	}
 	m.outbox = nil
-	m.known = true
-	m.ack = 0
-	if m.idle == 0 {
-		m.idle = h.c.now
+	m.reconciled = true
+	m.ackedToken = 0
+	if m.idleSince == 0 {
+		m.idleSince = p.core.now
 	}
-	h.dirty = true
+	p.planStale = true
 }
 
 func sortedAttempts(m *machine) []AttemptID {
@@ -243,25 +243,25 @@
 func (j *job) sortedAttempts() []*attempt {
 	out := slices.Collect(maps.Keys(j.attempts))
 	slices.SortFunc(out, func(a, b *attempt) int {
-		return cmp.Or(cmp.Compare(a.m.id, b.m.id), a.id.compare(b.id))
+		return cmp.Or(cmp.Compare(a.machine.id, b.machine.id), a.id.compare(b.id))
 	})
 	return out
 }
 
-// remember notes an attempt under its machine and its job: what concerns a job must not
+// index notes an attempt under its machine and its job: what concerns a job must not
 // look at every machine of the fleet.
-func (a *attempt) remember() {
-	a.m.attempts[a.id] = a
-	if a.j != nil {
-		a.j.attempts[a] = struct{}{}
+func (a *attempt) index() {
+	a.machine.attempts[a.id] = a
+	if a.job != nil {
+		a.job.attempts[a] = struct{}{}
 	}
 }
 
-// forget is the opposite of remember.
-func (a *attempt) forget() {
-	delete(a.m.attempts, a.id)
-	if a.j != nil {
-		delete(a.j.attempts, a)
+// unindex is the opposite of remember.
+func (a *attempt) unindex() {
+	delete(a.machine.attempts, a.id)
+	if a.job != nil {
+		delete(a.job.attempts, a)
 	}
 }
 
@@ -269,145 +269,145 @@
 	return cmp.Or(cmp.Compare(id.Job, o.Job), cmp.Compare(id.Task, o.Task), cmp.Compare(id.Number, o.Number))
 }
 
-func (h *holder) jobChanged(id string) {
-	e := h.c.cache.Jobs[id]
-	j := h.jobs[id]
-	if e != nil && e.CancelledByDependency && e.Job.Phase == bookkeeping.Active && h.c.partitionOfJob(e.Job) == h.queue {
-		h.cancelledBefore[id] = true
+func (p *partitionLeader) jobChanged(id string) {
+	e := p.core.cache.Jobs[id]
+	j := p.jobs[id]
+	if e != nil && e.CancelledByDependency && e.Job.Phase == bookkeeping.Active && p.core.partitionOfJob(e.Job) == p.partition {
+		p.dependencyCancellations[id] = true
 	}
-	if e == nil || e.Job.Phase != bookkeeping.Active || e.CancelledByDependency || h.c.partitionOfJob(e.Job) != h.queue {
+	if e == nil || e.Job.Phase != bookkeeping.Active || e.CancelledByDependency || p.core.partitionOfJob(e.Job) != p.partition {
 		if j != nil {
-			h.jobOver(j)
+			p.jobTerminated(j)
 		}
 		return
 	}
 	if j != nil {
-		j.entry, j.version = e, e.ModRevision
-		h.wait(j)
+		j.record, j.modRevision = e, e.ModRevision
+		p.updateDependencies(j)
 		return
 	}
-	j = &job{Job: e.Job, version: e.ModRevision, entry: e, waiting: bookkeeping.NewBitmap(e.Job.Tasks),
-		pending: bookkeeping.NewBitmap(e.Job.Tasks), live: map[int]*attempt{}, attempts: map[*attempt]struct{}{}, chunks: map[int]bool{},
-		spared: bookkeeping.NewBitmap(e.Job.Tasks)}
+	j = &job{Job: e.Job, modRevision: e.ModRevision, record: e, pendingTasks: bookkeeping.NewBitmap(e.Job.Tasks),
+		unpersistedTasks: bookkeeping.NewBitmap(e.Job.Tasks), activeAttempts: map[int]*attempt{}, attempts: map[*attempt]struct{}{}, dirtySegments: map[int]bool{},
+		preemptedOnce: bookkeeping.NewBitmap(e.Job.Tasks)}
 	for t := range e.Job.Tasks {
-		if !j.finished(t) {
-			j.waiting.Add(t)
+		if !j.taskCompleted(t) {
+			j.pendingTasks.Add(t)
 		}
 	}
-	j.ready = j.Submitted
-	j.blocked = j.HasDependencies()
-	h.jobs[id] = j
-	i, _ := slices.BinarySearchFunc(h.order, id, func(o *job, id string) int { return cmp.Compare(o.ID, id) })
-	h.order = slices.Insert(h.order, i, j)
-	_, j.cancelRequested = h.c.cancellations.requested[id]
-	j.cancelRequested = j.cancelRequested || h.c.cancellations.noticed[id]
-	h.wait(j)
-	h.dirty = true
-	h.c.log(levelDebug, "job", "job", id, "class", j.Class, "tasks", j.Tasks, "cpu", j.Resources.CPU, "estimate_ms", j.Estimate/micros.Millisecond,
+	j.readySince = j.Submitted
+	j.blockedByDependencies = j.HasDependencies()
+	p.jobs[id] = j
+	i, _ := slices.BinarySearchFunc(p.sortedJobs, id, func(o *job, id string) int { return cmp.Compare(o.ID, id) })
+	p.sortedJobs = slices.Insert(p.sortedJobs, i, j)
+	_, j.cancelRequested = p.core.cancellations.requested[id]
+	j.cancelRequested = j.cancelRequested || p.core.cancellations.noticed[id]
+	p.updateDependencies(j)
+	p.planStale = true
+	p.core.log(levelDebug, "job", "job", id, "class", j.Class, "tasks", j.Tasks, "cpu", j.Resources.CPU, "estimate_ms", j.Estimate/micros.Millisecond,
 		"due_ms", j.Deadline/micros.Millisecond)
 }
 
-// jobOver ends what is left of a job that is done or cancelled.
-func (h *holder) jobOver(j *job) {
-	cancelled := h.c.isCancelled(j.ID)
-	delete(h.jobs, j.ID)
-	h.order = slices.DeleteFunc(h.order, func(o *job) bool { return o == j })
+// jobTerminated ends what is left of a job that is done or cancelled.
+func (p *partitionLeader) jobTerminated(j *job) {
+	cancelled := p.core.isCancelled(j.ID)
+	delete(p.jobs, j.ID)
+	p.sortedJobs = slices.DeleteFunc(p.sortedJobs, func(o *job) bool { return o == j })
 	for _, a := range j.sortedAttempts() {
-		a.j, a.stored = nil, true
+		a.job, a.persisted = nil, true
 		switch {
 		case a.state == Exited:
 		case cancelled:
-			h.kill(a)
+			p.kill(a)
 		default:
-			h.stop(a, 0)
+			p.stopAttempt(a, 0)
 		}
 	}
-	h.c.faults.ForgetJob(j.ID)
-	h.dirty = true
+	p.core.faults.ForgetJob(j.ID)
+	p.planStale = true
 }
 
-// enter and leave count what an attempt takes.
-func (h *holder) enter(a *attempt) {
-	h.usage[a.team] = h.usage[a.team].Add(a.need)
-	a.m.idle = 0
+// reserve and leave count what an attempt takes.
+func (p *partitionLeader) reserve(a *attempt) {
+	p.teamUsage[a.team] = p.teamUsage[a.team].Add(a.resources)
+	a.machine.idleSince = 0
 }
 
-func (h *holder) leave(a *attempt) {
+func (p *partitionLeader) release(a *attempt) {
 	if a.state == Exited {
 		return
 	}
 	a.state = Exited
-	h.usage[a.team] = h.usage[a.team].Sub(a.need)
-	for _, o := range a.m.attempts {
+	p.teamUsage[a.team] = p.teamUsage[a.team].Sub(a.resources)
+	for _, o := range a.machine.attempts {
 		if o.state != Exited {
 			return
 		}
 	}
-	a.m.idle = h.c.now
+	a.machine.idleSince = p.core.now
 }
 
 // requeue lets the task of an attempt that has ended wait again.
-func (h *holder) requeue(a *attempt) {
-	if a.j == nil || a.j.live[a.id.Task] != a {
+func (p *partitionLeader) requeue(a *attempt) {
+	if a.job == nil || a.job.activeAttempts[a.id.Task] != a {
 		return
 	}
-	delete(a.j.live, a.id.Task)
-	h.dirty = true
-	for i, o := range a.j.double {
+	delete(a.job.activeAttempts, a.id.Task)
+	p.planStale = true
+	for i, o := range a.job.duplicateAttempts {
 		if o.id.Task == a.id.Task && o.state != Exited {
-			a.j.double = slices.Delete(a.j.double, i, i+1)
-			a.j.live[a.id.Task] = o
+			a.job.duplicateAttempts = slices.Delete(a.job.duplicateAttempts, i, i+1)
+			a.job.activeAttempts[a.id.Task] = o
 			return
 		}
 	}
-	if !a.j.finished(a.id.Task) {
-		a.j.waiting.Add(a.id.Task)
+	if !a.job.taskCompleted(a.id.Task) {
+		a.job.pendingTasks.Add(a.id.Task)
 	}
 }
 
-// stop orders an attempt to end.
-func (h *holder) stop(a *attempt, grace micros.Time) {
-	if a.state == Exited || (a.stop && a.grace <= grace) {
+// stopAttempt orders an attempt to end.
+func (p *partitionLeader) stopAttempt(a *attempt, grace micros.Time) {
+	if a.state == Exited || (a.stopping && a.gracePeriod <= grace) {
 		return
 	}
-	if !a.sent {
-		h.withdraw(a)
+	if !a.startSent {
+		p.revoke(a)
 		return
 	}
-	a.stop, a.grace = true, grace
-	if a.stopped == 0 {
-		a.stopped = h.c.now
+	a.stopping, a.gracePeriod = true, grace
+	if a.stoppedAt == 0 {
+		a.stoppedAt = p.core.now
 	}
-	a.m.outbox = append(a.m.outbox, Command{Operation: Stop, AttemptID: a.id, GracePeriod: grace})
+	a.machine.outbox = append(a.machine.outbox, Command{Operation: Stop, AttemptID: a.id, GracePeriod: grace})
 }
 
-// withdraw takes back an attempt whose start was not sent yet.
-func (h *holder) withdraw(a *attempt) {
-	h.leave(a)
-	h.requeue(a)
-	a.forget()
-	a.m.outbox = slices.DeleteFunc(a.m.outbox, func(c Command) bool { return c.AttemptID == a.id })
+// revoke takes back an attempt whose start was not sent yet.
+func (p *partitionLeader) revoke(a *attempt) {
+	p.release(a)
+	p.requeue(a)
+	a.unindex()
+	a.machine.outbox = slices.DeleteFunc(a.machine.outbox, func(c Command) bool { return c.AttemptID == a.id })
 }
 
 // status is what the leader is told of the queue.
-func (h *holder) status() PartitionStatus {
-	s := PartitionStatus{Partition: h.queue, FencingToken: h.token, CapacityRequests: h.needs, UnreachableZones: h.lostZones()}
-	if !h.c.term.Valid(h.c.now) {
+func (p *partitionLeader) status() PartitionStatus {
+	s := PartitionStatus{Partition: p.partition, FencingToken: p.fencingToken, CapacityRequests: p.capacityRequests, UnreachableZones: p.unreachableZones()}
+	if !p.core.term.Valid(p.core.now) {
 		return s
 	}
-	s.Lags = h.lags()
-	several := h.c.partitionCount() > 1
+	s.Lags = p.flowLags()
+	several := p.core.partitionCount() > 1
 	idle := map[bool]int{} // of spot machines, and of the others
-	for _, m := range h.machines {
-		if m.draining == "silent" && (h.c.now < h.doubtUntil || h.zoneInDoubt(m.block.Zone)) && !m.expired {
+	for _, m := range p.machines {
+		if m.drainReason == "silent" && (p.core.now < p.networkSuspectUntil || p.zoneVerdictPending(m.record.Zone)) && !m.leaseExpired {
 			continue
 		}
-		if m.draining != "" && (m.draining == "silent" || m.draining == "never came up" || m.draining == "unresolved" || m.lost() || h.vacant(m)) {
-			if len(s.Terminate) < maxReleaseTold {
+		if m.drainReason != "" && (m.drainReason == "silent" || m.drainReason == "never came up" || m.drainReason == "unresolved" || m.decommissioned() || p.terminable(m)) {
+			if len(s.Terminate) < maxTerminationsPerStatus {
 				s.Terminate = append(s.Terminate, m.id)
 			}
-		} else if several && idle[m.block.Spot] < maxIdleTold && h.usable(m) && h.empty(m) {
-			idle[m.block.Spot]++
+		} else if several && idle[m.record.Spot] < maxIdlePerStatus && p.schedulable(m) && p.transferable(m) {
+			idle[m.record.Spot]++
 			s.Idle = append(s.Idle, m.id)
 		}
 	}
@@ -418,32 +418,32 @@
 // of the fleet. The next message tells of what is left then: the leader deletes a hundred
 // machines at a time, and moves one idle machine at a time.
 const (
-	maxReleaseTold = 1000
-	maxIdleTold    = 100 // of each kind
+	maxTerminationsPerStatus = 1000
+	maxIdlePerStatus         = 100 // of each kind
 )
 
-// maxProgress bounds the jobs in one message to the siblings.
-const maxProgress = 500
+// maxProgressPerMessage bounds the jobs in one message to the siblings.
+const maxProgressPerMessage = 500
 
-// progress tells how far jobs are, for display elsewhere. With more jobs than one
+// jobProgress tells how far jobs are, for display elsewhere. With more jobs than one
 // message takes, the next goes on where the last ended, so that none is left out.
-func (h *holder) progress() []JobProgress {
-	from, _ := slices.BinarySearchFunc(h.order, h.told, func(j *job, id string) int { return cmp.Compare(j.ID, id) })
+func (p *partitionLeader) jobProgress() []JobProgress {
+	from, _ := slices.BinarySearchFunc(p.sortedJobs, p.progressCursor, func(j *job, id string) int { return cmp.Compare(j.ID, id) })
 	var out []JobProgress
-	for k := range h.order {
-		j := h.order[(from+k)%len(h.order)]
-		if len(out) == maxProgress {
-			h.told = j.ID
+	for k := range p.sortedJobs {
+		j := p.sortedJobs[(from+k)%len(p.sortedJobs)]
+		if len(out) == maxProgressPerMessage {
+			p.progressCursor = j.ID
 			break
 		}
-		p := JobProgress{ID: j.ID, Done: j.finishedCount()}
-		for _, a := range j.live {
+		entry := JobProgress{ID: j.ID, Done: j.completedCount()}
+		for _, a := range j.activeAttempts {
 			if a.state == Running || a.state == Checkpointing {
-				p.Running++
+				entry.Running++
 			}
 		}
-		if p.Running > 0 || p.Done > 0 || h.c.progress[j.ID] != (JobProgress{}) {
-			out = append(out, p)
+		if entry.Running > 0 || entry.Done > 0 || p.core.progress[j.ID] != (JobProgress{}) {
+			out = append(out, entry)
 		}
 	}
 	return out
@@ -455,37 +455,37 @@
 func (c *Core) transferMachine(s MachineTransfer) {
 	b, ok := c.cache.Machines[s.Machine]
 	h := c.partitions[b.Value.Partition]
-	if !ok || h == nil || s.ToPartition == h.queue || !c.term.Valid(c.now) {
+	if !ok || h == nil || s.ToPartition == h.partition || !c.term.Valid(c.now) {
 		return
 	}
 	to, ok := c.cache.Partitions[s.ToPartition]
 	m := h.machine(s.Machine)
-	if !ok || m == nil || m.draining != "" || !h.empty(m) {
+	if !ok || m == nil || m.drainReason != "" || !h.transferable(m) {
 		return
 	}
-	from := c.cache.Partitions[h.queue]
+	from := c.cache.Partitions[h.partition]
 	rest := c.cache.Blocks[b.Value.Block]
 	moved := storage.BlockRecord{Partition: s.ToPartition, InstanceType: b.Value.InstanceType, Zone: b.Value.Zone, Spot: b.Value.Spot}.With(m.id, b.Value.MachineRecord)
-	key := c.keys.Block(fmt.Sprintf("m%d-%s", h.token, m.id))
+	key := c.keys.Block(fmt.Sprintf("m%d-%s", h.fencingToken, m.id))
 	h.drain(m, "moving")
 	r := &storage.Request{Kind: storage.Txn,
-		Compares: []storage.Compare{{Key: c.keys.Partition(h.queue), ModRevision: h.token}, {Key: c.keys.Partition(s.ToPartition), ModRevision: to.ModRevision},
+		Compares: []storage.Compare{{Key: c.keys.Partition(h.partition), ModRevision: h.fencingToken}, {Key: c.keys.Partition(s.ToPartition), ModRevision: to.ModRevision},
 			{Key: c.keys.Block(b.Value.Block), ModRevision: rest.ModRevision}, {Key: key}},
 		Puts: []storage.Put{{Key: key, Value: storage.Encode(moved)},
-			{Key: c.keys.Partition(h.queue), Value: storage.Encode(from.Value)}, {Key: c.keys.Partition(s.ToPartition), Value: storage.Encode(to.Value)}}}
+			{Key: c.keys.Partition(h.partition), Value: storage.Encode(from.Value)}, {Key: c.keys.Partition(s.ToPartition), Value: storage.Encode(to.Value)}}}
 	if c.putBlock(r, b.Value.Block, rest.Value.Without(m.id)); len(r.Puts) > c.config.Settings.StateLimits().TxnOps {
-		m.draining = "" // a record of an older version, too large: the next change splits it
+		m.drainReason = "" // a record of an older version, too large: the next change splits it
 		return
 	}
 	if !c.callStore(r, storage.Deferrable, storeTimeout, func(r *storage.Reply) {
 		// Without a clear no, the move may still happen: the machine stays drained
 		// here until the stream tells.
 		if r.Outcome == storage.Conflict || r.Outcome == storage.Unavailable || r.Outcome == storage.Invalid {
-			m.draining = ""
+			m.drainReason = ""
 		}
 	}) {
-		m.draining = ""
+		m.drainReason = ""
 	}
 }
 
-func has(s *bookkeeping.Bitmap, t int) bool { return s != nil && s.Has(t) }
+func bitmapHas(s *bookkeeping.Bitmap, t int) bool { return s != nil && s.Has(t) }
--- a/internal/coordination/large_bench_test.go
+++ b/internal/coordination/large_bench_test.go
@@ -21,7 +21,7 @@
 				now += 10 * micros.Second
 				c.now, c.output = now, &Output{}
 				c.term.Confirm(now)
-				c.partitions[0] = newHolder(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: c.cache.Partitions[0].ModRevision})
+				c.partitions[0] = newPartitionLeader(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: c.cache.Partitions[0].ModRevision})
 				for _, r := range reports {
 					r.Sequence++
 					c.lastTick = now
@@ -30,7 +30,7 @@
 				c.output = &Output{}
 				c.partitions[0].schedule()
 			}
-			if h := c.partitions[0]; len(h.machines) != size || !h.machines[size-1].known {
+			if h := c.partitions[0]; len(h.machines) != size || !h.machines[size-1].reconciled {
 				b.Fatal("not taken over")
 			}
 		})
@@ -49,21 +49,21 @@
 				c.Step(now, now, &HeartbeatRequest{Request: 1, Heartbeat: r})
 			}
 			h := c.partitions[0]
-			c.now, c.output = now+h.silence()+micros.Second, &Output{}
+			c.now, c.output = now+h.suspicionTimeout()+micros.Second, &Output{}
 			b.ReportAllocs()
 			for b.Loop() {
 				c.now += 50 * micros.Millisecond
 				for i, m := range h.machines {
-					m.calling = true
+					m.callInFlight = true
 					if i%3 != 0 {
-						m.seen, m.answered = c.now, c.now
+						m.lastContact, m.lastRenewal = c.now, c.now
 					} else {
-						m.failed, m.vainAt = 1, c.now-micros.Second
+						m.failedCalls, m.firstFailedCallAt = 1, c.now-micros.Second
 					}
 				}
 				for _, m := range h.machines {
-					h.tickMachine(m)
-					m.draining = ""
+					h.checkMachine(m)
+					m.drainReason = ""
 				}
 				c.output = &Output{}
 			}
@@ -90,11 +90,11 @@
 				c.now += micros.Second
 				c.term.Confirm(c.now)
 				c.output = &Output{}
-				h.needs = nil
+				h.capacityRequests = nil
 				for _, m := range h.machines {
-					m.seen, m.answered, m.kind, m.draining = c.now, c.now, c.catalog["m"], ""
+					m.lastContact, m.lastRenewal, m.instanceType, m.drainReason = c.now, c.now, c.catalog["m"], ""
 				}
-				h.returnIdle()
+				h.scaleIn()
 			}
 		})
 	}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -260,7 +260,7 @@
 	}
 	delete(c.leader.toTerminate, m)
 	for _, n := range sortedKeys(c.partitions) {
-		c.partitions[n].machineGone(m)
+		c.partitions[n].machineTerminated(m)
 	}
 }
 
@@ -354,8 +354,8 @@
 				c.addOrphan(m.Machine, m.Address, fleet.InstanceKind{InstanceType: m.InstanceType, Zone: m.Zone, Spot: m.Spot})
 			case known:
 				if h := c.partitions[b.Value.Partition]; h != nil && m.Address != "" {
-					if hm := h.machine(m.Machine); hm != nil && hm.addr == "" && m.Running {
-						hm.addr = m.Address
+					if hm := h.machine(m.Machine); hm != nil && hm.address == "" && m.Running {
+						hm.address = m.Address
 					}
 				}
 			}
@@ -373,7 +373,7 @@
 				l.absentSince[id] = c.now
 			} else if c.now-l.absentSince[id] > 4*lag+20*micros.Second {
 				// Deleting is what proves it; the name may be unknown by now.
-				if h := c.partitions[partitionOfMachine(c, id)]; h == nil || h.machine(id) == nil || c.now-h.machine(id).seen > 10*micros.Second {
+				if h := c.partitions[partitionOfMachine(c, id)]; h == nil || h.machine(id) == nil || c.now-h.machine(id).lastContact > 10*micros.Second {
 					l.toTerminate[id] = true
 				}
 				delete(l.absentSince, id)
--- a/internal/coordination/plan/index.go
+++ b/internal/coordination/plan/index.go
@@ -51,11 +51,11 @@
 
 // Queued is what the index needs of the tasks of one job that wait.
 type Queued struct {
-	Weight float64
-	P      micros.Time // corrected estimate of one task
-	Due    micros.Time
-	Count  int
-	Index  float64 // set by Rank
+	Weight   float64
+	Estimate micros.Time // corrected estimate of one task
+	Due      micros.Time
+	Count    int
+	Index    float64 // set by Rank
 }
 
 // Rank sets the index of every entry: the due date range factor is taken over
@@ -66,7 +66,7 @@
 	count := 0
 	lo, hi := micros.Max, -micros.Max
 	for _, q := range queue {
-		sum += micros.Seconds(q.P) * float64(q.Count)
+		sum += micros.Seconds(q.Estimate) * float64(q.Count)
 		count += q.Count
 		lo, hi = min(lo, q.Due), max(hi, q.Due)
 	}
@@ -77,6 +77,6 @@
 	k1 := LookAhead(r)
 	avg := micros.FromSeconds(sum / float64(count))
 	for _, q := range queue {
-		q.Index = Index(q.Weight, q.P, q.Due, now, k1, avg)
+		q.Index = Index(q.Weight, q.Estimate, q.Due, now, k1, avg)
 	}
 }
--- a/internal/coordination/plan/place.go
+++ b/internal/coordination/plan/place.go
@@ -10,12 +10,12 @@
 
 // Machine is a machine as the planner sees it.
 type Machine struct {
-	Key      int // the caller's
+	Index    int // the caller's
 	Type     *bookkeeping.InstanceType
 	Zone     string
 	Spot     bool
-	Line     *Timeline
-	Images   func(string) bool // is the image there, or on its way
+	Timeline *Timeline
+	HasImage func(string) bool // is the image there, or on its way
 	Slowness float64           // observed run time against that of its peers; 1: like them
 	Services int               // replicas planned or running here
 	Up       bool              // false: still expected to boot
@@ -32,14 +32,14 @@
 
 // Request asks for slots for the waiting tasks of one job.
 type Request struct {
-	Job    *bookkeeping.Job
-	Weight float64
-	P      micros.Time
-	Due    micros.Time
-	Count  int
-	Now    micros.Time
-	Zone   string         // "": any; the zone that a one-zone job already has
-	InZone map[string]int // tasks of the job by zone
+	Job      *bookkeeping.Job
+	Weight   float64
+	Estimate micros.Time
+	Due      micros.Time
+	Count    int
+	Now      micros.Time
+	Zone     string         // "": any; the zone that a one-zone job already has
+	InZone   map[string]int // tasks of the job by zone
 	// Pack is how many replicas a machine takes before others are preferred.
 	Pack int
 	// Allowed tells further conditions on a machine; nil: none.
@@ -48,7 +48,7 @@
 
 // fetchTime is how long the image takes to arrive on the machine.
 func fetchTime(j *bookkeeping.Job, m *Machine) micros.Time {
-	if j.Image == "" || m.Images(j.Image) || m.Type.FetchGBps <= 0 {
+	if j.Image == "" || m.HasImage(j.Image) || m.Type.FetchGBps <= 0 {
 		return 0
 	}
 	return micros.FromSeconds(j.ImageGB / m.Type.FetchGBps)
@@ -70,9 +70,9 @@
 	fetch := fetchTime(j, m)
 	length := Forever
 	if j.Kind == bookkeeping.Array {
-		length = fetch + micros.Time(float64(r.P)*m.Slowness)
+		length = fetch + micros.Time(float64(r.Estimate)*m.Slowness)
 	}
-	start, ok := m.Line.Gap(j.Resources, r.Now, length)
+	start, ok := m.Timeline.Gap(j.Resources, r.Now, length)
 	if !ok {
 		return candidate{}
 	}
@@ -94,9 +94,9 @@
 	return t + lost*(Tardiness(w, finish+length/2, due)-t)
 }
 
-// tie is the grain of time within which two gaps count as equally early: a grid,
+// startTieWindow is the grain of time within which two gaps count as equally early: a grid,
 // so that the order of gaps is a strict one.
-const tie = 250 * micros.Millisecond
+const startTieWindow = 250 * micros.Millisecond
 
 // better tells whether a is the better gap for the job: the least total weighted
 // tardiness decides; among equals (mostly: no tardiness at all) the task that is
@@ -110,7 +110,7 @@
 	if a.slot.Tardiness != b.slot.Tardiness {
 		return a.slot.Tardiness < b.slot.Tardiness
 	}
-	if ar, br := a.ready/tie, b.ready/tie; ar != br {
+	if ar, br := a.ready/startTieWindow, b.ready/startTieWindow; ar != br {
 		return ar < br
 	}
 	am, bm := a.slot.Machine, b.slot.Machine
@@ -129,18 +129,18 @@
 			return ae < be
 		}
 	}
-	af, bf := am.Line.steps[0].free.CPU, bm.Line.steps[0].free.CPU
+	af, bf := am.Timeline.steps[0].free.CPU, bm.Timeline.steps[0].free.CPU
 	if af != bf {
 		return af < bf
 	}
-	return am.Key < bm.Key
+	return am.Index < bm.Index
 }
 
 // prolongs is the machine time, by size, that the task adds: one that ends before what
 // is planned there already adds none, and a machine that is empty is kept for it whole.
 func (c *candidate) prolongs() micros.Time {
-	steps := c.slot.Machine.Line.steps
-	return max(0, c.slot.Start+c.slot.Length-steps[len(steps)-1].from) / tie * c.slot.Machine.Type.Capacity.CPU
+	steps := c.slot.Machine.Timeline.steps
+	return max(0, c.slot.Start+c.slot.Length-steps[len(steps)-1].from) / startTieWindow * c.slot.Machine.Type.Capacity.CPU
 }
 
 // candidates is a heap of the machines' best gaps for one job, the best on top. It
@@ -193,7 +193,7 @@
 			heap.Pop(h) // the job's tasks placed so far leave it no room there
 			continue
 		}
-		m.Line.Reserve(r.Job.Resources, c.slot.Start, c.slot.Length)
+		m.Timeline.Reserve(r.Job.Resources, c.slot.Start, c.slot.Length)
 		if r.Job.Kind == bookkeeping.Service {
 			m.Services++
 		}
--- a/internal/coordination/plan/plan_test.go
+++ b/internal/coordination/plan/plan_test.go
@@ -41,8 +41,8 @@
 
 func TestRankEquations5And6(t *testing.T) {
 	// C_max = 2*10 + 1*20 = 40 s, R = (70-60)/40 = 0.25, K1 = 4.75, p_avg = 40/3 s.
-	a := &Queued{Weight: 2, P: 10 * s, Due: 60 * s, Count: 2}
-	b := &Queued{Weight: 4, P: 20 * s, Due: 70 * s, Count: 1}
+	a := &Queued{Weight: 2, Estimate: 10 * s, Due: 60 * s, Count: 2}
+	b := &Queued{Weight: 4, Estimate: 20 * s, Due: 70 * s, Count: 1}
 	Rank([]*Queued{a, b}, 0)
 	avg := 13.333333 // whole microseconds
 	near(t, "a", a.Index, 0.2*math.Exp(-50/(4.75*avg)))
@@ -92,15 +92,15 @@
 
 func machine(key int, spot bool, busyUntil micros.Time) *Machine {
 	kind := &bookkeeping.InstanceType{Name: "m", Capacity: bookkeeping.Resources{CPU: 8000, Mem: 64_000}, FetchGBps: 0.5}
-	m := &Machine{Key: key, Type: kind, Zone: "a", Spot: spot, Line: NewTimeline(0, kind.Capacity), Images: func(string) bool { return true }, Slowness: 1, Up: true}
+	m := &Machine{Index: key, Type: kind, Zone: "a", Spot: spot, Timeline: NewTimeline(0, kind.Capacity), HasImage: func(string) bool { return true }, Slowness: 1, Up: true}
 	if busyUntil > 0 {
-		m.Line.Reserve(need(8), 0, busyUntil)
+		m.Timeline.Reserve(need(8), 0, busyUntil)
 	}
 	return m
 }
 
 func place(j *bookkeeping.Job, p, due micros.Time, count int, ms ...*Machine) (slots []Slot, placed int) {
-	placed = Place(&Request{Job: j, Weight: 2, P: p, Due: due, Count: count, InZone: map[string]int{}}, ms, func(x Slot) { slots = append(slots, x) })
+	placed = Place(&Request{Job: j, Weight: 2, Estimate: p, Due: due, Count: count, InZone: map[string]int{}}, ms, func(x Slot) { slots = append(slots, x) })
 	return slots, placed
 }
 
@@ -108,13 +108,13 @@
 	j := &bookkeeping.Job{Resources: need(8), Tasks: 9, Spot: true}
 	// Machine 1 is free at 30 s, machine 2 at 12 s: 5 s late against 23 s late.
 	slots, _ := place(j, 10*s, 17*s, 1, machine(1, false, 30*s), machine(2, false, 12*s))
-	if slots[0].Machine.Key != 2 || slots[0].Start != 12*s {
-		t.Errorf("got machine %d at %d s", slots[0].Machine.Key, slots[0].Start/s)
+	if slots[0].Machine.Index != 2 || slots[0].Start != 12*s {
+		t.Errorf("got machine %d at %d s", slots[0].Machine.Index, slots[0].Start/s)
 	}
 	near(t, "tardiness", slots[0].Tardiness, 10)
 	// No gap at all: it waits.
 	full := machine(1, false, 0)
-	full.Line.Reserve(need(1), 0, Forever)
+	full.Timeline.Reserve(need(1), 0, Forever)
 	if _, placed := place(j, 10*s, 20*s, 1, full); placed != 0 {
 		t.Errorf("placed %d without a gap", placed)
 	}
--- a/internal/coordination/plan/reference_test.go
+++ b/internal/coordination/plan/reference_test.go
@@ -27,7 +27,7 @@
 			break
 		}
 		m := best.slot.Machine
-		m.Line.Reserve(r.Job.Resources, best.slot.Start, best.slot.Length)
+		m.Timeline.Reserve(r.Job.Resources, best.slot.Start, best.slot.Length)
 		if r.Job.Kind == bookkeeping.Service {
 			m.Services++
 		}
@@ -47,14 +47,14 @@
 		kind := &bookkeeping.InstanceType{Name: "m", FetchGBps: 0.5,
 			Capacity: bookkeeping.Resources{CPU: 8000 << rapid.IntRange(0, 2).Draw(t, "size"), Mem: 64_000}}
 		image := rapid.Bool().Draw(t, "image")
-		m := &Machine{Key: i, Type: kind, Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
-			Line: NewTimeline(0, kind.Capacity), Images: func(string) bool { return image }, Slowness: 1, Up: true,
+		m := &Machine{Index: i, Type: kind, Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
+			Timeline: NewTimeline(0, kind.Capacity), HasImage: func(string) bool { return image }, Slowness: 1, Up: true,
 			Services: rapid.IntRange(0, 3).Draw(t, "replicas")}
 		if m.Spot {
 			m.LossRate = 0.002
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "running") {
-			m.Line.Reserve(need(int64(rapid.IntRange(1, 4).Draw(t, "cpu"))), 0, micros.Time(rapid.IntRange(1, 60).Draw(t, "left"))*s)
+			m.Timeline.Reserve(need(int64(rapid.IntRange(1, 4).Draw(t, "cpu"))), 0, micros.Time(rapid.IntRange(1, 60).Draw(t, "left"))*s)
 		}
 		out = append(out, m)
 	}
@@ -65,7 +65,7 @@
 	out := make([]*Machine, len(machines))
 	for i, m := range machines {
 		c := *m
-		c.Line = &Timeline{steps: slices.Clone(m.Line.steps)}
+		c.Timeline = &Timeline{steps: slices.Clone(m.Timeline.steps)}
 		out[i] = &c
 	}
 	return out
@@ -82,7 +82,7 @@
 			j.Kind = bookkeeping.Service
 		}
 		request := func() *Request {
-			return &Request{Job: j, Weight: 2, P: 12 * s, Due: 30 * s, Count: 40, InZone: map[string]int{}, Pack: 2}
+			return &Request{Job: j, Weight: 2, Estimate: 12 * s, Due: 30 * s, Count: 40, InZone: map[string]int{}, Pack: 2}
 		}
 		var got, want []Slot
 		other := copyFleet(fleet)
@@ -92,9 +92,9 @@
 			t.Fatalf("placed %d, the plain one %d", n, m)
 		}
 		for i := range got {
-			if got[i].Machine.Key != want[i].Machine.Key || got[i].Start != want[i].Start || got[i].Length != want[i].Length {
-				t.Fatalf("task %d: machine %d at %d, the plain one machine %d at %d", i, got[i].Machine.Key, got[i].Start,
-					want[i].Machine.Key, want[i].Start)
+			if got[i].Machine.Index != want[i].Machine.Index || got[i].Start != want[i].Start || got[i].Length != want[i].Length {
+				t.Fatalf("task %d: machine %d at %d, the plain one machine %d at %d", i, got[i].Machine.Index, got[i].Start,
+					want[i].Machine.Index, want[i].Start)
 			}
 		}
 	})
@@ -112,7 +112,7 @@
 		placed := 0
 		for range 20 {
 			j := &bookkeeping.Job{Resources: need(2), Tasks: 100, Spot: true}
-			placed += Place(&Request{Job: j, Weight: 2, P: 20 * s, Due: 60 * s, Count: 100, InZone: map[string]int{}}, fleet, func(Slot) {})
+			placed += Place(&Request{Job: j, Weight: 2, Estimate: 20 * s, Due: 60 * s, Count: 100, InZone: map[string]int{}}, fleet, func(Slot) {})
 		}
 		if placed != 2000 {
 			b.Fatal(placed)
--- a/internal/coordination/reach.go
+++ b/internal/coordination/reach.go
@@ -139,134 +139,138 @@
 	})
 }
 
-// zoneView is how a holder hears the machines of one zone.
-type zoneView struct {
-	up    int
-	heard micros.Time // a quarter of them was heard since
-	lost  micros.Time // since when it counts as lost; 0: it does not
+// zoneHealth is how a holder hears the machines of one zone.
+type zoneHealth struct {
+	machines          int
+	lastQuorumContact micros.Time // a quarter of them was heard since
+	unreachableSince  micros.Time // since when it counts as lost; 0: it does not
 }
 
 const (
-	// zonesPace is how often zones are looked at.
-	zonesPace = 100 * micros.Millisecond
-	// fewMachines are too few to tell a zone's silence from their own.
-	fewMachines = 3
-	// verdictFor is how long a holder waits for its siblings to say whether they reach
+	// zoneCheckInterval is how often zones are looked at.
+	zoneCheckInterval = 100 * micros.Millisecond
+	// minZoneMachines are too few to tell a zone's silence from their own.
+	minZoneMachines = 3
+	// peerVerdictTimeout is how long a holder waits for its siblings to say whether they reach
 	// a zone that it does not hear.
-	verdictFor = 2500 * micros.Millisecond
+	peerVerdictTimeout = 2500 * micros.Millisecond
 )
 
-// viewZones looks at how the zones are heard. Machines of a zone that fall silent all
+// checkZones looks at how the zones are heard. Machines of a zone that fall silent all
 // at once may only be out of this controller's reach: its siblings are asked.
-func (h *holder) viewZones() {
-	now := h.c.now
-	if now-h.zonesAt < zonesPace {
+func (p *partitionLeader) checkZones() {
+	now := p.core.now
+	if now-p.zonesCheckedAt < zoneCheckInterval {
 		return
 	}
-	h.zonesAt = now
+	p.zonesCheckedAt = now
 	seen := map[string][]micros.Time{}
-	for _, m := range h.machines {
-		if m.session != 0 || m.block.Used {
-			seen[m.block.Zone] = append(seen[m.block.Zone], m.seen)
+	for _, m := range p.machines {
+		if m.epoch != 0 || m.record.Used {
+			seen[m.record.Zone] = append(seen[m.record.Zone], m.lastContact)
 		}
 	}
-	for zone, v := range h.zones {
+	for zone, v := range p.zones {
 		if seen[zone] == nil {
 			// All its machines were given up. A zone that was lost stays so until one
 			// that was rented to try it is heard.
-			v.up = 0
+			v.machines = 0
 		}
 	}
 	for _, zone := range sortedKeys(seen) {
-		times, v := seen[zone], h.zones[zone]
+		times, v := seen[zone], p.zones[zone]
 		if v == nil {
-			v = &zoneView{}
-			h.zones[zone] = v
+			v = &zoneHealth{}
+			p.zones[zone] = v
 		}
 		slices.SortFunc(times, func(a, b micros.Time) int { return cmp.Compare(b, a) })
-		v.up, v.heard = len(times), times[len(times)/4]
-		quiet := h.zoneQuiet(v)
-		if quiet >= h.silence()*3/10 {
+		v.machines, v.lastQuorumContact = len(times), times[len(times)/4]
+		quiet := p.zoneSilence(v)
+		if quiet >= p.suspicionTimeout()*3/10 {
 			// Workers that wait for the answer of a holder that was cut off do not report
 			// for some seconds: only what does not answer either is not heard.
-			for i, m := range h.machines {
-				if i%2 == 0 && m.block.Zone == zone && (m.session != 0 || m.block.Used) && !m.calling && m.addr != "" && now-m.probed > micros.Second {
-					h.toProbe = append(h.toProbe, m)
+			for i, m := range p.machines {
+				if i%2 == 0 && m.record.Zone == zone && (m.epoch != 0 || m.record.Used) && !m.callInFlight && m.address != "" && now-m.lastProbe > micros.Second {
+					p.probeQueue = append(p.probeQueue, m)
 				}
 			}
 		}
 		switch {
-		case quiet < h.silence()*3/5:
-			v.lost = 0
-		case v.lost == 0 && v.up > fewMachines:
-			v.lost = now
-			h.c.statusSoon = true
-			h.c.log(levelInfo, "zone is not heard", "zone", zone, "machines", v.up)
+		case quiet < p.suspicionTimeout()*3/5:
+			v.unreachableSince = 0
+		case v.unreachableSince == 0 && v.machines > minZoneMachines:
+			v.unreachableSince = now
+			p.core.statusSoon = true
+			p.core.log(levelInfo, "zone is not heard", "zone", zone, "machines", v.machines)
 		}
 	}
 }
 
-// lostBefore takes the zones that the last holder, as far as it told, did not hear.
-func (h *holder) lostBefore() {
-	for _, member := range sortedKeys(h.c.peers) {
-		p := h.c.peers[member]
-		if h.c.now-p.receivedAt > probeResultTTL {
+// inheritUnreachableZones takes the zones that the last holder, as far as it told, did not hear.
+func (p *partitionLeader) inheritUnreachableZones() {
+	for _, member := range sortedKeys(p.core.peers) {
+		peer := p.core.peers[member]
+		if p.core.now-peer.receivedAt > probeResultTTL {
 			continue
 		}
-		for _, q := range p.status.Partitions {
+		for _, q := range peer.status.Partitions {
 			for _, zone := range q.UnreachableZones {
-				if q.Partition == h.queue {
-					h.zones[zone] = &zoneView{lost: h.c.now}
+				if q.Partition == p.partition {
+					p.zones[zone] = &zoneHealth{unreachableSince: p.core.now}
 				}
 			}
 		}
 	}
 }
 
-// zoneLost tells whether a zone is not heard: what boots there cannot be counted on.
-func (h *holder) zoneLost(zone string) bool { return h.zones[zone] != nil && h.zones[zone].lost != 0 }
+// zoneUnreachable tells whether a zone is not heard: what boots there cannot be counted on.
+func (p *partitionLeader) zoneUnreachable(zone string) bool {
+	return p.zones[zone] != nil && p.zones[zone].unreachableSince != 0
+}
 
-// zoneQuiet is how long a quarter of a zone's machines has not been heard.
-func (h *holder) zoneQuiet(v *zoneView) micros.Time { return h.c.now - max(v.heard, h.calmAt) }
+// zoneSilence is how long a quarter of a zone's machines has not been heard.
+func (p *partitionLeader) zoneSilence(v *zoneHealth) micros.Time {
+	return p.core.now - max(v.lastQuorumContact, p.silenceCountsFrom)
+}
 
-// lostZones are the zones that this holder does not hear.
-func (h *holder) lostZones() []string {
+// unreachableZones are the zones that this holder does not hear.
+func (p *partitionLeader) unreachableZones() []string {
 	var out []string
-	for _, zone := range sortedKeys(h.zones) {
-		if h.zones[zone].lost != 0 {
+	for _, zone := range sortedKeys(p.zones) {
+		if p.zones[zone].unreachableSince != 0 {
 			out = append(out, zone)
 		}
 	}
 	return out
 }
 
-// zoneInDoubt tells whether it is open if machines of a zone that fell silent together
+// zoneVerdictPending tells whether it is open if machines of a zone that fell silent together
 // are gone, or out of this controller's reach only. None of them is given up until the
 // siblings that can be heard have said that they do not reach them either; while one
 // does, it is waited for a while longer that it takes the queue over.
-func (h *holder) zoneInDoubt(zone string) bool {
-	v := h.zones[zone]
-	if v == nil || v.up <= fewMachines || h.zoneQuiet(v) < h.silence()*3/10 {
+func (p *partitionLeader) zoneVerdictPending(zone string) bool {
+	v := p.zones[zone]
+	if v == nil || v.machines <= minZoneMachines || p.zoneSilence(v) < p.suspicionTimeout()*3/10 {
 		return false
 	}
-	if v.lost == 0 {
+	if v.unreachableSince == 0 {
 		return true
 	}
 	asked, reached := 0, false
-	for member, p := range h.c.peers {
-		if member == h.c.process.Member || h.c.now-p.receivedAt > 2*micros.Second {
+	for member, peer := range p.core.peers {
+		if member == p.core.process.Member || p.core.now-peer.receivedAt > 2*micros.Second {
 			continue
 		}
-		i := slices.IndexFunc(p.status.Reachability, func(z ZoneReachability) bool { return z.Partition == h.queue && z.Zone == zone })
+		i := slices.IndexFunc(peer.status.Reachability, func(z ZoneReachability) bool { return z.Partition == p.partition && z.Zone == zone })
 		if i < 0 {
 			asked++
-		} else if z := p.status.Reachability[i]; z.Answered*2 >= z.Probed {
+		} else if z := peer.status.Reachability[i]; z.Answered*2 >= z.Probed {
 			reached = true
 		}
 	}
-	wait := h.c.now - v.lost
+	wait := p.core.now - v.unreachableSince
 	if reached {
-		return wait < verdictFor+h.silence()
+		return wait < peerVerdictTimeout+p.suspicionTimeout()
 	}
-	return asked > 0 && wait < verdictFor
+	return asked > 0 && wait < peerVerdictTimeout
 }
--- a/internal/coordination/reclaim.go
+++ b/internal/coordination/reclaim.go
@@ -7,27 +7,27 @@
 	"pipitlatch/internal/micros"
 )
 
-// startBy is until when a job's tasks are to start: as its class's `wait` objective
+// startDeadline is until when a job's tasks are to start: as its class's `wait` objective
 // wants, or, within its team's guarantee, as the objective on guarantees does.
-func (h *holder) startBy(r ranked) (micros.Time, bool) {
+func (p *partitionLeader) startDeadline(r rankedJob) (micros.Time, bool) {
 	within, found := micros.Max, false
-	for _, o := range h.c.config.Settings.Objectives {
-		if (o.Kind == "wait" && o.Class == r.j.Class) || (o.Kind == "guarantee" && r.Guaranteed) {
+	for _, o := range p.core.config.Settings.Objectives {
+		if (o.Kind == "wait" && o.Class == r.job.Class) || (o.Kind == "guarantee" && r.Guaranteed) {
 			within, found = min(within, micros.FromSeconds(o.WithinS)), true
 		}
 	}
-	return h.c.now - (h.c.wall - r.j.ready) + within, found
+	return p.core.now - (p.core.wall - r.job.readySince) + within, found
 }
 
 // victim is an attempt that could be stopped, with what that costs and gains.
 type victim struct {
-	a     *attempt
-	m     *machine
-	slots int     // for tasks of the job
-	cost  float64 // CPU-seconds lost, for a slot
+	attempt *attempt
+	machine *machine
+	slots   int     // for tasks of the job
+	cost    float64 // CPU-seconds lost, for a slot
 }
 
-// reclaim starts tasks of a job, all that are missing or none, in the place of work
+// preemptForObjective starts tasks of a job, all that are missing or none, in the place of work
 // that was just begun: of lower priority, or of what another team runs above its
 // guarantee while this job is within its own. Exception to the design, whose tasks are
 // not preempted: an urgent task of half a minute cannot wait for one that takes a
@@ -35,28 +35,28 @@
 // stopped for this once only, so none is put off without end. Where it is the team's
 // limit that leaves no room, only work of the team itself makes some: what is started
 // takes no more than what was stopped right before on the same machine.
-func (h *holder) reclaim(r ranked, missing int, by micros.Time, limited bool) {
-	j, now := r.j, h.c.now
+func (p *partitionLeader) preemptForObjective(r rankedJob, missing int, by micros.Time, limited bool) {
+	j, now := r.job, p.core.now
 	if missing <= 0 || by <= now || j.OneZone || j.Spread {
 		return
 	}
 	borrowed := map[string]int64{} // CPU above the guarantee, by team
-	for name, t := range h.c.teams {
-		borrowed[name] = h.usage[name].CPU - t.GuaranteeCPU
+	for name, t := range p.core.teams {
+		borrowed[name] = p.teamUsage[name].CPU - t.GuaranteeCPU
 	}
-	found := h.victims(r, by, borrowed, limited)
+	found := p.victims(r, by, borrowed, limited)
 	gain, last := 0, 0
 	for last < len(found) && gain < missing {
 		v := &found[last]
 		last++
-		team := v.a.j.Team
-		if v.a.j.Priority >= j.Priority {
-			if borrowed[team] < v.a.need.CPU {
+		team := v.attempt.job.Team
+		if v.attempt.job.Priority >= j.Priority {
+			if borrowed[team] < v.attempt.resources.CPU {
 				v.slots = 0
 				continue // what is left is within its guarantee
 			}
 		}
-		borrowed[team] -= v.a.need.CPU
+		borrowed[team] -= v.attempt.resources.CPU
 		gain += v.slots
 	}
 	if gain < missing {
@@ -66,10 +66,10 @@
 		if v.slots == 0 {
 			continue
 		}
-		v.a.j.spared.Add(v.a.id.Task)
-		h.stop(v.a, 0)
+		v.attempt.job.preemptedOnce.Add(v.attempt.id.Task)
+		p.stopAttempt(v.attempt, 0)
 		for range v.slots {
-			if missing > 0 && h.start(j, v.m, r.q.P) {
+			if missing > 0 && p.startTask(j, v.machine, r.queued.Estimate) {
 				missing--
 			}
 		}
@@ -78,73 +78,75 @@
 
 // victims are the attempts that may be stopped for a job and make room for it in time, those
 // first that lose least for a slot.
-func (h *holder) victims(r ranked, by micros.Time, borrowed map[string]int64, limited bool) []victim {
-	j, now := r.j, h.c.now
+func (p *partitionLeader) victims(r rankedJob, by micros.Time, borrowed map[string]int64, limited bool) []victim {
+	j, now := r.job, p.core.now
 	var found []victim
-	for _, m := range h.machines {
-		if m.kind == nil || !h.usable(m) || m.pause > now || !j.AllowsInstanceType(m.block.InstanceType) || (j.Zone != "" && j.Zone != m.block.Zone) ||
-			(m.block.Spot && !j.Spot) || !j.Resources.Fits(m.kind.Capacity) {
+	for _, m := range p.machines {
+		if m.instanceType == nil || !p.schedulable(m) || m.startsPausedUntil > now || !j.AllowsInstanceType(m.record.InstanceType) || (j.Zone != "" && j.Zone != m.record.Zone) ||
+			(m.record.Spot && !j.Spot) || !j.Resources.Fits(m.instanceType.Capacity) {
 			continue
 		}
-		if !m.hasImage(j.Image) && (m.kind.FetchGBps <= 0 || now+micros.FromSeconds(j.ImageGB/m.kind.FetchGBps) > by) {
+		if !m.hasImage(j.Image) && (m.instanceType.FetchGBps <= 0 || now+micros.FromSeconds(j.ImageGB/m.instanceType.FetchGBps) > by) {
 			continue
 		}
-		found = append(found, h.victimsOn(m, r, borrowed, limited)...)
+		found = append(found, p.victimsOn(m, r, borrowed, limited)...)
 	}
 	slices.SortStableFunc(found, func(x, y victim) int { return cmp.Compare(x.cost, y.cost) })
 	return found
 }
 
 // victimsOn are those of one machine.
-func (h *holder) victimsOn(m *machine, r ranked, borrowed map[string]int64, limited bool) []victim {
-	j := r.j
+func (p *partitionLeader) victimsOn(m *machine, r rankedJob, borrowed map[string]int64, limited bool) []victim {
+	j := r.job
 	var own []*attempt
 	for _, a := range m.attempts {
-		if h.reclaimable(r, a, borrowed, limited) {
+		if p.preemptible(r, a, borrowed, limited) {
 			own = append(own, a)
 		}
 	}
 	// The least work lost first.
-	slices.SortFunc(own, func(x, y *attempt) int { return cmp.Or(cmp.Compare(h.begun(x), h.begun(y)), x.id.compare(y.id)) })
-	free := h.free(m)
+	slices.SortFunc(own, func(x, y *attempt) int {
+		return cmp.Or(cmp.Compare(p.occupiedFor(x), p.occupiedFor(y)), x.id.compare(y.id))
+	})
+	free := p.freeResources(m)
 	had := int(j.Resources.Count(free))
 	var found []victim
 	for _, a := range own {
 		if limited {
-			if k := int(j.Resources.Count(a.need)); k > 0 {
-				found = append(found, victim{a, m, k, micros.Seconds(h.begun(a)) * float64(a.need.CPU) / float64(k)})
+			if k := int(j.Resources.Count(a.resources)); k > 0 {
+				found = append(found, victim{a, m, k, micros.Seconds(p.occupiedFor(a)) * float64(a.resources.CPU) / float64(k)})
 			}
 			continue
 		}
-		if k := int(j.Resources.Count(free.Add(a.need))); k > had {
-			found = append(found, victim{a, m, k - had, micros.Seconds(h.begun(a)) * float64(a.need.CPU) / float64(k-had)})
-			free, had = free.Add(a.need), k
+		if k := int(j.Resources.Count(free.Add(a.resources))); k > had {
+			found = append(found, victim{a, m, k - had, micros.Seconds(p.occupiedFor(a)) * float64(a.resources.CPU) / float64(k-had)})
+			free, had = free.Add(a.resources), k
 		}
 	}
 	return found
 }
 
-// reclaimPart is the part of a job's own run time that an attempt may have run and
+// preemptibleDivisor is the part of a job's own run time that an attempt may have run and
 // still be stopped for it.
-const reclaimPart = 4
+const preemptibleDivisor = 4
 
-// reclaimable tells whether an attempt may be stopped for a job.
-func (h *holder) reclaimable(r ranked, a *attempt, borrowed map[string]int64, limited bool) bool {
-	if a.state == Exited || a.stop || !a.shown || a.open+a.lost > 0 || a.j == nil || a.j == r.j || a.j.wasGuaranteed || a.j.spared.Has(a.id.Task) {
+// preemptible tells whether an attempt may be stopped for a job.
+func (p *partitionLeader) preemptible(r rankedJob, a *attempt, borrowed map[string]int64, limited bool) bool {
+	if a.state == Exited || a.stopping || !a.reported || a.startsInFlight+a.startsUnanswered > 0 || a.job == nil || a.job == r.job || a.job.plannedWithinGuarantee || a.job.preemptedOnce.Has(a.id.Task) {
 		return false
 	}
 	if limited {
-		return a.j.Team == r.j.Team && a.j.Priority < r.j.Priority && h.begun(a) <= h.estimate(a.j)/reclaimPart
+		return a.job.Team == r.job.Team && a.job.Priority < r.job.Priority && p.occupiedFor(a) <= p.estimate(a.job)/preemptibleDivisor
 	}
-	if h.begun(a) > r.q.P/reclaimPart {
+	if p.occupiedFor(a) > r.queued.Estimate/preemptibleDivisor {
 		return false
 	}
-	if due := h.c.now - (h.c.wall - a.j.Submitted) + a.j.Deadline; a.j.Deadline > 0 && due > h.c.now && due < h.c.now+2*h.estimate(a.j) {
+	if due := p.core.now - (p.core.wall - a.job.Submitted) + a.job.Deadline; a.job.Deadline > 0 && due > p.core.now && due < p.core.now+2*p.estimate(a.job) {
 		return false // it would miss its own deadline for it
 	}
-	return a.j.Priority < r.j.Priority ||
-		(r.Guaranteed && a.j.Priority == r.j.Priority && a.j.Team != r.j.Team && borrowed[a.j.Team] >= a.need.CPU)
+	return a.job.Priority < r.job.Priority ||
+		(r.Guaranteed && a.job.Priority == r.job.Priority && a.job.Team != r.job.Team && borrowed[a.job.Team] >= a.resources.CPU)
 }
 
-// begun is the time that an attempt has taken its room, which stopping it loses.
-func (h *holder) begun(a *attempt) micros.Time { return h.c.now - a.made }
+// occupiedFor is the time that an attempt has taken its room, which stopping it loses.
+func (p *partitionLeader) occupiedFor(a *attempt) micros.Time { return p.core.now - a.createdAt }
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -37,95 +37,95 @@
 		}
 		return
 	}
-	h.report(in, h.machine(r.Machine))
+	h.handleHeartbeat(in, h.machine(r.Machine))
 }
 
-func (h *holder) report(in *HeartbeatRequest, m *machine) {
+func (p *partitionLeader) handleHeartbeat(in *HeartbeatRequest, m *machine) {
 	r := in.Heartbeat
 	switch {
 	case m == nil:
-		h.c.respondUnavailable(in.Request, "unknown machine")
+		p.core.respondUnavailable(in.Request, "unknown machine")
 		return
-	case !h.c.term.Valid(h.c.now):
+	case !p.core.term.Valid(p.core.now):
 		// Silence past the term: a cancellation that is not seen here must end
 		// these tasks when the workers' leases run out. Nobody is named: what is
 		// known here of other holders is as old as the term.
-		h.c.respond(Response{Request: in.Request, Kind: HeartbeatRedirected})
+		p.core.respond(Response{Request: in.Request, Kind: HeartbeatRedirected})
 		return
-	case r.FencingToken > h.token:
+	case r.FencingToken > p.fencingToken:
 		// The worker would drop a 200 and stay here until its tasks die.
-		h.outranked()
-		h.c.respond(Response{Request: in.Request, Kind: HeartbeatRedirected})
+		p.supersededByToken()
+		p.core.respond(Response{Request: in.Request, Kind: HeartbeatRedirected})
 		return
 	}
 	newer := m.newer(r)
-	if !newer && (r.AgentEpoch < m.session || r.Sequence <= m.floor || h.c.now-m.news > answerPatience || r.FencingToken < m.top) {
+	if !newer && (r.AgentEpoch < m.epoch || r.Sequence <= m.settledSequence || p.core.now-m.lastHeartbeatAt > replyTimeout || r.FencingToken < m.highestToken) {
 		// A copy of an old report, whose answer reaches nobody, or a worker that
 		// began anew: an answer must neither count nor renew a lease.
-		h.odd("old report", m, r)
-		h.c.respondUnavailable(in.Request, "old report")
+		p.logIgnoredHeartbeat("old report", m, r)
+		p.core.respondUnavailable(in.Request, "old report")
 		return
 	}
 	if newer {
-		h.reached(m, r)
-		h.observe(m, r)
+		p.observeReplyReceipt(m, r)
+		p.observeHeartbeat(m, r)
 	}
-	if m.lost() || m.vain > maxVain {
+	if m.decommissioned() || m.unackedReplies > maxUnackedReplies {
 		// Given up, or out of reach of our answers: more of them would only push off
 		// the time from which its lease has surely run out.
-		h.c.respondUnavailable(in.Request, "machine is given up")
+		p.core.respondUnavailable(in.Request, "machine is given up")
 		return
 	}
-	m.answered, m.replied = h.c.now, h.c.now
+	m.lastRenewal, m.lastReply = p.core.now, p.core.now
 	var cmds []Command
 	if newer {
-		cmds = h.orders(m)
+		cmds = p.commandsFor(m)
 	}
-	h.c.respond(Response{Request: in.Request, Kind: HeartbeatAcknowledged, FencingToken: h.token, Commands: cmds})
+	p.core.respond(Response{Request: in.Request, Kind: HeartbeatAcknowledged, FencingToken: p.fencingToken, Commands: cmds})
 }
 
 // newer tells whether a report is newer than all that is known of the machine.
 func (m *machine) newer(r *Heartbeat) bool {
-	return r.AgentEpoch > m.session || (r.AgentEpoch == m.session && r.Sequence > m.seq)
+	return r.AgentEpoch > m.epoch || (r.AgentEpoch == m.epoch && r.Sequence > m.sequence)
 }
 
-// maxVain is how many answers in a row may be shown as not received before a
+// maxUnackedReplies is how many answers in a row may be shown as not received before a
 // machine counts as out of reach.
-const maxVain = 2
+const maxUnackedReplies = 2
 
-// answerPatience is how long a worker surely does not wait for an answer any more.
-const answerPatience = 5 * micros.Second
+// replyTimeout is how long a worker surely does not wait for an answer any more.
+const replyTimeout = 5 * micros.Second
 
-// reached notes what a newer report says of our answer to the one before. A
+// observeReplyReceipt notes what a newer report says of our answer to the one before. A
 // report proves nothing about the way back: a machine that reports but cannot be
 // answered must neither count as sound nor have its lease renewed by answers that
 // never arrive.
-func (h *holder) reached(m *machine, r *Heartbeat) {
-	if m.replied == 0 {
+func (p *partitionLeader) observeReplyReceipt(m *machine, r *Heartbeat) {
+	if m.lastReply == 0 {
 		return
 	}
-	if r.FencingToken < h.since || r.AgentEpoch > m.session {
+	if r.FencingToken < p.acquiredToken || r.AgentEpoch > m.epoch {
 		// Our answers under this lease, or in its last session, did not arrive.
-		m.vain++
-	} else if h.c.now-m.replied < answerPatience-1500*micros.Millisecond {
+		m.unackedReplies++
+	} else if p.core.now-m.lastReply < replyTimeout-1500*micros.Millisecond {
 		// It goes on at its pace and stays with us: it had our answer.
-		m.seen, m.vain, m.failed = h.c.now, 0, 0
-		m.callAt = 0
+		m.lastContact, m.unackedReplies, m.failedCalls = p.core.now, 0, 0
+		m.nextCallAt = 0
 	}
-	m.replied = 0
+	m.lastReply = 0
 }
 
-// outranked: somebody has a higher token, so this lease is over, or about to be
+// supersededByToken: somebody has a higher token, so this lease is over, or about to be
 // renewed; nothing is done until the stream tells.
-func (h *holder) outranked() { h.c.term.Invalidate() }
+func (p *partitionLeader) supersededByToken() { p.core.term.Invalidate() }
 
-// maxOrders bounds one answer to a worker.
-const maxOrders = 200
+// maxCommandsPerMessage bounds one answer to a worker.
+const maxCommandsPerMessage = 200
 
-// orders are the commands in the answer to a report: they are not executed
+// commandsFor are the commands in the answer to a report: they are not executed
 // late, since the worker drops late answers.
-func (h *holder) orders(m *machine) []Command {
-	if m.ack != h.token {
+func (p *partitionLeader) commandsFor(m *machine) []Command {
+	if m.ackedToken != p.fencingToken {
 		return nil
 	}
 	var out []Command
@@ -133,245 +133,245 @@
 		switch {
 		case a.state == Exited:
 			// A start that may still arrive would begin a forgotten attempt anew.
-			if a.shown && a.stored && a.open == 0 && a.lost == 0 {
+			if a.reported && a.persisted && a.startsInFlight == 0 && a.startsUnanswered == 0 {
 				out = append(out, Command{Operation: Forget, AttemptID: id})
 			}
-		case a.stop:
-			out = append(out, Command{Operation: Stop, AttemptID: id, GracePeriod: h.graceLeft(a)})
+		case a.stopping:
+			out = append(out, Command{Operation: Stop, AttemptID: id, GracePeriod: p.remainingGrace(a)})
 		}
 	}
 	slices.SortFunc(out, func(a, b Command) int { return a.compare(b.AttemptID) })
-	return out[:min(len(out), maxOrders)]
+	return out[:min(len(out), maxCommandsPerMessage)]
 }
 
-// graceLeft ends an attempt at once when its time to save is over.
-func (h *holder) graceLeft(a *attempt) micros.Time {
-	if a.grace == 0 || h.c.now-a.stopped > 2*a.grace+2*micros.Second {
+// remainingGrace ends an attempt at once when its time to save is over.
+func (p *partitionLeader) remainingGrace(a *attempt) micros.Time {
+	if a.gracePeriod == 0 || p.core.now-a.stoppedAt > 2*a.gracePeriod+2*micros.Second {
 		return 0
 	}
-	return a.grace
+	return a.gracePeriod
 }
 
-// observe takes a worker's report, from whichever way it came.
-func (h *holder) observe(m *machine, r *Heartbeat) {
+// observeHeartbeat takes a worker's report, from whichever way it came.
+func (p *partitionLeader) observeHeartbeat(m *machine, r *Heartbeat) {
 	if !m.newer(r) {
 		return // older than what is known
 	}
-	if r.AgentEpoch == m.session && r.FencingToken < m.top && m.top >= h.since {
+	if r.AgentEpoch == m.epoch && r.FencingToken < m.highestToken && m.highestToken >= p.acquiredToken {
 		// A worker never forgets a token: this one began anew under its old name.
-		h.restarted(m)
+		p.drainRestarted(m)
 		return
 	}
-	if r.AgentEpoch > m.session {
-		h.newSession(m, r.AgentEpoch)
+	if r.AgentEpoch > m.epoch {
+		p.beginEpoch(m, r.AgentEpoch)
 	}
-	if h.c.now-m.floorAt > answerPatience {
-		m.floor, m.floorNew, m.floorAt = m.floorNew, r.Sequence, h.c.now
+	if p.core.now-m.settledSequenceAt > replyTimeout {
+		m.settledSequence, m.nextSettledSequence, m.settledSequenceAt = m.nextSettledSequence, r.Sequence, p.core.now
 	}
-	m.seq, m.news = r.Sequence, h.c.now
-	m.top = max(m.top, r.FencingToken)
-	if m.expired {
-		h.odd("of an ended session", m, r)
+	m.sequence, m.lastHeartbeatAt = r.Sequence, p.core.now
+	m.highestToken = max(m.highestToken, r.FencingToken)
+	if m.leaseExpired {
+		p.logIgnoredHeartbeat("of an ended session", m, r)
 		return // sent before its lease ran out, and late: what it shows is gone
 	}
 	if r.Address != "" {
-		m.addr = r.Address
+		m.address = r.Address
 	}
-	m.notice = 0
+	m.preemptAt = 0
 	if r.PreemptionNotice >= 0 {
-		m.notice = h.c.now + r.PreemptionNotice
+		m.preemptAt = p.core.now + r.PreemptionNotice
 	}
-	if r.FencingToken > h.token {
-		h.outranked()
+	if r.FencingToken > p.fencingToken {
+		p.supersededByToken()
 		return
 	}
-	m.ack = r.FencingToken
-	if r.FencingToken < h.since {
+	m.ackedToken = r.FencingToken
+	if r.FencingToken < p.acquiredToken {
 		// Not an exchange under this lease: perhaps a copy of an old report, perhaps
 		// overtaken by what the predecessor still orders. It says nothing of tasks.
 		return
 	}
-	h.takeTasks(m, r)
-	if m.ack == h.token && !m.known {
-		m.known = true
-		h.dirty = true
+	p.reconcileTasks(m, r)
+	if m.ackedToken == p.fencingToken && !m.reconciled {
+		m.reconciled = true
+		p.planStale = true
 	}
-	h.evacuate(m)
+	p.handlePreemptionNotice(m)
 }
 
-// newSession notes that a machine's lease ran out: it killed and forgot all its tasks. That
+// beginEpoch notes that a machine's lease ran out: it killed and forgot all its tasks. That
 // does not make it known: a predecessor may have started others since.
-func (h *holder) newSession(m *machine, session uint64) {
-	if m.session != 0 {
-		known := m.known
-		h.emptied(m)
-		m.known = known
+func (p *partitionLeader) beginEpoch(m *machine, session uint64) {
+	if m.epoch != 0 {
+		known := m.reconciled
+		p.clearAttempts(m)
+		m.reconciled = known
 	} else {
-		m.booted = h.c.now
+		m.bootedAt = p.core.now
 	}
-	m.session = session
-	m.floor, m.floorNew, m.floorAt = 0, 0, h.c.now
-	m.expired = false
-	h.dirty = true
+	m.epoch = session
+	m.settledSequence, m.nextSettledSequence, m.settledSequenceAt = 0, 0, p.core.now
+	m.leaseExpired = false
+	p.planStale = true
 }
 
-// takeTasks takes a report's tasks for the truth about its machine.
-func (h *holder) takeTasks(m *machine, r *Heartbeat) {
+// reconcileTasks takes a report's tasks for the truth about its machine.
+func (p *partitionLeader) reconcileTasks(m *machine, r *Heartbeat) {
 	shown := make(map[AttemptID]bool, len(r.Tasks))
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		shown[t.AttemptID] = true
 		a := m.attempts[t.AttemptID]
 		if a == nil {
-			a = h.adopt(m, t)
+			a = p.adoptAttempt(m, t)
 		}
-		a.shown = true
-		h.update(a, t)
+		a.reported = true
+		p.updateAttempt(a, t)
 	}
 	if len(m.attempts) > len(shown) {
 		for _, id := range sortedAttempts(m) {
 			a := m.attempts[id]
 			// A start that still waits in the outbox, or that got no answer, says nothing
 			// by its absence: taking it for not started would run the task twice.
-			if shown[id] || !a.sent || (!a.shown && a.open+a.lost > 0) {
+			if shown[id] || !a.startSent || (!a.reported && a.startsInFlight+a.startsUnanswered > 0) {
 				continue
 			}
 			// Forgotten as ordered, or, if it was never shown, surely not started.
 			delete(m.attempts, id)
-			h.leave(a)
-			h.requeue(a)
+			p.release(a)
+			p.requeue(a)
 		}
 	}
 }
 
-// oddEvery bounds what stale and contradictory reports make us log.
-const oddEvery = 5 * micros.Second
+// ignoredLogInterval bounds what stale and contradictory reports make us log.
+const ignoredLogInterval = 5 * micros.Second
 
-// odd tells the operator of a report that is not believed.
-func (h *holder) odd(why string, m *machine, r *Heartbeat) {
-	if h.c.now-h.oddAt >= oddEvery || h.oddAt == 0 {
-		h.oddAt = h.c.now
-		h.c.log(levelInfo, "report not believed", "why", why, "machine", m.id, "session", r.AgentEpoch, "seq", r.Sequence, "known_session", m.session,
-			"known_seq", m.seq)
+// logIgnoredHeartbeat tells the operator of a report that is not believed.
+func (p *partitionLeader) logIgnoredHeartbeat(why string, m *machine, r *Heartbeat) {
+	if p.core.now-p.ignoredHeartbeatLoggedAt >= ignoredLogInterval || p.ignoredHeartbeatLoggedAt == 0 {
+		p.ignoredHeartbeatLoggedAt = p.core.now
+		p.core.log(levelInfo, "report not believed", "why", why, "machine", m.id, "session", r.AgentEpoch, "seq", r.Sequence, "known_session", m.epoch,
+			"known_seq", m.sequence)
 	}
 }
 
-// restarted gives up a machine whose worker began anew within its lease: its
+// drainRestarted gives up a machine whose worker began anew within its lease: its
 // session and seq may be below what was seen, so no order of its reports can be
 // told any more. Its deletion settles what ran there.
-func (h *holder) restarted(m *machine) {
-	if !m.lost() {
-		h.drain(m, "restarted")
+func (p *partitionLeader) drainRestarted(m *machine) {
+	if !m.decommissioned() {
+		p.drain(m, "restarted")
 	}
 }
 
-// adopt takes an attempt that this holder did not start.
-func (h *holder) adopt(m *machine, t *TaskStatus) *attempt {
-	a := &attempt{id: t.AttemptID, m: m, state: t.State, made: h.c.now, sent: true}
-	a.j = h.jobs[t.Job]
-	if e := h.c.cache.Jobs[t.Job]; e != nil {
-		a.team, a.need = e.Job.Team, e.Job.Resources
+// adoptAttempt takes an attempt that this holder did not start.
+func (p *partitionLeader) adoptAttempt(m *machine, t *TaskStatus) *attempt {
+	a := &attempt{id: t.AttemptID, machine: m, state: t.State, createdAt: p.core.now, startSent: true}
+	a.job = p.jobs[t.Job]
+	if e := p.core.cache.Jobs[t.Job]; e != nil {
+		a.team, a.resources = e.Job.Team, e.Job.Resources
 	}
-	if a.j != nil && (t.Task < 0 || t.Task >= a.j.Tasks) {
-		a.j = nil
+	if a.job != nil && (t.Task < 0 || t.Task >= a.job.Tasks) {
+		a.job = nil
 	}
-	a.remember()
+	a.index()
 	if t.State == Exited {
 		a.state = Fetching // so that update sees it exit
 	}
-	h.enter(a)
-	if a.j == nil {
-		a.stored = true
+	p.reserve(a)
+	if a.job == nil {
+		a.persisted = true
 		switch {
 		case t.State == Exited:
-		case h.c.isCancelled(t.Job):
-			h.killAdopted(a)
+		case p.core.isCancelled(t.Job):
+			p.killAdopted(a)
 		default:
-			h.stop(a, 0)
+			p.stopAttempt(a, 0)
 		}
 		return a
 	}
 	if t.State == Exited {
 		return a
 	}
-	if o := a.j.live[t.Task]; o != nil {
+	if o := a.job.activeAttempts[t.Task]; o != nil {
 		// Must never happen. The task does not wait again before both have ended.
-		h.c.log(levelWarn, "task on two machines", "job", t.Job, "task", t.Task, "machine", m.id, "other", o.m.id)
-		a.j.double = append(a.j.double, a)
-		a.stored = true
-		h.stop(a, 0)
+		p.core.log(levelWarn, "task on two machines", "job", t.Job, "task", t.Task, "machine", m.id, "other", o.machine.id)
+		a.job.duplicateAttempts = append(a.job.duplicateAttempts, a)
+		a.persisted = true
+		p.stopAttempt(a, 0)
 		return a
 	}
-	a.j.live[t.Task] = a
-	a.j.waiting.Remove(t.Task)
+	a.job.activeAttempts[t.Task] = a
+	a.job.pendingTasks.Remove(t.Task)
 	if t.State == Running {
 		// The image is there, and the run is at least as old as this lease: without
 		// that, every takeover forgot where images are and when machines will be free.
-		a.running = h.c.now
-		m.useImage(a.j.Image, a.j.ImageGB)
+		a.runningSince = p.core.now
+		m.useImage(a.job.Image, a.job.ImageGB)
 	}
 	switch {
-	case a.j.cancelRequested:
-		h.killAdopted(a)
-	case a.j.finished(t.Task):
-		h.stop(a, 0)
+	case a.job.cancelRequested:
+		p.killAdopted(a)
+	case a.job.taskCompleted(t.Task):
+		p.stopAttempt(a, 0)
 	}
-	h.dirty = true
+	p.planStale = true
 	return a
 }
 
-func (h *holder) update(a *attempt, t *TaskStatus) {
+func (p *partitionLeader) updateAttempt(a *attempt, t *TaskStatus) {
 	if a.state == Exited {
 		return
 	}
 	if t.State != Exited {
 		if t.State == Running && a.state != Running {
-			a.running = h.c.now
-			if a.j != nil {
-				a.m.useImage(a.j.Image, a.j.ImageGB)
-				if a.j.Kind == bookkeeping.Service && a.own {
-					h.c.log(levelDebug, "replica runs", "job", a.j.ID, "task", a.id.Task, "machine", a.m.id,
-						"since_submitted_ms", (h.c.wall-a.j.Submitted)/micros.Millisecond, "since_start_ms", (h.c.now-a.made)/micros.Millisecond)
+			a.runningSince = p.core.now
+			if a.job != nil {
+				a.machine.useImage(a.job.Image, a.job.ImageGB)
+				if a.job.Kind == bookkeeping.Service && a.startedHere {
+					p.core.log(levelDebug, "replica runs", "job", a.job.ID, "task", a.id.Task, "machine", a.machine.id,
+						"since_submitted_ms", (p.core.wall-a.job.Submitted)/micros.Millisecond, "since_start_ms", (p.core.now-a.createdAt)/micros.Millisecond)
 				}
 			}
 		}
 		a.state = t.State
 		return
 	}
-	h.leave(a)
-	h.dirty = true
-	if a.j == nil {
-		a.stored = true
+	p.release(a)
+	p.planStale = true
+	if a.job == nil {
+		a.persisted = true
 		return
 	}
-	j := a.j
+	j := a.job
 	switch t.ExitReason {
 	case ExitCompleted:
-		if a.own && a.running > 0 {
-			if j.ranN >= 2 { // against its siblings: the owner's estimate says little
-				a.m.ran += min(20, float64(h.c.now-a.running)*float64(j.ranN)/float64(max(1, j.ran)))
-				a.m.ranN++
+		if a.startedHere && a.runningSince > 0 {
+			if j.runtimeSamples >= 2 { // against its siblings: the owner's estimate says little
+				a.machine.runtimeRatioTotal += min(20, float64(p.core.now-a.runningSince)*float64(j.runtimeSamples)/float64(max(1, j.runtimeTotal)))
+				a.machine.runtimeRatioSamples++
 			}
-			h.c.runtimes.Observe(j.Class, j.Estimate, h.c.now-a.running)
-			j.ran += h.c.now - a.running
-			j.ranN++
+			p.core.runtimes.Observe(j.Class, j.Estimate, p.core.now-a.runningSince)
+			j.runtimeTotal += p.core.now - a.runningSince
+			j.runtimeSamples++
 		}
-		h.c.faults.Succeeded(a.m.id, j.ID)
-		h.finish(a)
+		p.core.faults.Succeeded(a.machine.id, j.ID)
+		p.completeTask(a)
 		return
 	case ExitFailed:
-		h.c.faults.Failed(a.m.id, j.ID)
-		h.c.log(levelInfo, "task failed", "job", j.ID, "task", a.id.Task, "machine", a.m.id)
-		if h.c.faults.JobAtFault(j.ID) {
+		p.core.faults.Failed(a.machine.id, j.ID)
+		p.core.log(levelInfo, "task failed", "job", j.ID, "task", a.id.Task, "machine", a.machine.id)
+		if p.core.faults.JobAtFault(j.ID) {
 			// Failing everywhere: try less and less often, until its user cancels it.
-			j.pause = h.c.now + min(60*micros.Second, micros.Second<<min(6, h.c.faults.Failures(j.ID)))
+			j.startsPausedUntil = p.core.now + min(60*micros.Second, micros.Second<<min(6, p.core.faults.Failures(j.ID)))
 		}
 	case ExitInsufficientResources, ExitDuplicateTask:
-		a.m.pause = h.c.now + micros.Second
-		h.c.log(levelInfo, "start refused", "job", j.ID, "task", a.id.Task, "machine", a.m.id, "cause", t.ExitReason)
+		a.machine.startsPausedUntil = p.core.now + micros.Second
+		p.core.log(levelInfo, "start refused", "job", j.ID, "task", a.id.Task, "machine", a.machine.id, "cause", t.ExitReason)
 	case ExitUnknownTask:
-		j.pause = h.c.now + 2*micros.Second
+		j.startsPausedUntil = p.core.now + 2*micros.Second
 	}
-	a.stored = true
-	h.requeue(a)
+	a.persisted = true
+	p.requeue(a)
 }
--- a/internal/coordination/room.go
+++ b/internal/coordination/room.go
@@ -10,109 +10,109 @@
 	"pipitlatch/internal/micros"
 )
 
-// roomShape is what decides where room can be made for a task without further
+// preemptionShape is what decides where room can be made for a task without further
 // conditions.
-type roomShape struct {
-	need     bookkeeping.Resources
-	priority bookkeeping.Priority
-	zone     string
-	spot     bool
+type preemptionShape struct {
+	resources bookkeeping.Resources
+	priority  bookkeeping.Priority
+	zone      string
+	spot      bool
 }
 
-// makeRoom stops work of lower priority for a task that otherwise would wait
+// preemptFor stops work of lower priority for a task that otherwise would wait
 // until a time, and starts the task in its place. Exception to the design: the
 // paper's tasks are not preempted, but services must not wait for arrays.
-func (h *holder) makeRoom(j *job, until micros.Time) bool {
-	now := h.c.now
-	if until-now < micros.Second || j.waiting.Len() == 0 {
+func (p *partitionLeader) preemptFor(j *job, until micros.Time) bool {
+	now := p.core.now
+	if until-now < micros.Second || j.pendingTasks.Len() == 0 {
 		return false
 	}
 	// What found no room in this plan finds none again: many services alike wait.
-	shape := roomShape{j.Resources, j.Priority, j.Zone, j.Spot}
+	shape := preemptionShape{j.Resources, j.Priority, j.Zone, j.Spot}
 	plain := len(j.InstanceTypes) == 0 && !j.OneZone && !j.Spread
-	if plain && h.noRoom[shape] {
+	if plain && p.preemptionFailed[shape] {
 		return false
 	}
 	var best *machine
 	var victims []*attempt
 	bestCost := 0.0
-	for _, m := range h.machines {
-		if m.kind == nil || !h.usable(m) || m.pause > now || !j.AllowsInstanceType(m.block.InstanceType) || (j.Zone != "" && j.Zone != m.block.Zone) ||
-			(m.block.Spot && !j.Spot) || !h.zoneAllows(j, m.block.Zone) {
+	for _, m := range p.machines {
+		if m.instanceType == nil || !p.schedulable(m) || m.startsPausedUntil > now || !j.AllowsInstanceType(m.record.InstanceType) || (j.Zone != "" && j.Zone != m.record.Zone) ||
+			(m.record.Spot && !j.Spot) || !p.zoneAllows(j, m.record.Zone) {
 			continue
 		}
-		if take, cost, ok := h.roomOn(m, j); ok && (best == nil || cost < bestCost) {
+		if take, cost, ok := p.preemptionOn(m, j); ok && (best == nil || cost < bestCost) {
 			best, victims, bestCost = m, take, cost
 		}
 	}
 	if best == nil {
 		if plain {
-			h.noRoom[shape] = true
+			p.preemptionFailed[shape] = true
 		}
 		return false
 	}
 	saves := false
 	for _, a := range victims {
 		grace := micros.Time(0)
-		if a.j.CheckpointInterval > 0 {
-			grace, saves = a.j.CheckpointDuration, true
+		if a.job.CheckpointInterval > 0 {
+			grace, saves = a.job.CheckpointDuration, true
 		}
-		h.stop(a, grace)
+		p.stopAttempt(a, grace)
 	}
 	if !saves {
 		// Commands are executed in order: the room is there when the start comes.
-		return h.start(j, best, plan.Forever)
+		return p.startTask(j, best, plan.Forever)
 	}
 	return true
 }
 
-// roomOn says which attempts of lower priority have to be stopped on a machine for a task of
+// preemptionOn says which attempts of lower priority have to be stopped on a machine for a task of
 // the job, and what that costs; ok is false where it would not be enough.
-func (h *holder) roomOn(m *machine, j *job) (take []*attempt, cost float64, ok bool) {
-	free := m.kind.Capacity
+func (p *partitionLeader) preemptionOn(m *machine, j *job) (take []*attempt, cost float64, ok bool) {
+	free := m.instanceType.Capacity
 	var lower []*attempt
 	for _, id := range sortedAttempts(m) {
 		a := m.attempts[id]
 		if a.state == Exited {
 			continue
 		}
-		free = free.Sub(a.need)
-		if a.j != nil && a.j.Priority < j.Priority && !a.stop {
+		free = free.Sub(a.resources)
+		if a.job != nil && a.job.Priority < j.Priority && !a.stopping {
 			lower = append(lower, a)
 		}
 	}
 	// The least work lost first.
-	slices.SortStableFunc(lower, func(a, b *attempt) int { return cmp.Compare(h.lost(a), h.lost(b)) })
+	slices.SortStableFunc(lower, func(a, b *attempt) int { return cmp.Compare(p.lostWork(a), p.lostWork(b)) })
 	for _, a := range lower {
 		if j.Resources.Fits(free) {
 			break
 		}
-		free = free.Add(a.need)
-		cost += micros.Seconds(h.lost(a)) + 1
+		free = free.Add(a.resources)
+		cost += micros.Seconds(p.lostWork(a)) + 1
 		take = append(take, a)
 	}
-	if !m.hasImage(j.Image) && m.kind.FetchGBps > 0 {
-		cost += 20 * j.ImageGB / m.kind.FetchGBps
+	if !m.hasImage(j.Image) && m.instanceType.FetchGBps > 0 {
+		cost += 20 * j.ImageGB / m.instanceType.FetchGBps
 	}
 	return take, cost, j.Resources.Fits(free)
 }
 
-// lost is the work that stopping an attempt loses.
-func (h *holder) lost(a *attempt) micros.Time {
-	if a.running == 0 {
+// lostWork is the work that stopping an attempt loses.
+func (p *partitionLeader) lostWork(a *attempt) micros.Time {
+	if a.runningSince == 0 {
 		return 0
 	}
-	run := h.c.now - a.running
-	if a.j.CheckpointInterval > 0 {
-		return a.j.CheckpointDuration
+	run := p.core.now - a.runningSince
+	if a.job.CheckpointInterval > 0 {
+		return a.job.CheckpointDuration
 	}
 	return run
 }
 
-func (h *holder) zoneAllows(j *job, zone string) bool {
+func (p *partitionLeader) zoneAllows(j *job, zone string) bool {
 	n := 0
-	for _, a := range j.live {
-		if a.m.block.Zone == zone {
+	for _, a := range j.activeAttempts {
+		if a.machine.record.Zone == zone {
 			n++
 		} else if j.OneZone {
 			return false
@@ -121,16 +121,16 @@
 	return !j.Spread || n < j.SpreadLimit()
 }
 
-// spare asks for room to take up the services of the machine that holds most of
+// headroomRequests asks for room to take up the services of the machine that holds most of
 // them, and some growth, at once: free room, or room that arrays can be stopped
 // for. Exception to the design, which plans for tasks that are there.
-func (h *holder) spare() []fleet.CapacityRequest {
-	survey := h.surveySpare(true)
-	kind, missing := survey.kind, survey.missing(nil)
+func (p *partitionLeader) headroomRequests() []fleet.CapacityRequest {
+	survey := p.surveyHeadroom(true)
+	kind, missing := survey.service, survey.missing(nil)
 	if missing > 0 {
-		return []fleet.CapacityRequest{h.need(kind, missing)}
+		return []fleet.CapacityRequest{p.capacityRequest(kind, missing)}
 	}
-	m := h.oversized(kind)
+	m := p.oversized(kind)
 	if m == nil {
 		return nil
 	}
@@ -139,10 +139,10 @@
 	if missing = survey.missing(m); missing <= 0 {
 		return nil
 	}
-	n := h.need(kind, missing)
+	n := p.capacityRequest(kind, missing)
 	n.InstanceTypes = nil
-	for _, name := range sortedKeys(h.c.catalog) {
-		if h.c.catalog[name].Capacity.CPU < m.kind.Capacity.CPU && kind.AllowsInstanceType(name) {
+	for _, name := range sortedKeys(p.core.catalog) {
+		if p.core.catalog[name].Capacity.CPU < m.instanceType.Capacity.CPU && kind.AllowsInstanceType(name) {
 			n.InstanceTypes = append(n.InstanceTypes, name)
 		}
 	}
@@ -151,34 +151,34 @@
 
 // oversized finds a machine that is kept for so few replicas that smaller ones
 // would do for much less, and that the arrays do not need.
-func (h *holder) oversized(kind *job) *machine {
+func (p *partitionLeader) oversized(kind *job) *machine {
 	if kind == nil {
 		return nil
 	}
-	arrays, services, capacity := h.cpuLoad()
+	arrays, services, capacity := p.cpuLoad()
 	var worst *machine
-	for _, m := range h.machines {
-		if m.kind == nil || m.block.Spot || !h.usable(m) || h.c.now-m.added < settled {
+	for _, m := range p.machines {
+		if m.instanceType == nil || m.record.Spot || !p.schedulable(m) || p.core.now-m.addedAt < minMachineAge {
 			continue
 		}
 		replicas := 0
-		room := m.kind.Capacity.CPU
+		room := m.instanceType.Capacity.CPU
 		for _, a := range m.attempts {
-			if a.state != Exited && a.j != nil && a.j.Kind == bookkeeping.Service {
+			if a.state != Exited && a.job != nil && a.job.Kind == bookkeeping.Service {
 				replicas++
-				room -= a.need.CPU
+				room -= a.resources.CPU
 			}
 		}
-		if max(arrays, h.load) > (capacity-services-room)*8/10 {
+		if max(arrays, p.recentArrayCPU) > (capacity-services-room)*8/10 {
 			continue
 		}
-		for _, t := range h.c.catalog {
+		for _, t := range p.core.catalog {
 			slots := int(kind.Resources.Count(t.Capacity))
-			if replicas == 0 || slots == 0 || t.Capacity.CPU >= m.kind.Capacity.CPU || !kind.AllowsInstanceType(t.Name) {
+			if replicas == 0 || slots == 0 || t.Capacity.CPU >= m.instanceType.Capacity.CPU || !kind.AllowsInstanceType(t.Name) {
 				continue
 			}
 			instead := float64((replicas+slots)/slots) * t.Price
-			if m.kind.Price-instead >= h.cheapest() && (worst == nil || m.kind.Price > worst.kind.Price) {
+			if m.instanceType.Price-instead >= p.lowestPrice() && (worst == nil || m.instanceType.Price > worst.instanceType.Price) {
 				worst = m
 			}
 		}
@@ -186,10 +186,10 @@
 	return worst
 }
 
-// cheapest is the lowest price of an ordinary machine.
-func (h *holder) cheapest() float64 {
+// lowestPrice is the lowest price of an ordinary machine.
+func (p *partitionLeader) lowestPrice() float64 {
 	lowest := 0.0
-	for _, t := range h.c.catalog {
+	for _, t := range p.core.catalog {
 		if lowest == 0 || t.Price < lowest {
 			lowest = t.Price
 		}
@@ -199,61 +199,61 @@
 
 // cpuLoad is the CPU that arrays and services use, and all there is, on usable
 // machines.
-func (h *holder) cpuLoad() (arrays, services, capacity int64) {
-	for _, m := range h.machines {
-		if m.kind == nil || !h.usable(m) {
+func (p *partitionLeader) cpuLoad() (arrays, services, capacity int64) {
+	for _, m := range p.machines {
+		if m.instanceType == nil || !p.schedulable(m) {
 			continue
 		}
-		capacity += m.kind.Capacity.CPU
+		capacity += m.instanceType.Capacity.CPU
 		for _, a := range m.attempts {
 			switch {
 			case a.state == Exited:
-			case a.j != nil && a.j.Kind == bookkeeping.Service:
-				services += a.need.CPU
+			case a.job != nil && a.job.Kind == bookkeeping.Service:
+				services += a.resources.CPU
 			default:
-				arrays += a.need.CPU
+				arrays += a.resources.CPU
 			}
 		}
 	}
 	return arrays, services, capacity
 }
 
-// spareSurvey is what the spare room for services depends on, counted once: what would be
+// headroomSurvey is what the spare room for services depends on, counted once: what would be
 // missing without one machine or another then follows without another look at the fleet.
-type spareSurvey struct {
-	kind     *job             // the largest service; nil: there is none
-	growth   int              // replicas that there has to be room for besides
-	replicas map[*machine]int // by machine
-	roomOn   map[*machine]int // further replicas that fit there
-	room     int              // all of it
+type headroomSurvey struct {
+	service    *job             // the largest service; nil: there is none
+	growth     int              // replicas that there has to be room for besides
+	replicas   map[*machine]int // by machine
+	headroomOn map[*machine]int // further replicas that fit there
+	headroom   int              // all of it
 	// The machines whose loss takes most room: the replicas there and the room left.
 	worst, second *machine
 }
 
-// surveySpare counts the spare room; machines that still boot count if booting is set.
-func (h *holder) surveySpare(booting bool) *spareSurvey {
-	s := &spareSurvey{replicas: map[*machine]int{}, roomOn: map[*machine]int{}}
+// surveyHeadroom counts the spare room; machines that still boot count if booting is set.
+func (p *partitionLeader) surveyHeadroom(booting bool) *headroomSurvey {
+	s := &headroomSurvey{replicas: map[*machine]int{}, headroomOn: map[*machine]int{}}
 	replicas := 0
-	for _, j := range h.order {
+	for _, j := range p.sortedJobs {
 		if j.Kind != bookkeeping.Service {
 			continue
 		}
-		for _, a := range j.live {
+		for _, a := range j.activeAttempts {
 			replicas++
-			s.replicas[a.m]++
+			s.replicas[a.machine]++
 		}
-		if s.kind == nil || j.Resources.CPU > s.kind.Resources.CPU {
-			s.kind = j
+		if s.service == nil || j.Resources.CPU > s.service.Resources.CPU {
+			s.service = j
 		}
 	}
-	if s.kind == nil {
+	if s.service == nil {
 		return s
 	}
-	s.growth = (replicas*int(h.c.config.Operator.SparePercent)+99)/100 + 1
-	for _, m := range h.machines {
-		if n := h.spareRoomOn(m, s.kind, booting); n > 0 {
-			s.roomOn[m] = n
-			s.room += n
+	s.growth = (replicas*int(p.core.config.Operator.SparePercent)+99)/100 + 1
+	for _, m := range p.machines {
+		if n := p.headroomOn(m, s.service, booting); n > 0 {
+			s.headroomOn[m] = n
+			s.headroom += n
 		}
 	}
 	for m := range s.replicas {
@@ -262,26 +262,26 @@
 	return s
 }
 
-// spareRoomOn is how many replicas of a kind fit on a machine, where arrays give way.
-func (h *holder) spareRoomOn(m *machine, kind *job, booting bool) int {
-	if m.kind == nil || m.block.Spot && !kind.Spot || !kind.AllowsInstanceType(m.block.InstanceType) ||
-		(kind.Zone != "" && kind.Zone != m.block.Zone) || (!h.usable(m) && (!booting || !h.expected(m) && !h.justBooted(m))) {
+// headroomOn is how many replicas of a kind fit on a machine, where arrays give way.
+func (p *partitionLeader) headroomOn(m *machine, kind *job, booting bool) int {
+	if m.instanceType == nil || m.record.Spot && !kind.Spot || !kind.AllowsInstanceType(m.record.InstanceType) ||
+		(kind.Zone != "" && kind.Zone != m.record.Zone) || (!p.schedulable(m) && (!booting || !p.expectedToBoot(m) && !p.justBooted(m))) {
 		return 0
 	}
-	free := m.kind.Capacity
+	free := m.instanceType.Capacity
 	for _, a := range m.attempts {
-		if a.state != Exited && (a.j == nil || a.j.Priority >= kind.Priority) {
-			free = free.Sub(a.need)
+		if a.state != Exited && (a.job == nil || a.job.Priority >= kind.Priority) {
+			free = free.Sub(a.resources)
 		}
 	}
 	return int(kind.Resources.Count(free))
 }
 
 // weight is the room that the loss of a machine takes: its replicas, and what is free there.
-func (s *spareSurvey) weight(m *machine) int { return s.replicas[m] + s.roomOn[m] }
+func (s *headroomSurvey) weight(m *machine) int { return s.replicas[m] + s.headroomOn[m] }
 
 // rank keeps the two machines with replicas whose loss takes most room.
-func (s *spareSurvey) rank(m *machine) {
+func (s *headroomSurvey) rank(m *machine) {
 	switch {
 	case s.worst == nil || s.weight(m) > s.weight(s.worst):
 		s.worst, s.second = m, s.worst
@@ -292,11 +292,11 @@
 
 // missing is how much room is missing: if without is given, after its replicas have moved
 // elsewhere. What any one machine has must fit on the others.
-func (s *spareSurvey) missing(without *machine) int {
-	if s.kind == nil {
+func (s *headroomSurvey) missing(without *machine) int {
+	if s.service == nil {
 		return 0
 	}
-	moving, room := s.replicas[without], s.room-s.roomOn[without] // 0 if without is nil
+	moving, room := s.replicas[without], s.headroom-s.headroomOn[without] // 0 if without is nil
 	worst := s.worst
 	if worst == without {
 		worst = s.second
@@ -309,16 +309,16 @@
 }
 
 // missingWithout is missing(large) once an empty machine was given back as well.
-func (s *spareSurvey) missingWithout(large, empty *machine) int {
+func (s *headroomSurvey) missingWithout(large, empty *machine) int {
 	rest := *s
-	rest.room -= s.roomOn[empty]
+	rest.headroom -= s.headroomOn[empty]
 	return rest.missing(large)
 }
 
 // remove takes a machine out of the room that counts: it takes no more tasks.
-func (s *spareSurvey) remove(m *machine) {
-	s.room -= s.roomOn[m]
-	delete(s.roomOn, m)
+func (s *headroomSurvey) remove(m *machine) {
+	s.headroom -= s.headroomOn[m]
+	delete(s.headroomOn, m)
 	if s.replicas[m] == 0 {
 		return
 	}
@@ -328,21 +328,21 @@
 	}
 }
 
-// free is the room a machine has now.
-func (h *holder) free(m *machine) bookkeeping.Resources {
-	free := m.kind.Capacity
+// freeResources is the room a machine has now.
+func (p *partitionLeader) freeResources(m *machine) bookkeeping.Resources {
+	free := m.instanceType.Capacity
 	for _, a := range m.attempts {
 		if a.state != Exited {
-			free = free.Sub(a.need)
+			free = free.Sub(a.resources)
 		}
 	}
 	return free
 }
 
-// packShare is the part of all replicas that may be lost with one machine: below
+// packDivisor is the part of all replicas that may be lost with one machine: below
 // it they are packed, so that machines become free when the arrays end; above it
 // they are spread. Exception to the design, whose gaps know no machines that end.
-const packShare = 16
+const packDivisor = 16
 
-// pack is how many replicas a machine takes before others are preferred.
-func (h *holder) pack() int { return h.replicas / packShare }
+// packLimit is how many replicas a machine takes before others are preferred.
+func (p *partitionLeader) packLimit() int { return p.serviceReplicas / packDivisor }
--- a/internal/coordination/scheduling.go
+++ b/internal/coordination/scheduling.go
@@ -11,292 +11,292 @@
 )
 
 const (
-	// planPace bounds how often the timelines are rebuilt.
-	planPace = 100 * micros.Millisecond
-	// planPart bounds the part of the time that is spent on it: the next plan comes
+	// minPlanInterval bounds how often the timelines are rebuilt.
+	minPlanInterval = 100 * micros.Millisecond
+	// planTimeDivisor bounds the part of the time that is spent on it: the next plan comes
 	// this many times as late as the last one took.
-	planPart = 20
+	planTimeDivisor = 20
 	// maxPlanInterval is how often they are rebuilt without a change: estimates of
 	// running tasks run out, and slots come due.
 	maxPlanInterval = 1000 * micros.Millisecond
-	// planTasks bounds the tasks placed in one plan; the rest wait in index order.
-	planTasks = 2000
+	// maxTasksPerPlan bounds the tasks placed in one plan; the rest wait in index order.
+	maxTasksPerPlan = 2000
 )
 
-// ranked is a job with its place in the order.
-type ranked struct {
-	j *job
-	q *plan.Queued
+// rankedJob is a job with its place in the order.
+type rankedJob struct {
+	job    *job
+	queued *plan.Queued
 	plan.Precedence
 }
 
 // schedule plans the waiting tasks and starts those whose slot is now.
-func (h *holder) schedule() {
-	now := h.c.now
-	if h.c.catalog == nil || now-h.planAt < h.planPause || (!h.dirty && now-h.planAt < maxPlanInterval) {
+func (p *partitionLeader) schedule() {
+	now := p.core.now
+	if p.core.catalog == nil || now-p.lastPlanAt < p.planInterval || (!p.planStale && now-p.lastPlanAt < maxPlanInterval) {
 		return
 	}
-	h.planAt, h.dirty = now, false
-	h.inherited = nil
-	h.c.lastPlanned = h
-	clear(h.noRoom)
-	h.replicas = 0
-	for _, j := range h.jobs {
-		if j.Kind == bookkeeping.Service && !j.blocked {
-			h.replicas += j.Tasks
+	p.lastPlanAt, p.planStale = now, false
+	p.inheritedUrgency = nil
+	p.core.lastPlanned = p
+	clear(p.preemptionFailed)
+	p.serviceReplicas = 0
+	for _, j := range p.jobs {
+		if j.Kind == bookkeeping.Service && !j.blockedByDependencies {
+			p.serviceReplicas += j.Tasks
 		}
 	}
-	silent := slices.ContainsFunc(h.machines, func(m *machine) bool { return !m.known })
-	h.unknownUse = bookkeeping.Resources{}
-	for _, m := range h.machines {
-		if !m.known && m.kind != nil {
-			h.unknownUse = h.unknownUse.Add(m.kind.Capacity)
+	silent := slices.ContainsFunc(p.machines, func(m *machine) bool { return !m.reconciled })
+	p.unreconciledUsage = bookkeeping.Resources{}
+	for _, m := range p.machines {
+		if !m.reconciled && m.instanceType != nil {
+			p.unreconciledUsage = p.unreconciledUsage.Add(m.instanceType.Capacity)
 		}
 	}
-	if !silent && !h.allKnown {
-		h.allKnown = true
-		h.c.log(levelInfo, "all machines known", "queue", h.queue, "after_ms", (now-h.taken)/micros.Millisecond)
+	if !silent && !p.allReconciled {
+		p.allReconciled = true
+		p.core.log(levelInfo, "all machines known", "queue", p.partition, "after_ms", (now-p.acquiredAt)/micros.Millisecond)
 	}
 
-	h.advanceShares(silent)
-	services, arrays := h.rankJobs(silent)
-	machines := h.planMachines()
+	p.advanceShares(silent)
+	services, arrays := p.rankJobs(silent)
+	machines := p.buildTimelines()
 	var needs []fleet.CapacityRequest
 	for _, r := range services {
-		needs = append(needs, h.placeService(r, machines)...)
+		needs = append(needs, p.placeService(r, machines)...)
 	}
-	needs = append(needs, h.spare()...)
-	h.placeFirst(arrays, machines)
-	left := planTasks
+	needs = append(needs, p.headroomRequests()...)
+	p.placeLongWaiting(arrays, machines)
+	left := maxTasksPerPlan
 	for _, r := range arrays {
-		needs = append(needs, h.placeArray(r, machines, &left)...)
+		needs = append(needs, p.placeArray(r, machines, &left)...)
 	}
-	needs = mergeNeeds(needs)
-	if len(needs) > 0 && !slices.EqualFunc(needs, h.needs, sameNeed) {
-		h.c.statusSoon = true // the leader is to hear of them soon
+	needs = mergeCapacityRequests(needs)
+	if len(needs) > 0 && !slices.EqualFunc(needs, p.capacityRequests, sameCapacityRequest) {
+		p.core.statusSoon = true // the leader is to hear of them soon
 	}
-	h.needs = needs
+	p.capacityRequests = needs
 	if !silent {
 		// Jobs that wait for the last silent machine have no needs yet, and will.
-		h.returnIdle()
-		h.consolidate()
+		p.scaleIn()
+		p.consolidate()
 	}
-	h.logFleet(services, arrays)
+	p.logFleet(services, arrays)
 }
 
 // rankJobs are the jobs with tasks that may start, in the order in which they are placed:
 // services by priority and age, arrays by the index, after what is guaranteed.
-func (h *holder) rankJobs(silent bool) (services, arrays []ranked) {
-	now := h.c.now
+func (p *partitionLeader) rankJobs(silent bool) (services, arrays []rankedJob) {
+	now := p.core.now
 	var queue []*plan.Queued
-	for _, j := range h.order {
-		j.est = 0
-		if !h.mayStart(j, silent) {
+	for _, j := range p.sortedJobs {
+		j.estimate = 0
+		if !p.startable(j, silent) {
 			continue
 		}
-		r := ranked{j: j, q: h.queued(j)}
-		r.Precedence = plan.Precedence{Guaranteed: h.guaranteed(j), Behind: h.behind(j), NearObjective: h.nearObjective(j), Ready: j.ready, Queued: r.q}
-		j.wasGuaranteed = j.wasGuaranteed || r.Guaranteed
+		r := rankedJob{job: j, queued: p.indexInput(j)}
+		r.Precedence = plan.Precedence{Guaranteed: p.withinGuarantee(j), Behind: p.lagBeyondBound(j), NearObjective: p.nearObjective(j), Ready: j.readySince, Queued: r.queued}
+		j.plannedWithinGuarantee = j.plannedWithinGuarantee || r.Guaranteed
 		if j.Kind == bookkeeping.Service {
 			services = append(services, r)
 		} else {
 			arrays = append(arrays, r)
-			queue = append(queue, r.q)
+			queue = append(queue, r.queued)
 		}
 	}
 	plan.Rank(queue, now)
-	slices.SortStableFunc(services, func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(b.j.Priority, a.j.Priority), cmp.Compare(a.j.ready, b.j.ready))
+	slices.SortStableFunc(services, func(a, b rankedJob) int {
+		return cmp.Or(cmp.Compare(b.job.Priority, a.job.Priority), cmp.Compare(a.job.readySince, b.job.readySince))
 	})
-	slices.SortStableFunc(arrays, func(a, b ranked) int { return a.Precedence.Compare(b.Precedence) })
+	slices.SortStableFunc(arrays, func(a, b rankedJob) int { return a.Precedence.Compare(b.Precedence) })
 	return services, arrays
 }
 
-// fleetEvery is how often the state of the fleet is logged.
-const fleetEvery = 10 * micros.Second
+// fleetLogInterval is how often the state of the fleet is logged.
+const fleetLogInterval = 10 * micros.Second
 
 // logFleet tells the operator what the queue's machines do, in CPU.
-func (h *holder) logFleet(services, arrays []ranked) {
-	if h.c.now-h.fleetAt < fleetEvery {
+func (p *partitionLeader) logFleet(services, arrays []rankedJob) {
+	if p.core.now-p.fleetLoggedAt < fleetLogInterval {
 		return
 	}
-	h.fleetAt = h.c.now
+	p.fleetLoggedAt = p.core.now
 	waiting := 0
-	for _, list := range [][]ranked{services, arrays} {
+	for _, list := range [][]rankedJob{services, arrays} {
 		for _, r := range list {
-			waiting += r.j.waiting.Len()
+			waiting += r.job.pendingTasks.Len()
 		}
 	}
 	for _, spot := range []bool{false, true} {
 		var machines, booting, leaving int
 		var total, boot, services, running, fetching int64
-		for _, m := range h.machines {
-			if m.block.Spot != spot || m.kind == nil {
+		for _, m := range p.machines {
+			if m.record.Spot != spot || m.instanceType == nil {
 				continue
 			}
 			machines++
-			total += m.kind.Capacity.CPU
-			if m.session == 0 {
+			total += m.instanceType.Capacity.CPU
+			if m.epoch == 0 {
 				booting++
-				boot += m.kind.Capacity.CPU
+				boot += m.instanceType.Capacity.CPU
 			}
-			if m.draining != "" {
+			if m.drainReason != "" {
 				leaving++
 			}
 			for _, a := range m.attempts {
 				switch {
 				case a.state == Exited:
-				case a.j != nil && a.j.Kind == bookkeeping.Service:
-					services += a.need.CPU
+				case a.job != nil && a.job.Kind == bookkeeping.Service:
+					services += a.resources.CPU
 				case a.state == Fetching:
-					fetching += a.need.CPU
+					fetching += a.resources.CPU
 				default:
-					running += a.need.CPU
+					running += a.resources.CPU
 				}
 			}
 		}
-		h.c.log(levelDebug, "fleet", "queue", h.queue, "spot", spot, "machines", machines, "booting", booting, "leaving", leaving, "cpu", total/1000,
+		p.core.log(levelDebug, "fleet", "queue", p.partition, "spot", spot, "machines", machines, "booting", booting, "leaving", leaving, "cpu", total/1000,
 			"cpu_booting", boot/1000, "cpu_services", services/1000, "cpu_running", running/1000, "cpu_starting", fetching/1000,
 			"tasks_waiting", waiting)
 	}
 }
 
-// queued is what the index needs of a job's waiting tasks. A job with no
+// indexInput is what the index needs of a job's waiting tasks. A job with no
 // deadline takes d = arrival + 2p.
-func (h *holder) queued(j *job) *plan.Queued {
-	p := h.estimate(j)
-	after := h.inheritFrom(j.ID)
-	q := &plan.Queued{Weight: plan.Weight(max(j.Priority, after.priority)), P: p, Count: j.waiting.Len()}
+func (p *partitionLeader) indexInput(j *job) *plan.Queued {
+	estimate := p.estimate(j)
+	after := p.inheritFromDependents(j.ID)
+	q := &plan.Queued{Weight: plan.Weight(max(j.Priority, after.priority)), Estimate: estimate, Count: j.pendingTasks.Len()}
 	due := micros.Max // time of day
 	if j.Deadline > 0 {
 		due = j.Submitted + j.Deadline
 	}
 	if due = min(due, after.due); due != micros.Max {
 		// A job is done with its slowest task: the slack has to do for that one.
-		due -= micros.Time(float64(p) * (h.c.runtimes.TailRatio(j.Class) - 1) / 2)
+		due -= micros.Time(float64(estimate) * (p.core.runtimes.TailRatio(j.Class) - 1) / 2)
 	} else {
-		due = j.ready + 2*p
+		due = j.readySince + 2*estimate
 	}
-	q.Due = h.c.now - h.c.wall + due
+	q.Due = p.core.now - p.core.wall + due
 	return q
 }
 
-// trust is how many completed tasks of a job weigh as much as its estimate.
-const trust = 2
+// estimateWeight is how many completed tasks of a job weigh as much as its estimate.
+const estimateWeight = 2
 
 // estimate is a task's run time as known by now: the owner's estimate, corrected
 // by what the class shows, and by the job's own tasks, completed or running
 // longer than that. Exception to the design, which takes run times as known.
-func (h *holder) estimate(j *job) micros.Time {
-	if j.est > 0 && j.estAt == h.planAt {
-		return j.est // once a plan
-	}
-	p := h.c.runtimes.Estimate(j.Job)
-	p = (p*trust + j.ran) / micros.Time(trust+j.ranN)
-	for _, a := range j.live {
-		if a.state == Running && a.running > 0 {
-			p = max(p, h.c.now-a.running)
+func (p *partitionLeader) estimate(j *job) micros.Time {
+	if j.estimate > 0 && j.estimatedAt == p.lastPlanAt {
+		return j.estimate // once a plan
+	}
+	estimate := p.core.runtimes.Estimate(j.Job)
+	estimate = (estimate*estimateWeight + j.runtimeTotal) / micros.Time(estimateWeight+j.runtimeSamples)
+	for _, a := range j.activeAttempts {
+		if a.state == Running && a.runningSince > 0 {
+			estimate = max(estimate, p.core.now-a.runningSince)
 		}
 	}
-	j.est, j.estAt = p, h.planAt
-	return p
+	j.estimate, j.estimatedAt = estimate, p.lastPlanAt
+	return estimate
 }
 
-// planMachines builds the timelines from what runs.
-func (h *holder) planMachines() []*plan.Machine {
-	now := h.c.now
+// buildTimelines builds the timelines from what runs.
+func (p *partitionLeader) buildTimelines() []*plan.Machine {
+	now := p.core.now
 	var out []*plan.Machine
-	for i, m := range h.machines {
-		if m.kind == nil || m.pause > now {
+	for i, m := range p.machines {
+		if m.instanceType == nil || m.startsPausedUntil > now {
 			continue
 		}
-		up := h.usable(m)
-		if !up && !h.expected(m) {
+		up := p.schedulable(m)
+		if !up && !p.expectedToBoot(m) {
 			continue
 		}
 		from := now
 		if !up {
 			// Boot times vary; one that is overdue is taken to be there soon.
-			from = max(now+2*micros.Second, m.added+m.kind.Boot)
+			from = max(now+2*micros.Second, m.addedAt+m.instanceType.Boot)
 		}
-		pm := &plan.Machine{Key: i, Type: m.kind, Zone: m.block.Zone, Spot: m.block.Spot, Up: up, Slowness: m.slowness(),
-			Line: plan.NewTimeline(from, m.kind.Capacity), Images: m.hasImage}
-		if m.block.Spot {
-			pm.LossRate = h.c.spot.rate()
+		pm := &plan.Machine{Index: i, Type: m.instanceType, Zone: m.record.Zone, Spot: m.record.Spot, Up: up, Slowness: m.slowness(),
+			Timeline: plan.NewTimeline(from, m.instanceType.Capacity), HasImage: m.hasImage}
+		if m.record.Spot {
+			pm.LossRate = p.core.spot.rate()
 		}
 		for _, a := range m.attempts { // in any order: the sums are the same
 			if a.state == Exited {
 				continue
 			}
-			if a.j != nil && a.j.Kind == bookkeeping.Service {
+			if a.job != nil && a.job.Kind == bookkeeping.Service {
 				pm.Services++
 			}
-			pm.Line.Reserve(a.need, from, h.remaining(a))
+			pm.Timeline.Reserve(a.resources, from, p.remaining(a))
 		}
 		out = append(out, pm)
 	}
 	return out
 }
 
-// expected tells whether a machine that is not up can be counted on to boot.
-func (h *holder) expected(m *machine) bool {
-	if m.draining != "" || m.notice != 0 {
+// expectedToBoot tells whether a machine that is not up can be counted on to boot.
+func (p *partitionLeader) expectedToBoot(m *machine) bool {
+	if m.drainReason != "" || m.preemptAt != 0 {
 		return false
 	}
-	if m.session != 0 {
-		return m.known && !m.expired && h.c.now-m.seen < h.silence() // about to be usable
+	if m.epoch != 0 {
+		return m.reconciled && !m.leaseExpired && p.core.now-m.lastContact < p.suspicionTimeout() // about to be usable
 	}
-	return !m.block.Used && !h.zoneLost(m.block.Zone) && h.c.now-m.added < m.kind.Boot*3/2
+	return !m.record.Used && !p.zoneUnreachable(m.record.Zone) && p.core.now-m.addedAt < m.instanceType.Boot*3/2
 }
 
 // justBooted tells whether a machine reported for the first time a moment ago, so that
 // nothing has reached it yet. The spare room for services counts it: missing for that
 // moment, it would be rented once more at every boot, and another be given back.
-func (h *holder) justBooted(m *machine) bool {
-	return m.draining == "" && m.notice == 0 && m.known && !m.expired && m.booted != 0 && h.c.now-m.booted < h.silence()
+func (p *partitionLeader) justBooted(m *machine) bool {
+	return m.drainReason == "" && m.preemptAt == 0 && m.reconciled && !m.leaseExpired && m.bootedAt != 0 && p.core.now-m.bootedAt < p.suspicionTimeout()
 }
 
 // remaining is how much longer an attempt is expected to take its room.
-func (h *holder) remaining(a *attempt) micros.Time {
+func (p *partitionLeader) remaining(a *attempt) micros.Time {
 	switch {
-	case a.stop:
-		return a.grace + micros.Second/2
-	case a.j == nil:
+	case a.stopping:
+		return a.gracePeriod + micros.Second/2
+	case a.job == nil:
 		return micros.Second
-	case a.j.Kind == bookkeeping.Service:
+	case a.job.Kind == bookkeeping.Service:
 		return plan.Forever
 	}
-	p := h.estimate(a.j)
-	if a.running == 0 {
-		return max(p, a.made+a.length-h.c.now)
+	estimate := p.estimate(a.job)
+	if a.runningSince == 0 {
+		return max(estimate, a.createdAt+a.plannedDuration-p.core.now)
 	}
 	// An overdue task is taken to need a part of its estimate more.
-	return max(p/4, p-(h.c.now-a.running))
+	return max(estimate/4, estimate-(p.core.now-a.runningSince))
 }
 
-// request is the planner's request for one job.
-func (h *holder) request(r ranked, count int) *plan.Request {
-	j := r.j
-	q := &plan.Request{Job: j.Job, Weight: r.q.Weight, P: r.q.P, Due: r.q.Due, Count: count, Now: h.c.now, InZone: map[string]int{}, Pack: h.pack()}
-	for _, a := range j.live {
-		q.InZone[a.m.block.Zone]++
+// placementRequest is the planner's request for one job.
+func (p *partitionLeader) placementRequest(r rankedJob, count int) *plan.Request {
+	j := r.job
+	q := &plan.Request{Job: j.Job, Weight: r.queued.Weight, Estimate: r.queued.Estimate, Due: r.queued.Due, Count: count, Now: p.core.now, InZone: map[string]int{}, Pack: p.packLimit()}
+	for _, a := range j.activeAttempts {
+		q.InZone[a.machine.record.Zone]++
 		if j.OneZone {
-			q.Zone = a.m.block.Zone
+			q.Zone = a.machine.record.Zone
 		}
 	}
 	return q
 }
 
-// allowance is how many more tasks of the job its team's limit allows at once:
+// quotaAllowance is how many more tasks of the job its team's limit allows at once:
 // a machine whose tasks are not known counts at its worst.
-func (h *holder) allowance(j *job) int {
-	t := h.c.teams[j.Team]
+func (p *partitionLeader) quotaAllowance(j *job) int {
+	t := p.core.teams[j.Team]
 	if t == nil {
 		return 0
 	}
-	use := h.usage[j.Team]
+	use := p.teamUsage[j.Team]
 	if t.LimitCPU >= 0 || t.LimitGPU >= 0 {
-		use = use.Add(h.unknownUse)
+		use = use.Add(p.unreconciledUsage)
 	}
 	free := bookkeeping.Resources{CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}
 	if t.LimitCPU >= 0 {
@@ -308,76 +308,76 @@
 	return int(j.Resources.Count(free))
 }
 
-// start starts the job's next waiting task on a machine.
-func (h *holder) start(j *job, m *machine, length micros.Time) bool {
-	t := j.waiting.Next(0)
-	if t < 0 || j.live[t] != nil || !h.usable(m) {
+// startTask starts the job's next waiting task on a machine.
+func (p *partitionLeader) startTask(j *job, m *machine, length micros.Time) bool {
+	t := j.pendingTasks.Next(0)
+	if t < 0 || j.activeAttempts[t] != nil || !p.schedulable(m) {
 		return false
 	}
-	h.counter++
-	a := &attempt{id: AttemptID{j.ID, t, h.token<<20 + h.counter}, m: m, j: j, team: j.Team, need: j.Resources,
-		made: h.c.now, length: length, own: true}
-	a.remember()
-	j.live[t] = a
-	j.waiting.Remove(t)
-	h.enter(a)
+	p.attemptCounter++
+	a := &attempt{id: AttemptID{j.ID, t, p.fencingToken<<20 + p.attemptCounter}, machine: m, job: j, team: j.Team, resources: j.Resources,
+		createdAt: p.core.now, plannedDuration: length, startedHere: true}
+	a.index()
+	j.activeAttempts[t] = a
+	j.pendingTasks.Remove(t)
+	p.reserve(a)
 	m.outbox = append(m.outbox, Command{Operation: Start, AttemptID: a.id})
 	// Other tasks of the image need not wait for it as long.
 	m.useImage(j.Image, j.ImageGB)
 	return true
 }
 
-func (h *holder) placeService(r ranked, machines []*plan.Machine) []fleet.CapacityRequest {
-	j := r.j
-	count := min(j.waiting.Len(), h.allowance(j))
-	placed := plan.Place(h.request(r, count), machines, func(s plan.Slot) {
-		m := h.machines[s.Machine.Key]
-		if s.Machine.Up && s.Start <= h.c.now && h.start(j, m, plan.Forever) {
+func (p *partitionLeader) placeService(r rankedJob, machines []*plan.Machine) []fleet.CapacityRequest {
+	j := r.job
+	count := min(j.pendingTasks.Len(), p.quotaAllowance(j))
+	placed := plan.Place(p.placementRequest(r, count), machines, func(s plan.Slot) {
+		m := p.machines[s.Machine.Index]
+		if s.Machine.Up && s.Start <= p.core.now && p.startTask(j, m, plan.Forever) {
 			return
 		}
-		h.makeRoom(j, s.Start)
+		p.preemptFor(j, s.Start)
 	})
 	for range count - placed {
-		h.makeRoom(j, micros.Max)
+		p.preemptFor(j, micros.Max)
 	}
 	if missing := count - placed; missing > 0 {
-		n := h.need(j, missing)
+		n := p.capacityRequest(j, missing)
 		n.Urgent = true
 		return []fleet.CapacityRequest{n}
 	}
 	return nil
 }
 
-// need is what a rental for tasks of the job has to offer.
-func (h *holder) need(j *job, count int) fleet.CapacityRequest {
+// capacityRequest is what a rental for tasks of the job has to offer.
+func (p *partitionLeader) capacityRequest(j *job, count int) fleet.CapacityRequest {
 	n := fleet.CapacityRequest{Resources: j.Resources, Count: count, Spot: j.Spot, InstanceTypes: j.InstanceTypes, Zone: j.Zone,
-		Service: j.Kind == bookkeeping.Service, Hold: micros.Time(h.c.config.Operator.IdleKeepS) * micros.Second}
+		Service: j.Kind == bookkeeping.Service, Hold: micros.Time(p.core.config.Operator.IdleKeepS) * micros.Second}
 	if n.Service {
 		n.Hold *= 4
-		n.Replicas = h.replicas
+		n.Replicas = p.serviceReplicas
 	}
 	return n
 }
 
-func (h *holder) placeArray(r ranked, machines []*plan.Machine, left *int) []fleet.CapacityRequest {
-	j := r.j
-	now := h.c.now
-	allowed := h.allowance(j)
-	waiting := j.waiting.Len()
+func (p *partitionLeader) placeArray(r rankedJob, machines []*plan.Machine, left *int) []fleet.CapacityRequest {
+	j := r.job
+	now := p.core.now
+	allowed := p.quotaAllowance(j)
+	waiting := j.pendingTasks.Len()
 	count := min(waiting, allowed, *left)
 	tardy := 0
-	by, wanted := h.startBy(r)
+	by, wanted := p.startDeadline(r)
 	late := 0 // tasks that would start later than an objective wants
 	boot := micros.Max
-	for _, t := range h.c.catalog {
+	for _, t := range p.core.catalog {
 		if j.AllowsInstanceType(t.Name) && j.Resources.Fits(t.Capacity) {
 			boot = min(boot, t.Boot)
 		}
 	}
-	placed := plan.Place(h.request(r, count), machines, func(s plan.Slot) {
-		m := h.machines[s.Machine.Key]
+	placed := plan.Place(p.placementRequest(r, count), machines, func(s plan.Slot) {
+		m := p.machines[s.Machine.Index]
 		if s.Machine.Up && s.Start <= now {
-			h.start(j, m, s.Length)
+			p.startTask(j, m, s.Length)
 			return
 		}
 		if s.Start > by {
@@ -387,14 +387,14 @@
 		// It is rented before a slot is surely too late: the slots are reckoned with
 		// estimates, and a fleet that is rented when these have shown to be too low
 		// comes a boot and a backlog too late.
-		if s.Start+s.Length*3/2 > r.q.Due && s.Start > now+boot {
+		if s.Start+s.Length*3/2 > r.queued.Due && s.Start > now+boot {
 			tardy++
 		}
 	})
 	*left -= placed
 	if wanted {
-		h.reclaim(r, late+count-placed, by, false)
-		h.reclaim(r, min(waiting-allowed, *left), by, true)
+		p.preemptForObjective(r, late+count-placed, by, false)
+		p.preemptForObjective(r, min(waiting-allowed, *left), by, true)
 	}
 	short := min(waiting, allowed) - placed + tardy
 	if short <= 0 {
@@ -402,15 +402,15 @@
 	}
 	// What does not fit in time: so many slots that the waves on new machines end
 	// by the deadline, or, if that is over anyway, all at once.
-	waves := max(1, min(4, (r.q.Due-now-boot)/max(1, r.q.P)))
-	return []fleet.CapacityRequest{h.need(j, (short+int(waves)-1)/int(waves))}
+	waves := max(1, min(4, (r.queued.Due-now-boot)/max(1, r.queued.Estimate)))
+	return []fleet.CapacityRequest{p.capacityRequest(j, (short+int(waves)-1)/int(waves))}
 }
 
-func sameNeed(a, b fleet.CapacityRequest) bool {
+func sameCapacityRequest(a, b fleet.CapacityRequest) bool {
 	return a.Count == b.Count && a.Resources == b.Resources && a.Service == b.Service && a.Urgent == b.Urgent
 }
 
-func mergeNeeds(needs []fleet.CapacityRequest) []fleet.CapacityRequest {
+func mergeCapacityRequests(needs []fleet.CapacityRequest) []fleet.CapacityRequest {
 	var out []fleet.CapacityRequest
 	for _, n := range needs {
 		i := slices.IndexFunc(out, func(o fleet.CapacityRequest) bool {
--- a/internal/coordination/session.go
+++ b/internal/coordination/session.go
@@ -137,11 +137,11 @@
 	c.cache, c.synced = r, true
 	c.term.Invalidate()
 	for n, h := range c.partitions {
-		if v := r.Partitions[n]; v.ModRevision != h.token || v.Value.Leader != c.process {
+		if v := r.Partitions[n]; v.ModRevision != h.fencingToken || v.Value.Leader != c.process {
 			delete(c.partitions, n)
 			continue
 		}
-		h.resync(old)
+		h.reconcileSnapshot(old)
 	}
 	for n := range r.Partitions {
 		c.partitionChanged(n)
@@ -209,7 +209,7 @@
 	case "block":
 		for _, n := range sortedKeys(c.partitions) {
 			for _, m := range ch.Machines {
-				c.partitions[n].blockChanged(m)
+				c.partitions[n].machineChanged(m)
 			}
 		}
 	case "job", "fin":
@@ -297,9 +297,9 @@
 	}
 	c.recordDeadProcesses()
 	if h == nil {
-		c.partitions[n] = newHolder(c, n, v)
+		c.partitions[n] = newPartitionLeader(c, n, v)
 		c.log(levelInfo, "queue taken", "queue", n, "token", v.ModRevision, "machines", len(c.partitions[n].machines), "jobs", len(c.partitions[n].jobs))
 		return
 	}
-	h.newToken(v.ModRevision)
+	h.renewToken(v.ModRevision)
 }
--- a/internal/coordination/waits.go
+++ b/internal/coordination/waits.go
@@ -230,137 +230,137 @@
 	}
 }
 
-// wait tells how things stand with what a job waits for.
-func (h *holder) wait(j *job) {
-	if !j.blocked {
+// updateDependencies tells how things stand with what a job waits for.
+func (p *partitionLeader) updateDependencies(j *job) {
+	if !j.blockedByDependencies {
 		return
 	}
-	blocked, unknown := h.c.cache.Blocked(j.entry)
+	blocked, unknown := p.core.cache.Blocked(j.record)
 	if unknown != "" {
-		h.unknown[unknown] = max(h.unknown[unknown], 1)
+		p.unresolvedDependencies[unknown] = max(p.unresolvedDependencies[unknown], 1)
 	}
 	if blocked {
 		return
 	}
 	// Times other than the due date count from now, or from when the last of them was
 	// done as its record tells.
-	j.blocked, j.ready = false, j.Submitted
-	for _, w := range j.entry.Dependencies {
-		if e := h.c.cache.Jobs[w]; e != nil && e.Job.CompletedAt > 0 {
-			j.ready = max(j.ready, e.Job.CompletedAt)
+	j.blockedByDependencies, j.readySince = false, j.Submitted
+	for _, w := range j.record.Dependencies {
+		if e := p.core.cache.Jobs[w]; e != nil && e.Job.CompletedAt > 0 {
+			j.readySince = max(j.readySince, e.Job.CompletedAt)
 		} else {
-			j.ready = h.c.wall
+			j.readySince = p.core.wall
 		}
 	}
-	h.dirty = true
-	h.c.log(levelDebug, "job may start", "job", j.ID)
+	p.planStale = true
+	p.core.log(levelDebug, "job may start", "job", j.ID)
 }
 
 const (
-	// resolvePace is how often a needed job is looked up that was moved away.
-	resolvePace = 2 * micros.Second
-	// resolveAtOnce bounds the look-ups at a time.
-	resolveAtOnce = 2
+	// dependencyLookupInterval is how often a needed job is looked up that was moved away.
+	dependencyLookupInterval = 2 * micros.Second
+	// maxDependencyLookups bounds the look-ups at a time.
+	maxDependencyLookups = 2
 )
 
-// resolve looks needed jobs up that are not in memory.
-func (h *holder) resolve() {
-	if len(h.unknown) == 0 || h.resolving >= resolveAtOnce {
+// lookUpDependencies looks needed jobs up that are not in memory.
+func (p *partitionLeader) lookUpDependencies() {
+	if len(p.unresolvedDependencies) == 0 || p.lookupsInFlight >= maxDependencyLookups {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(h.unknown)) {
-		if h.c.cache.Jobs[id] != nil || len(h.c.cache.Dependents[id]) == 0 || h.c.cache.ArchivedPhases[id] != bookkeeping.Active {
-			delete(h.unknown, id)
+	for _, id := range slices.Sorted(maps.Keys(p.unresolvedDependencies)) {
+		if p.core.cache.Jobs[id] != nil || len(p.core.cache.Dependents[id]) == 0 || p.core.cache.ArchivedPhases[id] != bookkeeping.Active {
+			delete(p.unresolvedDependencies, id)
 			continue
 		}
-		if h.unknown[id] > h.c.now || h.resolving >= resolveAtOnce {
+		if p.unresolvedDependencies[id] > p.core.now || p.lookupsInFlight >= maxDependencyLookups {
 			continue
 		}
-		h.unknown[id] = h.c.now + resolvePace
-		h.resolving++
-		h.c.lookupArchived(id, func(e *storage.JobEntry, ok bool) {
-			h.resolving--
+		p.unresolvedDependencies[id] = p.core.now + dependencyLookupInterval
+		p.lookupsInFlight++
+		p.core.lookupArchived(id, func(e *storage.JobEntry, ok bool) {
+			p.lookupsInFlight--
 			if ok && e != nil {
-				h.c.cache.Resolve(id, e.Job.Phase)
-				h.c.reevaluateAffected()
+				p.core.cache.Resolve(id, e.Job.Phase)
+				p.core.reevaluateAffected()
 			}
 		})
 	}
 }
 
-// writeCancelledBefore writes down that jobs are cancelled with one before them, one at a time:
+// persistDependencyCancellations writes down that jobs are cancelled with one before them, one at a time:
 // every controller says so already.
-func (h *holder) writeCancelledBefore() {
-	if len(h.cancelledBefore) == 0 || h.writingCancelled || h.c.now < h.writeCancelledAt {
+func (p *partitionLeader) persistDependencyCancellations() {
+	if len(p.dependencyCancellations) == 0 || p.cancellationWriteInFlight || p.core.now < p.nextCancellationWriteAt {
 		return
 	}
-	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{{Key: h.c.keys.Partition(h.queue), ModRevision: h.token}}}
-	for _, id := range slices.Sorted(maps.Keys(h.cancelledBefore)) {
-		e := h.c.cache.Jobs[id]
+	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{{Key: p.core.keys.Partition(p.partition), ModRevision: p.fencingToken}}}
+	for _, id := range slices.Sorted(maps.Keys(p.dependencyCancellations)) {
+		e := p.core.cache.Jobs[id]
 		if e == nil || e.Job.Phase != bookkeeping.Active {
-			delete(h.cancelledBefore, id)
+			delete(p.dependencyCancellations, id)
 			continue
 		}
-		if len(r.Puts) < h.c.config.Settings.StateLimits().TxnOps {
-			r.Compares = append(r.Compares, storage.Compare{Key: h.c.keys.Job(id), ModRevision: e.ModRevision})
-			r.Puts = append(r.Puts, storage.Put{Key: h.c.keys.Job(id), Value: storage.Encode(e.Job.Tombstone(bookkeeping.Cancelled))})
+		if len(r.Puts) < p.core.config.Settings.StateLimits().TxnOps {
+			r.Compares = append(r.Compares, storage.Compare{Key: p.core.keys.Job(id), ModRevision: e.ModRevision})
+			r.Puts = append(r.Puts, storage.Put{Key: p.core.keys.Job(id), Value: storage.Encode(e.Job.Tombstone(bookkeeping.Cancelled))})
 		}
 	}
 	if len(r.Puts) == 0 {
 		return
 	}
-	h.writeCancelledAt = h.c.now + 300*micros.Millisecond
-	h.writingCancelled = h.c.callStore(r, storage.Deferrable, storeTimeout, func(*storage.Reply) { h.writingCancelled = false })
+	p.nextCancellationWriteAt = p.core.now + 300*micros.Millisecond
+	p.cancellationWriteInFlight = p.core.callStore(r, storage.Deferrable, storeTimeout, func(*storage.Reply) { p.cancellationWriteInFlight = false })
 }
 
-// startSlack is what the start of a task takes besides its image.
-const startSlack = 2 * micros.Second
+// startOverhead is what the start of a task takes besides its image.
+const startOverhead = 2 * micros.Second
 
-// inheritance is what a job must meet for those that wait on it.
-type inheritance struct {
+// inheritedUrgency is what a job must meet for those that wait on it.
+type inheritedUrgency struct {
 	due      micros.Time // time of day; micros.Max: none
 	priority bookkeeping.Priority
 }
 
-// inheritFrom works back from the jobs after one: it has to be done early enough for what is
+// inheritFromDependents works back from the jobs after one: it has to be done early enough for what is
 // still expected to run after it, its image and start included, and it has the priority
 // of any job that needs it. Exception to the design, whose tasks are independent and have
 // due dates of their own: users set them on the last job only.
-func (h *holder) inheritFrom(id string) inheritance {
-	out := inheritance{due: micros.Max}
-	if len(h.c.cache.Dependents[id]) == 0 {
+func (p *partitionLeader) inheritFromDependents(id string) inheritedUrgency {
+	out := inheritedUrgency{due: micros.Max}
+	if len(p.core.cache.Dependents[id]) == 0 {
 		return out
 	}
-	if got, ok := h.inherited[id]; ok {
+	if got, ok := p.inheritedUrgency[id]; ok {
 		return got
 	}
-	for dep := range h.c.cache.Dependents[id] {
-		e := h.c.cache.Jobs[dep]
+	for dep := range p.core.cache.Dependents[id] {
+		e := p.core.cache.Jobs[dep]
 		if e == nil || e.Job.Phase != bookkeeping.Active || e.CancelledByDependency {
 			continue
 		}
-		after := h.inheritFrom(dep)
+		after := p.inheritFromDependents(dep)
 		due := after.due
 		if e.Job.Deadline > 0 {
 			due = min(due, e.Job.Submitted+e.Job.Deadline)
 		}
 		if due != micros.Max {
-			run := micros.Time(float64(h.c.runtimes.Estimate(e.Job)) * h.c.runtimes.TailRatio(e.Job.Class))
-			out.due = min(out.due, due-run-h.fetchTime(e.Job.ImageGB)-startSlack)
+			run := micros.Time(float64(p.core.runtimes.Estimate(e.Job)) * p.core.runtimes.TailRatio(e.Job.Class))
+			out.due = min(out.due, due-run-p.fetchTime(e.Job.ImageGB)-startOverhead)
 		}
 		out.priority = max(out.priority, after.priority, e.Job.Priority)
 	}
-	if h.inherited == nil {
-		h.inherited = map[string]inheritance{}
+	if p.inheritedUrgency == nil {
+		p.inheritedUrgency = map[string]inheritedUrgency{}
 	}
-	h.inherited[id] = out
+	p.inheritedUrgency[id] = out
 	return out
 }
 
 // fetchTime is how long an image takes to arrive at a machine of the mean.
-func (h *holder) fetchTime(gb float64) micros.Time {
+func (p *partitionLeader) fetchTime(gb float64) micros.Time {
 	sum, n := 0.0, 0
-	for _, t := range h.c.catalog {
+	for _, t := range p.core.catalog {
 		sum += t.FetchGBps
 		n++
 	}
