--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -18,8 +18,8 @@
 	Body   []byte
 }
 
-// EncodeCloud writes a request to the cloud.
-func EncodeCloud(c *coordination.CloudCall) HTTPRequest {
+// EncodeCloudRequest writes a request to the cloud.
+func EncodeCloudRequest(c *coordination.CloudCall) HTTPRequest {
 	switch c.Operation {
 	case coordination.CloudRequestInstances:
 		return HTTPRequest{"POST", "/machines", mustJSON(struct {
@@ -44,7 +44,7 @@
 	}
 }
 
-type hull struct {
+type instanceTypeMessage struct {
 	SKU        string   `json:"sku"`
 	Cores      float64  `json:"cores"`
 	GPUs       float64  `json:"gpus"`
@@ -57,9 +57,9 @@
 	Berths     []string `json:"berths"`
 }
 
-// DecodeCloud reads the cloud's answer. One that cannot be read counts as lost:
+// DecodeCloudReply reads the cloud's answer. One that cannot be read counts as lost:
 // what it was about may have happened.
-func DecodeCloud(kind coordination.CloudOperation, status int, body []byte) (*coordination.CloudReply, error) {
+func DecodeCloudReply(kind coordination.CloudOperation, status int, body []byte) (*coordination.CloudReply, error) {
 	lost := &coordination.CloudReply{Outcome: coordination.CloudOutcomeUnknown}
 	switch status {
 	case 200:
@@ -82,9 +82,9 @@
 	case coordination.CloudCatalog:
 		out.Catalog, err = decodeCatalog(body)
 	case coordination.CloudRequestInstances:
-		out.Names, err = decodeRental(body)
+		out.Names, err = decodeInstanceRequest(body)
 	case coordination.CloudList:
-		out.Instances, out.More, err = decodeMachines(body)
+		out.Instances, out.More, err = decodeInstances(body)
 	}
 	if err != nil {
 		return lost, fmt.Errorf("cloud: %w", err)
@@ -97,7 +97,7 @@
 
 func decodeCatalog(body []byte) (bookkeeping.Catalog, error) {
 	var c struct {
-		Hulls []hull `json:"hulls"`
+		Hulls []instanceTypeMessage `json:"hulls"`
 	}
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil, fmt.Errorf("catalog: %w", err)
@@ -114,7 +114,7 @@
 	return catalog, nil
 }
 
-func decodeRental(body []byte) ([]string, error) {
+func decodeInstanceRequest(body []byte) ([]string, error) {
 	var h struct {
 		Hosts []string `json:"hosts"`
 	}
@@ -129,7 +129,7 @@
 	return h.Hosts, nil
 }
 
-func decodeMachines(body []byte) (machines []coordination.Instance, more bool, err error) {
+func decodeInstances(body []byte) (machines []coordination.Instance, more bool, err error) {
 	var l struct {
 		Hosts []struct {
 			Ref      string  `json:"ref"`
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -65,7 +65,7 @@
 		Usage:    storage.Usage{Requests: 1500, Writes: 2500}, Reachability: []coordination.ZoneReachability{{Partition: 1, Zone: "a", Probed: 8, Answered: 5}},
 		Cancelled: []string{"wk-7", "wk-8"}, CancelledUpTo: 12,
 		CancellationAcks: []coordination.CancellationAck{{From: storage.Process{Member: "b", Incarnation: "y"}, UpTo: 3}}}
-	got, err := DecodeStatus(EncodeStatus(s))
+	got, err := DecodePeerStatus(EncodePeerStatus(s))
 	if err != nil || !reflect.DeepEqual(got, s) {
 		t.Errorf("got %+v, %v", got, err)
 	}
@@ -73,25 +73,25 @@
 
 // TestDamagedInput feeds noise to every decoder: none may panic.
 func TestDamagedInput(t *testing.T) {
-	raw := EncodeStatus(&coordination.PeerStatus{From: storage.Process{Member: "a"}, TerminatedMachines: []string{"vm-1", "vm-2"}})
+	raw := EncodePeerStatus(&coordination.PeerStatus{From: storage.Process{Member: "a"}, TerminatedMachines: []string{"vm-1", "vm-2"}})
 	rapid.Check(t, func(t *rapid.T) {
 		b := append([]byte(nil), raw...)
 		for range rapid.IntRange(1, 8).Draw(t, "damage") {
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
-		_, _ = DecodeStatus(b)
+		_, _ = DecodePeerStatus(b)
 		noise := []byte(rapid.String().Draw(t, "noise"))
 		for _, body := range [][]byte{noise, b} {
 			_, _, _ = ParseSubmission(body)
-			_, _ = ParseReport(body)
+			_, _ = ParseHeartbeat(body)
 			for _, status := range []int{200, 404, 409, 410, 503, 400, 302} {
-				if r, _ := DecodeState(storage.Watch, status, body); r == nil {
+				if r, _ := DecodeStoreReply(storage.Watch, status, body); r == nil {
 					t.Fatal("no reply")
 				}
-				if r, _ := DecodeCloud(coordination.CloudList, status, body); r == nil {
+				if r, _ := DecodeCloudReply(coordination.CloudList, status, body); r == nil {
 					t.Fatal("no reply")
 				}
-				if DecodeWorker(status, body) == nil {
+				if DecodeAgent(status, body) == nil {
 					t.Fatal("no reply")
 				}
 			}
@@ -100,13 +100,13 @@
 }
 
 func TestUnreadableAnswersCountAsLost(t *testing.T) {
-	if r, err := DecodeState(storage.Txn, 200, []byte("<html>")); r.Outcome != storage.OutcomeUnknown || err == nil {
+	if r, err := DecodeStoreReply(storage.Txn, 200, []byte("<html>")); r.Outcome != storage.OutcomeUnknown || err == nil {
 		t.Errorf("state: %v %v", r.Outcome, err)
 	}
-	if r, err := DecodeCloud(coordination.CloudRequestInstances, 200, []byte(`{"hosts":[""]}`)); r.Outcome != coordination.CloudOutcomeUnknown || err == nil {
+	if r, err := DecodeCloudReply(coordination.CloudRequestInstances, 200, []byte(`{"hosts":[""]}`)); r.Outcome != coordination.CloudOutcomeUnknown || err == nil {
 		t.Errorf("cloud: %v %v", r.Outcome, err)
 	}
-	if r := DecodeWorker(200, []byte(`{"host":"vm-1","tenure":1,"shards":[{"shard":"wk-1/0","try":1,"phase":"dreaming"}]}`)); r.Heartbeat != nil {
+	if r := DecodeAgent(200, []byte(`{"host":"vm-1","tenure":1,"shards":[{"shard":"wk-1/0","try":1,"phase":"dreaming"}]}`)); r.Heartbeat != nil {
 		t.Error("worker: an unknown state was believed")
 	}
 }
@@ -136,8 +136,8 @@
 	demand := tracker.Demand(2)
 	s := &coordination.PeerStatus{From: storage.Process{Member: "a", Incarnation: "x"}, Demand: &demand, Partitions: []coordination.PartitionStatus{{
 		Partition: 1, FencingToken: 9, Lags: []admission.FlowLag{{Flow: flow, Lag: admission.Lag{Team: 5, Class: -7}}}}}}
-	raw := EncodeStatus(s)
-	got, err := DecodeStatus(raw)
+	raw := EncodePeerStatus(s)
+	got, err := DecodePeerStatus(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,7 +160,7 @@
 		t.Fatal("the sketch is not in the message as it is")
 	}
 	raw[at] = 99 // a version that does not exist
-	if got, err = DecodeStatus(raw); err != nil || got.Demand != nil || len(got.Partitions) != 1 {
+	if got, err = DecodePeerStatus(raw); err != nil || got.Demand != nil || len(got.Partitions) != 1 {
 		t.Errorf("damaged: %+v, %v", got, err)
 	}
 }
--- a/internal/protocol/siblings.go
+++ b/internal/protocol/siblings.go
@@ -15,8 +15,8 @@
 
 //go:generate flatc --go siblings.fbs
 
-// MaxStatus bounds a message between controllers.
-const MaxStatus = 1 << 20
+// MaxPeerStatusBytes bounds a message between controllers.
+const MaxPeerStatusBytes = 1 << 20
 
 func strings(b *flatbuffers.Builder, list []string) flatbuffers.UOffsetT {
 	offs := make([]flatbuffers.UOffsetT, len(list))
@@ -34,11 +34,11 @@
 	return b.EndVector(len(offs))
 }
 
-// EncodeStatus writes a message to a sibling.
-func EncodeStatus(s *coordination.PeerStatus) []byte {
+// EncodePeerStatus writes a message to a sibling.
+func EncodePeerStatus(s *coordination.PeerStatus) []byte {
 	b := flatbuffers.NewBuilder(1024)
-	queues, shifts, progress := encodeQueues(b, s.Partitions), encodeShifts(b, s.Transfers), encodeProgress(b, s.Progress)
-	reach, heard := encodeReach(b, s.Reachability), encodeCancelsHeard(b, s.CancellationAcks)
+	queues, shifts, progress := encodePartitions(b, s.Partitions), encodeTransfers(b, s.Transfers), encodeProgress(b, s.Progress)
+	reach, heard := encodeReachability(b, s.Reachability), encodeCancellationAcks(b, s.CancellationAcks)
 	cancelled, gone := strings(b, s.Cancelled), strings(b, s.TerminatedMachines)
 	demand := encodeDemand(b, s.Demand)
 	member, incarnation := b.CreateString(s.From.Member), b.CreateString(s.From.Incarnation)
@@ -64,10 +64,10 @@
 	return b.FinishedBytes()
 }
 
-func encodeQueues(b *flatbuffers.Builder, list []coordination.PartitionStatus) flatbuffers.UOffsetT {
+func encodePartitions(b *flatbuffers.Builder, list []coordination.PartitionStatus) flatbuffers.UOffsetT {
 	var queues []flatbuffers.UOffsetT
 	for _, q := range list {
-		needs, release, idle, lost := encodeNeeds(b, q.CapacityRequests), strings(b, q.Terminate), strings(b, q.Idle), strings(b, q.UnreachableZones)
+		needs, release, idle, lost := encodeCapacityRequests(b, q.CapacityRequests), strings(b, q.Terminate), strings(b, q.Idle), strings(b, q.UnreachableZones)
 		lags := encodeLags(b, q.Lags)
 		wire.QueueStatusStart(b)
 		wire.QueueStatusAddQueue(b, int32(q.Partition))
@@ -82,7 +82,7 @@
 	return vector(b, queues)
 }
 
-func encodeNeeds(b *flatbuffers.Builder, list []fleet.CapacityRequest) flatbuffers.UOffsetT {
+func encodeCapacityRequests(b *flatbuffers.Builder, list []fleet.CapacityRequest) flatbuffers.UOffsetT {
 	var needs []flatbuffers.UOffsetT
 	for _, n := range list {
 		types, zone := strings(b, n.InstanceTypes), b.CreateString(n.Zone)
@@ -103,7 +103,7 @@
 	return vector(b, needs)
 }
 
-func encodeShifts(b *flatbuffers.Builder, list []coordination.MachineTransfer) flatbuffers.UOffsetT {
+func encodeTransfers(b *flatbuffers.Builder, list []coordination.MachineTransfer) flatbuffers.UOffsetT {
 	var shifts []flatbuffers.UOffsetT
 	for _, sh := range list {
 		m := b.CreateString(sh.Machine)
@@ -128,7 +128,7 @@
 	return vector(b, progress)
 }
 
-func encodeReach(b *flatbuffers.Builder, list []coordination.ZoneReachability) flatbuffers.UOffsetT {
+func encodeReachability(b *flatbuffers.Builder, list []coordination.ZoneReachability) flatbuffers.UOffsetT {
 	var reach []flatbuffers.UOffsetT
 	for _, z := range list {
 		zone := b.CreateString(z.Zone)
@@ -142,7 +142,7 @@
 	return vector(b, reach)
 }
 
-func encodeCancelsHeard(b *flatbuffers.Builder, list []coordination.CancellationAck) flatbuffers.UOffsetT {
+func encodeCancellationAcks(b *flatbuffers.Builder, list []coordination.CancellationAck) flatbuffers.UOffsetT {
 	var heard []flatbuffers.UOffsetT
 	for _, h := range list {
 		member, incarnation := b.CreateString(h.From.Member), b.CreateString(h.From.Incarnation)
@@ -227,9 +227,9 @@
 	return out
 }
 
-// DecodeStatus reads a message from a sibling. FlatBuffers are not verified when
+// DecodePeerStatus reads a message from a sibling. FlatBuffers are not verified when
 // they are read, so a damaged one ends in a panic, which becomes an error here.
-func DecodeStatus(raw []byte) (s *coordination.PeerStatus, err error) {
+func DecodePeerStatus(raw []byte) (s *coordination.PeerStatus, err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			s, err = nil, fmt.Errorf("damaged status: %v", r)
@@ -257,7 +257,7 @@
 	for i := range w.QueuesLength() {
 		var q wire.QueueStatus
 		w.Queues(&q, i)
-		s.Partitions = append(s.Partitions, decodeQueue(&q))
+		s.Partitions = append(s.Partitions, decodePartition(&q))
 	}
 	for i := range w.ShiftsLength() {
 		var sh wire.Shift
@@ -281,7 +281,7 @@
 	return s, nil
 }
 
-func decodeQueue(q *wire.QueueStatus) coordination.PartitionStatus {
+func decodePartition(q *wire.QueueStatus) coordination.PartitionStatus {
 	out := coordination.PartitionStatus{Partition: int(q.Queue()), FencingToken: q.Token(),
 		Terminate: stringList(q.ReleaseLength(), q.Release), Idle: stringList(q.IdleLength(), q.Idle), UnreachableZones: stringList(q.LostLength(), q.Lost)}
 	for k := range q.LagsLength() {
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -22,8 +22,8 @@
 	Delete string          `json:"delete,omitempty"`
 }
 
-// EncodeState writes a request to the state service.
-func EncodeState(r *storage.Request) HTTPRequest {
+// EncodeStoreRequest writes a request to the state service.
+func EncodeStoreRequest(r *storage.Request) HTTPRequest {
 	switch r.Kind {
 	case storage.Get:
 		return HTTPRequest{"GET", "/store/" + r.Key, nil}
@@ -81,10 +81,10 @@
 	} `json:"log"`
 }
 
-// DecodeState reads the state service's answer. One that cannot be read counts
+// DecodeStoreReply reads the state service's answer. One that cannot be read counts
 // as lost.
-func DecodeState(kind storage.RequestKind, status int, body []byte) (*storage.Reply, error) {
-	outcome, err := stateOutcome(kind, status, body)
+func DecodeStoreReply(kind storage.RequestKind, status int, body []byte) (*storage.Reply, error) {
+	outcome, err := storeOutcome(kind, status, body)
 	out := &storage.Reply{Outcome: outcome}
 	switch outcome {
 	case storage.OK, storage.NotFound, storage.Conflict:
@@ -118,8 +118,8 @@
 	return out, nil
 }
 
-// stateOutcome is what a status means.
-func stateOutcome(kind storage.RequestKind, status int, body []byte) (storage.Outcome, error) {
+// storeOutcome is what a status means.
+func storeOutcome(kind storage.RequestKind, status int, body []byte) (storage.Outcome, error) {
 	switch status {
 	case 200, 201, 204:
 		return storage.OK, nil
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -22,10 +22,10 @@
 // MaxTasks is the most tasks a job may have.
 const MaxTasks = 100_000
 
-var refForm = regexp.MustCompile(`^wk-[0-9]{1,20}$`)
+var jobIDPattern = regexp.MustCompile(`^wk-[0-9]{1,20}$`)
 
-// ValidRef tells whether a job id has the one form that ids have.
-func ValidRef(ref string) bool { return refForm.MatchString(ref) }
+// ValidJobID tells whether a job id has the one form that ids have.
+func ValidJobID(ref string) bool { return jobIDPattern.MatchString(ref) }
 
 type submission struct {
 	Ref            *string  `json:"ref"`
@@ -67,7 +67,7 @@
 	if err := json.Unmarshal(body, &probe); err != nil {
 		return "", nil, fmt.Errorf("not JSON: %w", err)
 	}
-	if ref, ok := probe.Ref.(string); ok && ValidRef(ref) {
+	if ref, ok := probe.Ref.(string); ok && ValidJobID(ref) {
 		id = ref
 	} else {
 		return "", nil, errors.New("ref: missing or not of the form wk-000000")
@@ -161,7 +161,7 @@
 	}
 	named := map[string]bool{}
 	for _, ref := range s.WaitsOn {
-		if !ValidRef(ref) {
+		if !ValidJobID(ref) {
 			errs = append(errs, errors.New("waits_on: an entry is not of the form wk-000000"))
 			break
 		}
@@ -184,8 +184,8 @@
 	Running int    `json:"running"`
 }
 
-// EncodeJob writes a job's state.
-func EncodeJob(v coordination.JobStatus) []byte {
+// EncodeJobStatus writes a job's state.
+func EncodeJobStatus(v coordination.JobStatus) []byte {
 	s := JobState{v.ID, "queued", v.Done, v.Running}
 	switch {
 	case v.Phase == bookkeeping.Done:
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -39,8 +39,8 @@
 	verbs = map[coordination.Operation]string{coordination.Start: "run", coordination.Stop: "kill", coordination.Forget: "forget"}
 )
 
-// ParseReport reads a worker's report.
-func ParseReport(body []byte) (*coordination.Heartbeat, error) {
+// ParseHeartbeat reads a worker's report.
+func ParseHeartbeat(body []byte) (*coordination.Heartbeat, error) {
 	var r report
 	if err := json.Unmarshal(body, &r); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
@@ -81,7 +81,7 @@
 	WindDownS *float64 `json:"wind_down_s,omitempty"`
 }
 
-func orders(cmds []coordination.Command) []order {
+func commandMessages(cmds []coordination.Command) []order {
 	out := make([]order, 0, len(cmds))
 	for _, c := range cmds {
 		o := order{Verb: verbs[c.Operation], Shard: taskID(c.Job, c.Task), Try: c.Number}
@@ -94,16 +94,16 @@
 	return out
 }
 
-// EncodeOrders writes the answer to a report.
-func EncodeOrders(token uint64, cmds []coordination.Command) []byte {
+// EncodeHeartbeatReply writes the answer to a report.
+func EncodeHeartbeatReply(token uint64, cmds []coordination.Command) []byte {
 	return mustJSON(struct {
 		Warrant uint64  `json:"warrant"`
 		Orders  []order `json:"orders"`
-	}{token, orders(cmds)})
+	}{token, commandMessages(cmds)})
 }
 
-// EncodeElsewhere writes the answer that sends a worker to another controller.
-func EncodeElsewhere(steward string) []byte {
+// EncodeRedirect writes the answer that sends a worker to another controller.
+func EncodeRedirect(steward string) []byte {
 	return mustJSON(struct {
 		Steward string `json:"steward,omitempty"`
 	}{steward})
@@ -115,15 +115,15 @@
 		Warrant uint64  `json:"warrant"`
 		Tenure  uint64  `json:"tenure"`
 		Orders  []order `json:"orders"`
-	}{c.FencingToken, c.AgentEpoch, orders(c.Commands)})
+	}{c.FencingToken, c.AgentEpoch, commandMessages(c.Commands)})
 }
 
-// DecodeWorker reads a worker's answer; anything but a report counts as none.
-func DecodeWorker(status int, body []byte) *coordination.AgentReply {
+// DecodeAgent reads a worker's answer; anything but a report counts as none.
+func DecodeAgent(status int, body []byte) *coordination.AgentReply {
 	if status != 200 && status != 409 {
 		return &coordination.AgentReply{}
 	}
-	r, err := ParseReport(body)
+	r, err := ParseHeartbeat(body)
 	if err != nil {
 		return &coordination.AgentReply{}
 	}
--- a/internal/scenario/checks_test.go
+++ b/internal/scenario/checks_test.go
@@ -142,7 +142,7 @@
 		}
 		cancelled, heard := false, false
 		for i, raw := range d.Status {
-			s, err := protocol.DecodeStatus(raw)
+			s, err := protocol.DecodePeerStatus(raw)
 			if err != nil {
 				t.Errorf("%s: message %d: %v", version, i, err)
 				continue
--- a/internal/scenario/digest_test.go
+++ b/internal/scenario/digest_test.go
@@ -154,7 +154,7 @@
 			f.Asked.Estimate() // merges what was inserted into the sorted list
 		}
 		status.Demand = &demand
-		raw = protocol.EncodeStatus(&status)
+		raw = protocol.EncodePeerStatus(&status)
 	}
 	d.message(n, "sibling:status", p.To, raw)
 }
@@ -168,9 +168,9 @@
 	kind, body := "", []byte(nil)
 	switch a.Kind {
 	case coordination.JobAccepted:
-		kind, body = "accepted", protocol.EncodeJob(a.Job)
+		kind, body = "accepted", protocol.EncodeJobStatus(a.Job)
 	case coordination.JobFound:
-		kind, body = "job", protocol.EncodeJob(a.Job)
+		kind, body = "job", protocol.EncodeJobStatus(a.Job)
 	case coordination.RequestMalformed:
 		kind = "malformed"
 	case coordination.JobUnschedulable:
@@ -182,9 +182,9 @@
 	case coordination.Overloaded:
 		kind = "overloaded"
 	case coordination.HeartbeatAcknowledged:
-		kind, body = "commands", protocol.EncodeOrders(a.FencingToken, a.Commands)
+		kind, body = "commands", protocol.EncodeHeartbeatReply(a.FencingToken, a.Commands)
 	case coordination.HeartbeatRedirected:
-		kind, body = "elsewhere", protocol.EncodeElsewhere(a.RedirectTo)
+		kind, body = "elsewhere", protocol.EncodeRedirect(a.RedirectTo)
 	default:
 		panic("an answer of unknown kind")
 	}
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -111,7 +111,7 @@
 	check := func(n *node, what string, a coordination.Response) {
 		switch a.Kind {
 		case coordination.JobAccepted, coordination.JobFound:
-			u.hear(j, protocol.EncodeJob(a.Job))
+			u.hear(j, protocol.EncodeJobStatus(a.Job))
 			if (done && a.Job.Phase != bookkeeping.Done) || (cancelled && a.Job.Phase != bookkeeping.Cancelled) {
 				u.w.breakRule("went_back", "%s: %s at %s is answered with something older", j.ref, what, n.name)
 			}
--- a/internal/scenario/users_test.go
+++ b/internal/scenario/users_test.go
@@ -177,9 +177,9 @@
 			status, body := 503, []byte(nil)
 			switch a.Kind {
 			case coordination.JobAccepted:
-				status, body = 201, protocol.EncodeJob(a.Job)
+				status, body = 201, protocol.EncodeJobStatus(a.Job)
 			case coordination.JobFound:
-				status, body = 200, protocol.EncodeJob(a.Job)
+				status, body = 200, protocol.EncodeJobStatus(a.Job)
 			case coordination.RequestMalformed:
 				status = 400
 			case coordination.JobUnschedulable:
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -257,7 +257,7 @@
 			w.send(n.name, m.name, func() { end(0, nil) })
 			return
 		}
-		rep, err := protocol.ParseReport(raw)
+		rep, err := protocol.ParseHeartbeat(raw)
 		if err != nil {
 			w.breakRule("bench", "a report cannot be read: %v", err)
 			return
@@ -268,9 +268,9 @@
 			status, body := 503, []byte(nil)
 			switch a.Kind {
 			case coordination.HeartbeatAcknowledged:
-				status, body = 200, protocol.EncodeOrders(a.FencingToken, a.Commands)
+				status, body = 200, protocol.EncodeHeartbeatReply(a.FencingToken, a.Commands)
 			case coordination.HeartbeatRedirected:
-				status, body = 421, protocol.EncodeElsewhere(a.RedirectTo)
+				status, body = 421, protocol.EncodeRedirect(a.RedirectTo)
 			}
 			w.send(n.name, m.name, func() { end(status, body) })
 		})
@@ -279,7 +279,7 @@
 
 // copyOf hands in a copy of a report: nobody waits for the answer.
 func (n *node) copyOf(raw []byte) {
-	if rep, err := protocol.ParseReport(raw); err == nil && n.up() {
+	if rep, err := protocol.ParseHeartbeat(raw); err == nil && n.up() {
 		n.ask(func(id coordination.RequestID) coordination.Input {
 			return &coordination.HeartbeatRequest{Request: id, Heartbeat: rep}
 		}, func(coordination.Response) {})
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -271,23 +271,23 @@
 }
 
 func (n *node) callState(c coordination.StoreCall) {
-	req := protocol.EncodeState(c.Request)
+	req := protocol.EncodeStoreRequest(c.Request)
 	n.w.digest.request(n, "state", req, c.Timeout)
 	n.call("state", c.Timeout, func(reply func(int, []byte)) {
 		n.w.state.handle(n.name, req, reply)
 	}, func(status int, body []byte) {
-		r, _ := protocol.DecodeState(c.Request.Kind, status, body)
+		r, _ := protocol.DecodeStoreReply(c.Request.Kind, status, body)
 		n.step(&coordination.StoreCompletion{Call: c.Call, Reply: r})
 	})
 }
 
 func (n *node) callCloud(c coordination.CloudCall) {
-	req := protocol.EncodeCloud(&c)
+	req := protocol.EncodeCloudRequest(&c)
 	n.w.digest.request(n, "cloud", req, c.Timeout)
 	n.call("cloud", c.Timeout, func(reply func(int, []byte)) {
 		n.w.cloud.handle(req, reply)
 	}, func(status int, body []byte) {
-		r, _ := protocol.DecodeCloud(c.Operation, status, body)
+		r, _ := protocol.DecodeCloudReply(c.Operation, status, body)
 		n.step(&coordination.CloudCompletion{Call: c.Call, Reply: r})
 	})
 }
@@ -322,20 +322,20 @@
 		}
 	}, func(status int, body []byte) {
 		n.calling--
-		n.step(&coordination.AgentCompletion{Call: c.Call, Reply: protocol.DecodeWorker(status, body)})
+		n.step(&coordination.AgentCompletion{Call: c.Call, Reply: protocol.DecodeAgent(status, body)})
 	})
 }
 
 // tell sends a message to a sibling, over the wire's form.
 func (n *node) tell(p coordination.PeerMessage) {
-	raw := protocol.EncodeStatus(p.Status)
+	raw := protocol.EncodePeerStatus(p.Status)
 	n.w.digest.status(n, p, raw)
 	o := n.w.node(p.To)
 	if o == nil {
 		return
 	}
 	n.w.send(n.name, o.name, func() {
-		if s, err := protocol.DecodeStatus(raw); err == nil {
+		if s, err := protocol.DecodePeerStatus(raw); err == nil {
 			o.step(s)
 		}
 	})
--- a/internal/transport/bounds_test.go
+++ b/internal/transport/bounds_test.go
@@ -32,7 +32,7 @@
 	cfg.Settings.MachineLimits.MaxConnections = 100
 	c := newClients(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	call := func(kind storage.RequestKind) storage.Outcome {
-		return c.state(context.Background(), &coordination.StoreCall{Request: &storage.Request{Kind: kind, Key: "pl/"}, Timeout: 10 * micros.Second}).Outcome
+		return c.callStore(context.Background(), &coordination.StoreCall{Request: &storage.Request{Kind: kind, Key: "pl/"}, Timeout: 10 * micros.Second}).Outcome
 	}
 	if got := call(storage.Watch); got != storage.Compacted {
 		t.Errorf("a watch: %v", got)
@@ -51,7 +51,7 @@
 	}
 	var out bytes.Buffer
 	l := &boundedListener{Listener: inner, most: 2, log: slog.New(slog.NewTextHandler(&out, nil)),
-		refusals: rate.Sometimes{First: 1, Interval: refusalsLogged}}
+		refusals: rate.Sometimes{First: 1, Interval: refusalLogInterval}}
 	accepted := make(chan net.Conn, 10)
 	done := make(chan struct{})
 	go func() {
@@ -89,7 +89,7 @@
 func TestInputQueueHoldsAFleet(t *testing.T) {
 	cfg := &config.Config{}
 	cfg.Settings.MachineLimits.MaxConnections = 10_800
-	if got := inputQueue(cfg); got < 10_800 {
+	if got := inputQueueSize(cfg); got < 10_800 {
 		t.Errorf("%d", got)
 	}
 }
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -93,11 +93,11 @@
 	return resp.StatusCode, b, nil
 }
 
-func (c *clients) state(ctx context.Context, call *coordination.StoreCall) *storage.Reply {
-	status, body, err := c.do(ctx, c.service, c.cfg.Services.State, protocol.EncodeState(call.Request), call.Timeout, maxStateAnswer)
+func (c *clients) callStore(ctx context.Context, call *coordination.StoreCall) *storage.Reply {
+	status, body, err := c.do(ctx, c.service, c.cfg.Services.State, protocol.EncodeStoreRequest(call.Request), call.Timeout, maxStateAnswer)
 	if err == nil {
 		var r *storage.Reply
-		if r, err = protocol.DecodeState(call.Request.Kind, status, body); err == nil {
+		if r, err = protocol.DecodeStoreReply(call.Request.Kind, status, body); err == nil {
 			return r
 		}
 		c.log.Warn("state service", "err", err)
@@ -113,11 +113,11 @@
 	return &storage.Reply{Outcome: storage.OutcomeUnknown}
 }
 
-func (c *clients) cloud(ctx context.Context, call *coordination.CloudCall) *coordination.CloudReply {
-	status, body, err := c.do(ctx, c.service, c.cfg.Services.Cloud, protocol.EncodeCloud(call), call.Timeout, maxCloudAnswer)
+func (c *clients) callCloud(ctx context.Context, call *coordination.CloudCall) *coordination.CloudReply {
+	status, body, err := c.do(ctx, c.service, c.cfg.Services.Cloud, protocol.EncodeCloudRequest(call), call.Timeout, maxCloudAnswer)
 	if err == nil {
 		var r *coordination.CloudReply
-		if r, err = protocol.DecodeCloud(call.Operation, status, body); err == nil {
+		if r, err = protocol.DecodeCloudReply(call.Operation, status, body); err == nil {
 			return r
 		}
 		c.log.Warn("cloud", "err", err)
@@ -127,7 +127,7 @@
 	return &coordination.CloudReply{Outcome: coordination.CloudOutcomeUnknown}
 }
 
-func (c *clients) worker(ctx context.Context, call *coordination.AgentCall) *coordination.AgentReply {
+func (c *clients) callAgent(ctx context.Context, call *coordination.AgentCall) *coordination.AgentReply {
 	r := protocol.HTTPRequest{Method: "GET", Path: "/show"}
 	if !call.StatusOnly {
 		r = protocol.HTTPRequest{Method: "POST", Path: "/commands", Body: protocol.EncodeCommands(call)}
@@ -137,5 +137,5 @@
 		c.log.Debug("worker", "machine", call.Machine, "err", err)
 		return &coordination.AgentReply{}
 	}
-	return protocol.DecodeWorker(status, body)
+	return protocol.DecodeAgent(status, body)
 }
--- a/internal/transport/driver.go
+++ b/internal/transport/driver.go
@@ -24,9 +24,9 @@
 // minInputQueue bounds the inputs waiting for the loop where there are few sockets.
 const minInputQueue = 2048
 
-// inputQueue bounds the inputs waiting for the loop: every connection has one request in
+// inputQueueSize bounds the inputs waiting for the loop: every connection has one request in
 // progress at most, so that a whole fleet that reports in the same instant finds room.
-func inputQueue(cfg *config.Config) int {
+func inputQueueSize(cfg *config.Config) int {
 	return max(minInputQueue, cfg.Settings.MachineLimits.MaxConnections)
 }
 
@@ -45,14 +45,14 @@
 	waiting map[coordination.RequestID]chan coordination.Response
 
 	clients  *clients
-	siblings *siblings
+	siblings *peerLinks
 
 	badReports rate.Sometimes // bounds what malformed reports make us log
 }
 
 // Run serves until ctx ends.
 func Run(ctx context.Context, cfg *config.Config, log *slog.Logger) error {
-	d := &Driver{cfg: cfg, log: log, start: time.Now(), inputs: make(chan coordination.Input, inputQueue(cfg)),
+	d := &Driver{cfg: cfg, log: log, start: time.Now(), inputs: make(chan coordination.Input, inputQueueSize(cfg)),
 		waiting:    map[coordination.RequestID]chan coordination.Response{},
 		badReports: rate.Sometimes{First: 3, Interval: 5 * time.Second}}
 	incarnation := rand.Text()
@@ -72,11 +72,11 @@
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d.siblings = newSiblings(cfg, log, d.inputs)
+	d.siblings = newPeerLinks(cfg, log, d.inputs)
 	d.siblings.run(ctx, internal)
 
 	listener := &boundedListener{Listener: users, most: int64(cfg.Sockets().Serve), log: log,
-		refusals: rate.Sometimes{First: 1, Interval: refusalsLogged}}
+		refusals: rate.Sometimes{First: 1, Interval: refusalLogInterval}}
 	server := &http.Server{
 		Handler:           d.routes(listener),
 		ReadHeaderTimeout: 5 * time.Second,
@@ -129,14 +129,14 @@
 		out := d.core.Step(begin, time.Now().UnixMicro(), batch...)
 		d.core.ObserveStepDuration(d.steady() - begin)
 		clear(batch)
-		d.carryOut(ctx, out)
+		d.execute(ctx, out)
 		d.healthy.Store(d.core.Healthy())
 		d.stepped.Store(d.steady())
 		timer.Reset(micros.Duration(max(0, out.NextTick-d.steady())))
 	}
 }
 
-func (d *Driver) carryOut(ctx context.Context, out *coordination.Output) {
+func (d *Driver) execute(ctx context.Context, out *coordination.Output) {
 	for _, l := range out.LogRecords {
 		d.log.Log(ctx, slog.Level(l.Level), l.Message, l.Attributes...)
 	}
@@ -145,23 +145,29 @@
 	}
 	for i := range out.StoreCalls {
 		c := &out.StoreCalls[i]
-		go func() { d.put(ctx, &coordination.StoreCompletion{Call: c.Call, Reply: d.clients.state(ctx, c)}) }()
+		go func() {
+			d.enqueue(ctx, &coordination.StoreCompletion{Call: c.Call, Reply: d.clients.callStore(ctx, c)})
+		}()
 	}
 	for i := range out.CloudCalls {
 		c := &out.CloudCalls[i]
-		go func() { d.put(ctx, &coordination.CloudCompletion{Call: c.Call, Reply: d.clients.cloud(ctx, c)}) }()
+		go func() {
+			d.enqueue(ctx, &coordination.CloudCompletion{Call: c.Call, Reply: d.clients.callCloud(ctx, c)})
+		}()
 	}
 	for i := range out.AgentCalls {
 		c := &out.AgentCalls[i]
-		go func() { d.put(ctx, &coordination.AgentCompletion{Call: c.Call, Reply: d.clients.worker(ctx, c)}) }()
+		go func() {
+			d.enqueue(ctx, &coordination.AgentCompletion{Call: c.Call, Reply: d.clients.callAgent(ctx, c)})
+		}()
 	}
 	for _, p := range out.PeerMessages {
 		d.siblings.send(p.To, p.Status)
 	}
 }
 
-// put hands in a completion; those must not get lost.
-func (d *Driver) put(ctx context.Context, in coordination.Input) {
+// enqueue hands in a completion; those must not get lost.
+func (d *Driver) enqueue(ctx context.Context, in coordination.Input) {
 	select {
 	case d.inputs <- in:
 	case <-ctx.Done():
@@ -178,9 +184,9 @@
 	}
 }
 
-// ask hands a request to the core and waits for the answer; none in time, or no
+// request hands a request to the core and waits for the answer; none in time, or no
 // room for it, is the false return.
-func (d *Driver) ask(ctx context.Context, patience time.Duration, input func(coordination.RequestID) coordination.Input) (coordination.Response, bool) {
+func (d *Driver) request(ctx context.Context, patience time.Duration, input func(coordination.RequestID) coordination.Input) (coordination.Response, bool) {
 	ch := d.expect()
 	d.mu.Lock()
 	d.nextReq++
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -25,8 +25,8 @@
 	refusals rate.Sometimes // bounds what refused connections make us log
 }
 
-// refusalsLogged is how often refused connections are logged.
-const refusalsLogged = 10 * time.Second
+// refusalLogInterval is how often refused connections are logged.
+const refusalLogInterval = 10 * time.Second
 
 type boundedConn struct {
 	net.Conn
@@ -59,9 +59,9 @@
 	return c.Conn.Close()
 }
 
-// sparing ends users' connections with their answers while sockets are short: a
+// closeUserConnections ends users' connections with their answers while sockets are short: a
 // worker that finds none loses its tasks when its lease ends, a user comes again.
-func (l *boundedListener) sparing(next http.Handler) http.Handler {
+func (l *boundedListener) closeUserConnections(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if l.open.Load() > l.most*7/8 {
 			w.Header().Set("Connection", "close")
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -15,9 +15,9 @@
 	"pipitlatch/internal/protocol"
 )
 
-// patience is how long a request may be in progress: users and workers give up
+// requestTimeout is how long a request may be in progress: users and workers give up
 // after 5 s and 4 s.
-const patience = 3500 * time.Millisecond
+const requestTimeout = 3500 * time.Millisecond
 
 // requestLimit limits users' requests in progress; the limit adjusts itself to how
 // long they take. What is above it is refused at once, never queued. Reports,
@@ -51,20 +51,20 @@
 func (d *Driver) routes(l *boundedListener) http.Handler {
 	limit := newRequestLimit(uint(d.cfg.Operator.MaxInProgress))
 	r := chi.NewRouter()
-	r.Get("/up", d.up)
-	r.Post("/v1/report", d.report)
+	r.Get("/up", d.serveHealth)
+	r.Post("/v1/report", d.serveHeartbeat)
 	r.Route("/submissions", func(r chi.Router) {
-		r.Use(l.sparing)
-		r.Post("/", limit.guard(d.submit, d.shed))
+		r.Use(l.closeUserConnections)
+		r.Post("/", limit.guard(d.submit, d.reportShed))
 		r.Get("/{id}", limit.guard(d.lookup, func() {}))
 		r.Post("/{id}/abort", d.abort)
 	})
 	return r
 }
 
-// shed tells the core that a submission was refused unread. One that finds no room does not
+// reportShed tells the core that a submission was refused unread. One that finds no room does not
 // matter: then there are many.
-func (d *Driver) shed() {
+func (d *Driver) reportShed() {
 	select {
 	case d.inputs <- &coordination.LoadShed{}:
 	default:
@@ -83,7 +83,7 @@
 	write(w, status, protocol.EncodeError(why))
 }
 
-func (d *Driver) up(w http.ResponseWriter, _ *http.Request) {
+func (d *Driver) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	if !d.healthy.Load() || d.steady()-d.stepped.Load() > 2*micros.Second {
 		refuse(w, http.StatusServiceUnavailable, "not ready", micros.Second)
 		return
@@ -106,18 +106,18 @@
 	return nil, false
 }
 
-// user asks the core and writes its answer to a user.
-func (d *Driver) user(w http.ResponseWriter, r *http.Request, input func(coordination.RequestID) coordination.Input) {
-	a, ok := d.ask(r.Context(), patience, input)
+// serveUser asks the core and writes its answer to a user.
+func (d *Driver) serveUser(w http.ResponseWriter, r *http.Request, input func(coordination.RequestID) coordination.Input) {
+	a, ok := d.request(r.Context(), requestTimeout, input)
 	if !ok {
 		refuse(w, http.StatusServiceUnavailable, "no answer in time", micros.Second)
 		return
 	}
 	switch a.Kind {
 	case coordination.JobAccepted:
-		write(w, http.StatusCreated, protocol.EncodeJob(a.Job))
+		write(w, http.StatusCreated, protocol.EncodeJobStatus(a.Job))
 	case coordination.JobFound:
-		write(w, http.StatusOK, protocol.EncodeJob(a.Job))
+		write(w, http.StatusOK, protocol.EncodeJobStatus(a.Job))
 	case coordination.RequestMalformed:
 		write(w, http.StatusBadRequest, protocol.EncodeError(a.Text))
 	case coordination.JobUnschedulable:
@@ -141,56 +141,56 @@
 	if err != nil {
 		fault, job = err.Error(), nil
 	}
-	d.user(w, r, func(req coordination.RequestID) coordination.Input {
+	d.serveUser(w, r, func(req coordination.RequestID) coordination.Input {
 		return &coordination.Submit{Request: req, ID: id, Job: job, Fault: fault}
 	})
 }
 
 func (d *Driver) lookup(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
-	if !protocol.ValidRef(id) {
+	if !protocol.ValidJobID(id) {
 		write(w, http.StatusNotFound, protocol.EncodeError("no such job"))
 		return
 	}
-	d.user(w, r, func(req coordination.RequestID) coordination.Input {
+	d.serveUser(w, r, func(req coordination.RequestID) coordination.Input {
 		return &coordination.Lookup{Request: req, ID: id}
 	})
 }
 
 func (d *Driver) abort(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
-	if !protocol.ValidRef(id) {
+	if !protocol.ValidJobID(id) {
 		write(w, http.StatusNotFound, protocol.EncodeError("no such job"))
 		return
 	}
-	d.user(w, r, func(req coordination.RequestID) coordination.Input {
+	d.serveUser(w, r, func(req coordination.RequestID) coordination.Input {
 		return &coordination.Cancel{Request: req, ID: id}
 	})
 }
 
-// maxReport bounds a worker's report; it has no limit of its own in the
+// maxHeartbeatBytes bounds a worker's report; it has no limit of its own in the
 // protocol but that of all bodies.
-const maxReport = protocol.MaxBody
+const maxHeartbeatBytes = protocol.MaxBody
 
-func (d *Driver) report(w http.ResponseWriter, r *http.Request) {
-	b, ok := body(w, r, maxReport)
+func (d *Driver) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
+	b, ok := body(w, r, maxHeartbeatBytes)
 	if !ok {
 		return
 	}
-	rep, err := protocol.ParseReport(b)
+	rep, err := protocol.ParseHeartbeat(b)
 	if err != nil {
 		d.badReports.Do(func() { d.log.Warn("bad report", "err", err, "remote", r.RemoteAddr) })
 		write(w, http.StatusBadRequest, protocol.EncodeError(err.Error()))
 		return
 	}
-	a, ok := d.ask(r.Context(), 2*time.Second, func(req coordination.RequestID) coordination.Input {
+	a, ok := d.request(r.Context(), 2*time.Second, func(req coordination.RequestID) coordination.Input {
 		return &coordination.HeartbeatRequest{Request: req, Heartbeat: rep}
 	})
 	switch {
 	case ok && a.Kind == coordination.HeartbeatAcknowledged:
-		write(w, http.StatusOK, protocol.EncodeOrders(a.FencingToken, a.Commands))
+		write(w, http.StatusOK, protocol.EncodeHeartbeatReply(a.FencingToken, a.Commands))
 	case ok && a.Kind == coordination.HeartbeatRedirected:
-		write(w, http.StatusMisdirectedRequest, protocol.EncodeElsewhere(a.RedirectTo))
+		write(w, http.StatusMisdirectedRequest, protocol.EncodeRedirect(a.RedirectTo))
 	default:
 		refuse(w, http.StatusServiceUnavailable, "cannot answer reports now", micros.Second)
 	}
--- a/internal/transport/siblings.go
+++ b/internal/transport/siblings.go
@@ -15,25 +15,25 @@
 	"pipitlatch/internal/protocol"
 )
 
-// siblings keeps one connection to every other controller for sending; what
+// peerLinks keeps one connection to every other controller for sending; what
 // they send comes in on theirs. A message is its length and a FlatBuffer. All of
 // it is a hint that the next message replaces, so nothing is ever resent.
-type siblings struct {
+type peerLinks struct {
 	log    *slog.Logger
 	inputs chan<- coordination.Input
 	out    map[string]chan []byte
 	cfg    *config.Config
 }
 
-func newSiblings(cfg *config.Config, log *slog.Logger, inputs chan<- coordination.Input) *siblings {
-	s := &siblings{log: log, inputs: inputs, cfg: cfg, out: map[string]chan []byte{}}
+func newPeerLinks(cfg *config.Config, log *slog.Logger, inputs chan<- coordination.Input) *peerLinks {
+	s := &peerLinks{log: log, inputs: inputs, cfg: cfg, out: map[string]chan []byte{}}
 	for _, p := range cfg.Peers {
 		s.out[p.Member] = make(chan []byte, 4)
 	}
 	return s
 }
 
-func (s *siblings) run(ctx context.Context, l net.Listener) {
+func (s *peerLinks) run(ctx context.Context, l net.Listener) {
 	for _, p := range s.cfg.Peers {
 		go s.sender(ctx, p.Address, s.out[p.Member])
 	}
@@ -62,12 +62,12 @@
 }
 
 // send queues a message; a sibling that does not take them misses the oldest.
-func (s *siblings) send(to string, status *coordination.PeerStatus) {
+func (s *peerLinks) send(to string, status *coordination.PeerStatus) {
 	ch := s.out[to]
 	if ch == nil {
 		return
 	}
-	raw := protocol.EncodeStatus(status)
+	raw := protocol.EncodePeerStatus(status)
 	for {
 		select {
 		case ch <- raw:
@@ -81,7 +81,7 @@
 	}
 }
 
-func (s *siblings) sender(ctx context.Context, addr string, ch <-chan []byte) {
+func (s *peerLinks) sender(ctx context.Context, addr string, ch <-chan []byte) {
 	var conn net.Conn
 	var retry time.Time
 	for {
@@ -119,7 +119,7 @@
 	}
 }
 
-func (s *siblings) receive(c net.Conn) {
+func (s *peerLinks) receive(c net.Conn) {
 	defer c.Close()
 	for {
 		status, err := readStatus(c)
@@ -145,12 +145,12 @@
 		return nil, err
 	}
 	n := binary.LittleEndian.Uint32(head[:])
-	if n > protocol.MaxStatus {
+	if n > protocol.MaxPeerStatusBytes {
 		return nil, fmt.Errorf("message of %d bytes", n)
 	}
 	raw := make([]byte, n)
 	if _, err := io.ReadFull(c, raw); err != nil {
 		return nil, err
 	}
-	return protocol.DecodeStatus(raw)
+	return protocol.DecodePeerStatus(raw)
 }
