--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -4,10 +4,10 @@
 	"errors"
 
 	"pipitlatch/internal/admission"
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/config"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
 )
 
 // fairAdmission is this controller's part in admission epochs: what it was asked for, the
@@ -78,14 +78,14 @@
 }
 
 // flowOf is the flow of a job.
-func flowOf(j *bookkeeping.Job) admission.Flow { return admission.Flow{Team: j.Team, Class: j.Class} }
+func flowOf(j *workload.Job) admission.Flow { return admission.Flow{Team: j.Team, Class: j.Class} }
 
 // admit asks for the verdict on a job that is not known here, and goes on with take unless it
 // is refused. What a flow gets whole may overdraw the budget: else it would lose the share
 // that it was given to flows that are given less than they ask for. A known job is answered as known, first of all: one that another controller
 // just took, or that was moved away long ago, is looked up before it is refused. Without an
 // epoch in force nothing is refused here: what can't be stored is refused where it is.
-func (c *Core) admit(req RequestID, job *bookkeeping.Job, take func(storage.Urgency)) {
+func (c *Core) admit(req RequestID, job *workload.Job, take func(storage.Urgency)) {
 	f := c.fair
 	if f == nil {
 		take(storage.Prompt)
@@ -117,7 +117,7 @@
 }
 
 // countAccepted and shed count what became of a submission.
-func (c *Core) countAccepted(j *bookkeeping.Job) {
+func (c *Core) countAccepted(j *workload.Job) {
 	if c.fair != nil {
 		c.fair.tracker.Accepted(c.now, flowOf(j))
 	}
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -6,10 +6,10 @@
 	"testing"
 
 	"pipitlatch/internal/admission"
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/config"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
 )
 
 // newFair is a core that serves, with fair admission, and one epoch in force that admits
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	c := New(cfg, "1")
-	c.catalog = bookkeeping.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: bookkeeping.Resources{CPU: 8000, Mem: 32_000}}}
+	c.catalog = workload.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: workload.Resources{CPU: 8000, Mem: 32_000}}}
 	c.now, c.wall, c.output = micros.Second, micros.Second, &Output{}
 	r := storage.NewCache(c.keys)
 	r.Revision = 10
@@ -35,12 +35,12 @@
 	return c
 }
 
-func testJob(n int) *bookkeeping.Job {
-	return &bookkeeping.Job{ID: fmt.Sprintf("wk-%06d", n), Class: "c", Team: "alpha", Tasks: 1, Resources: bookkeeping.Resources{CPU: 1000, Mem: 1000}}
+func testJob(n int) *workload.Job {
+	return &workload.Job{ID: fmt.Sprintf("wk-%06d", n), Class: "c", Team: "alpha", Tasks: 1, Resources: workload.Resources{CPU: 1000, Mem: 1000}}
 }
 
 // ask submits a job and completes the reads of the state service that follow.
-func ask(c *Core, at micros.Time, job *bookkeeping.Job, complete func(*storage.Request) *storage.Reply) []Response {
+func ask(c *Core, at micros.Time, job *workload.Job, complete func(*storage.Request) *storage.Reply) []Response {
 	out := c.Step(at, at, &Submit{Request: 1, ID: job.ID, Job: job})
 	answers := out.Responses
 	for calls := out.StoreCalls; len(calls) > 0; {
@@ -75,7 +75,7 @@
 			case r.Kind == storage.Get && r.Key == core.keys.ReadBarrier():
 				return &storage.Reply{Outcome: c.barrier, Revision: 10}
 			case r.Kind == storage.Get && c.archived:
-				return &storage.Reply{Outcome: storage.OK, Items: []storage.Item{{Key: r.Key, ModRevision: 5, Value: storage.Encode(known.Tombstone(bookkeeping.Done))}}}
+				return &storage.Reply{Outcome: storage.OK, Items: []storage.Item{{Key: r.Key, ModRevision: 5, Value: storage.Encode(known.Tombstone(workload.Done))}}}
 			case r.Kind == storage.Get:
 				return &storage.Reply{Outcome: storage.NotFound, Revision: 10}
 			case r.Kind == storage.Txn && len(r.Puts) > 0 && r.Puts[0].Key == core.keys.Job(known.ID):
--- a/internal/coordination/calls.go
+++ b/internal/coordination/agent_calls.go
@@ -4,8 +4,8 @@
 	"cmp"
 	"slices"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
 )
 
 // sendCommands sends what waits for machines: what services and cancellations wait for
@@ -41,7 +41,7 @@
 
 func (p *partitionLeader) isService(id string) bool {
 	j := p.jobs[id]
-	return j != nil && j.Kind == bookkeeping.Service
+	return j != nil && j.Kind == workload.Service
 }
 
 // sendProbes asks machines for their reports: directly, under our token once its
--- a/internal/coordination/archive.go
+++ b/internal/coordination/archiver.go
@@ -4,9 +4,9 @@
 	"cmp"
 	"slices"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
 )
 
 // archiver is what the leader moves out of every controller's memory: records of jobs
@@ -61,7 +61,7 @@
 	var over []*storage.JobEntry
 	for id, e := range c.cache.Jobs {
 		// A needed job stays at hand while an unfinished one names it.
-		if e.Job.Phase != bookkeeping.Active && len(c.cache.Dependents[id]) == 0 {
+		if e.Job.Phase != workload.Active && len(c.cache.Dependents[id]) == 0 {
 			over = append(over, e)
 		}
 	}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -6,10 +6,10 @@
 	"strconv"
 	"testing"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/config"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
 )
 
 const benchSettings = `member = "n0"
@@ -49,7 +49,7 @@
 		b.Fatal(err)
 	}
 	c := New(cfg, "1")
-	c.catalog = bookkeeping.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: bookkeeping.Resources{CPU: 32_000, Mem: 256_000},
+	c.catalog = workload.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: workload.Resources{CPU: 32_000, Mem: 256_000},
 		Price: 2, SpotPrice: 1, FetchGBps: 0.5, Boot: 30 * micros.Second}}
 	r := storage.NewCache(c.keys)
 	version := uint64(0)
@@ -65,7 +65,7 @@
 	}
 	job := func(n int) string { return fmt.Sprintf("wk-%06d", n) }
 	for i := range size / 5 {
-		put(c.keys.Job(job(i)), &bookkeeping.Job{ID: job(i), Class: "c", Team: "alpha", Tasks: 80, Resources: bookkeeping.Resources{CPU: 4000, Mem: 4000},
+		put(c.keys.Job(job(i)), &workload.Job{ID: job(i), Class: "c", Team: "alpha", Tasks: 80, Resources: workload.Resources{CPU: 4000, Mem: 4000},
 			Estimate: 60 * micros.Second, Deadline: 160 * micros.Second, Spot: true, Image: "i"})
 	}
 	var reports []*Heartbeat
--- a/internal/coordination/records.go
+++ b/internal/coordination/block_records.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
 )
 
 // Every write fits the smaller of the state service's limits in force and to come: the
@@ -64,18 +64,18 @@
 
 // putCatalogParts adds the parts of the catalog that are not stored as they are, as many as one
 // transaction takes; the next look writes the others.
-func (c *Core) putCatalogParts(r *storage.Request, stored bookkeeping.Catalog) {
-	part, n := bookkeeping.Catalog{}, 0
+func (c *Core) putCatalogParts(r *storage.Request, stored workload.Catalog) {
+	part, n := workload.Catalog{}, 0
 	flush := func() {
 		same := true
 		for name, t := range part {
-			same = same && stored[name] != nil && bookkeeping.Catalog{name: t}.SameTypes(bookkeeping.Catalog{name: stored[name]})
+			same = same && stored[name] != nil && workload.Catalog{name: t}.SameTypes(workload.Catalog{name: stored[name]})
 		}
 		if key := c.keys.CatalogPart(n); !same && len(r.Puts) < c.config.Settings.StateLimits().TxnOps {
 			r.Compares = append(r.Compares, storage.Compare{Key: key, ModRevision: c.cache.CatalogPartRevision(n)})
 			r.Puts = append(r.Puts, storage.Put{Key: key, Value: storage.Encode(part)})
 		}
-		part = bookkeeping.Catalog{}
+		part = workload.Catalog{}
 		n++
 	}
 	for _, name := range sortedKeys(c.catalog) {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/cluster_leader.go
@@ -4,8 +4,8 @@
 	"cmp"
 	"slices"
 
-	"pipitlatch/internal/coordination/fleet"
-	"pipitlatch/internal/coordination/lease"
+	"pipitlatch/internal/coordination/leadership"
+	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 )
@@ -18,8 +18,8 @@
 	nextAssignmentAt    micros.Time
 	assignmentInFlight  bool
 	nameCounter         int
-	requestsInFlight    map[string]fleet.InstanceKind // charters with a call or write out
-	requestRetryAt      map[string]micros.Time        // charters: not before
+	requestsInFlight    map[string]provisioning.InstanceKind // charters with a call or write out
+	requestRetryAt      map[string]micros.Time               // charters: not before
 	toTerminate         map[string]bool
 	terminateInFlight   bool
 	terminateRetryAt    micros.Time
@@ -36,7 +36,7 @@
 	nextScaleOutAt      micros.Time
 	cloudTokens         float64 // rentals that may be sent
 	cloudTokensAt       micros.Time
-	capacity            *fleet.CapacityTracker
+	capacity            *provisioning.CapacityTracker
 	transfers           map[string][]MachineTransfer
 	nextTransferAt      micros.Time
 	archiver            archiver
@@ -47,7 +47,7 @@
 func (l *clusterLeader) acquire(c *Core) {
 	l.revision, l.acquiredAt = c.cache.ClusterLeader.ModRevision, c.now
 	l.assignmentInFlight, l.terminateInFlight, l.listInFlight = false, false, false
-	l.requestsInFlight, l.requestRetryAt = map[string]fleet.InstanceKind{}, map[string]micros.Time{}
+	l.requestsInFlight, l.requestRetryAt = map[string]provisioning.InstanceKind{}, map[string]micros.Time{}
 	l.toTerminate, l.blockWriteAfter, l.orphans = map[string]bool{}, map[string]micros.Time{}, map[string]orphan{}
 	l.provisionedRevision = c.cache.Revision
 	l.absentSince = map[string]micros.Time{}
@@ -115,7 +115,7 @@
 		heard := v != nil && v.status.From == p && c.now-v.receivedAt < 6*micros.Second
 		return !heard && c.now-l.acquiredAt > 6*micros.Second
 	}
-	todo := lease.Assign(c.cache, c.partitionCount(), c.process, func(p storage.Process) bool { return mute(p) || c.leaderIsolated(p) }, c.reachableMachines)
+	todo := leadership.Assign(c.cache, c.partitionCount(), c.process, func(p storage.Process) bool { return mute(p) || c.leaderIsolated(p) }, c.reachableMachines)
 	if len(todo) == 0 {
 		return
 	}
@@ -256,7 +256,7 @@
 func (c *Core) instanceTerminated(m string) {
 	c.leader.terminated[m] = c.now
 	if v, ok := c.cache.Machines[m]; ok {
-		c.leader.capacity.Terminated(fleet.InstanceKind{InstanceType: v.Value.InstanceType, Zone: v.Value.Zone, Spot: v.Value.Spot})
+		c.leader.capacity.Terminated(provisioning.InstanceKind{InstanceType: v.Value.InstanceType, Zone: v.Value.Zone, Spot: v.Value.Spot})
 	}
 	delete(c.leader.toTerminate, m)
 	for _, n := range sortedKeys(c.partitions) {
@@ -351,7 +351,7 @@
 					c.log(levelInfo, "machine failed", "machine", m.Machine)
 				}
 			case !known && c.now-l.acquiredAt > micros.Second && m.Age > 2*micros.Second:
-				c.addOrphan(m.Machine, m.Address, fleet.InstanceKind{InstanceType: m.InstanceType, Zone: m.Zone, Spot: m.Spot})
+				c.addOrphan(m.Machine, m.Address, provisioning.InstanceKind{InstanceType: m.InstanceType, Zone: m.Zone, Spot: m.Spot})
 			case known:
 				if h := c.partitions[b.Value.Partition]; h != nil && m.Address != "" {
 					if hm := h.machine(m.Machine); hm != nil && hm.address == "" && m.Running {
@@ -407,7 +407,7 @@
 			}
 			for _, m := range q.Idle {
 				b, ok := c.cache.Machines[m]
-				if !ok || (b.Value.Spot && !slices.ContainsFunc(needy.CapacityRequests, func(n fleet.CapacityRequest) bool { return n.Spot })) {
+				if !ok || (b.Value.Spot && !slices.ContainsFunc(needy.CapacityRequests, func(n provisioning.CapacityRequest) bool { return n.Spot })) {
 					continue
 				}
 				holder := c.cache.Partitions[q.Partition].Value.Leader.Member
--- a/internal/coordination/finished.go
+++ b/internal/coordination/completion.go
@@ -1,9 +1,9 @@
 package coordination
 
 import (
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
 )
 
 // completeTask notes a completed task; its attempt is forgotten once that is stored.
@@ -18,13 +18,13 @@
 		return
 	}
 	j.unpersistedTasks.Add(t)
-	j.dirtySegments[bookkeeping.Segment(t, p.core.usesSmallSegments())] = true
+	j.dirtySegments[workload.Segment(t, p.core.usesSmallSegments())] = true
 }
 
 // usesSmallSegments tells whether finished ranges are written in parts: where a chunk would not
 // fit at its worst, as soon as no older version is about, which reads chunks only.
 func (c *Core) usesSmallSegments() bool {
-	return c.cache.Format >= storage.Format && c.config.Settings.MaxValue() < bookkeeping.LargeSegmentBytes
+	return c.cache.Format >= storage.Format && c.config.Settings.MaxValue() < workload.LargeSegmentBytes
 }
 
 // completedWriteInterval is how often finished tasks of an unfinished job are stored.
@@ -36,7 +36,7 @@
 	if j.writeInFlight || len(j.dirtySegments) == 0 || p.core.now < j.nextWriteAt || !p.core.term.Valid(p.core.now) {
 		return
 	}
-	whole := j.Kind == bookkeeping.Array && j.completedCount() == j.Tasks
+	whole := j.Kind == workload.Array && j.completedCount() == j.Tasks
 	if !whole && j.nextWriteAt == 0 {
 		j.nextWriteAt = p.core.now + completedWriteInterval
 		return
@@ -45,7 +45,7 @@
 		{Key: p.core.keys.Partition(p.partition), ModRevision: p.fencingToken},
 		{Key: p.core.keys.Job(j.ID), ModRevision: j.modRevision},
 	}}
-	urgency, written := storage.Deferrable, map[int]*bookkeeping.Bitmap{}
+	urgency, written := storage.Deferrable, map[int]*workload.Bitmap{}
 	if whole {
 		urgency = storage.Urgent
 		p.putJobDone(r, j)
@@ -63,7 +63,7 @@
 
 // putJobDone adds to a transaction that a job is done; its finished ranges are needed no more.
 func (p *partitionLeader) putJobDone(r *storage.Request, j *job) {
-	over := j.Tombstone(bookkeeping.Done)
+	over := j.Tombstone(workload.Done)
 	over.CompletedAt = p.core.wall
 	r.Puts = append(r.Puts, storage.Put{Key: p.core.keys.Job(j.ID), Value: storage.Encode(over)})
 	for _, chunk := range sortedKeys(j.record.CompletedRevisions) {
@@ -75,14 +75,14 @@
 
 // putCompletedSegments adds finished ranges to a transaction, and returns what it will have written,
 // by chunk or part.
-func (p *partitionLeader) putCompletedSegments(r *storage.Request, j *job) map[int]*bookkeeping.Bitmap {
-	all := bookkeeping.NewBitmap(j.Tasks)
+func (p *partitionLeader) putCompletedSegments(r *storage.Request, j *job) map[int]*workload.Bitmap {
+	all := workload.NewBitmap(j.Tasks)
 	for t := range j.Tasks {
 		if j.taskCompleted(t) {
 			all.Add(t)
 		}
 	}
-	written := map[int]*bookkeeping.Bitmap{}
+	written := map[int]*workload.Bitmap{}
 	for _, chunk := range sortedKeys(j.dirtySegments) {
 		if len(r.Puts) >= p.core.config.Settings.StateLimits().TxnOps {
 			break
@@ -99,7 +99,7 @@
 
 // completedPersisted notes what is in the state service now. The stream brings the same to the replica;
 // the workers may forget it.
-func (p *partitionLeader) completedPersisted(j *job, whole bool, written map[int]*bookkeeping.Bitmap) {
+func (p *partitionLeader) completedPersisted(j *job, whole bool, written map[int]*workload.Bitmap) {
 	j.nextWriteAt = p.core.now + completedWriteInterval
 	for a := range j.attempts {
 		if a.state == Exited && (whole || segmentWritten(written, a.id.Task)) {
@@ -109,7 +109,7 @@
 	for chunk, set := range written {
 		left := false
 		for t := j.unpersistedTasks.Next(0); t >= 0; t = j.unpersistedTasks.Next(t + 1) {
-			left = left || (bookkeeping.InSegment(t, chunk) && !set.Has(t))
+			left = left || (workload.InSegment(t, chunk) && !set.Has(t))
 		}
 		if !left {
 			delete(j.dirtySegments, chunk)
@@ -124,6 +124,6 @@
 }
 
 // segmentWritten tells whether a task was among those that were written, by chunk or part.
-func segmentWritten(written map[int]*bookkeeping.Bitmap, task int) bool {
-	return bitmapHas(written[bookkeeping.Segment(task, false)], task) || bitmapHas(written[bookkeeping.Segment(task, true)], task)
+func segmentWritten(written map[int]*workload.Bitmap, task int) bool {
+	return bitmapHas(written[workload.Segment(task, false)], task) || bitmapHas(written[workload.Segment(task, true)], task)
 }
--- a/internal/coordination/surplus.go
+++ b/internal/coordination/consolidation.go
@@ -4,9 +4,9 @@
 	"cmp"
 	"slices"
 
-	"pipitlatch/internal/bookkeeping"
-	"pipitlatch/internal/coordination/fleet"
+	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
 )
 
 const (
@@ -72,8 +72,8 @@
 			return
 		}
 		if p.recentArrayCPU > (capacity-m.instanceType.Capacity.CPU-services)*8/10 ||
-			slices.ContainsFunc(p.capacityRequests, func(n fleet.CapacityRequest) bool {
-				return !n.Service && n.Allows(fleet.InstanceKind{InstanceType: m.record.InstanceType, Zone: m.record.Zone})
+			slices.ContainsFunc(p.capacityRequests, func(n provisioning.CapacityRequest) bool {
+				return !n.Service && n.Allows(provisioning.InstanceKind{InstanceType: m.record.InstanceType, Zone: m.record.Zone})
 			}) {
 			continue
 		}
@@ -91,7 +91,7 @@
 func replicasOn(m *machine) int {
 	n := 0
 	for _, a := range m.attempts {
-		if a.state != Exited && a.job != nil && a.job.Kind == bookkeeping.Service {
+		if a.state != Exited && a.job != nil && a.job.Kind == workload.Service {
 			n++
 		}
 	}
@@ -110,7 +110,7 @@
 	bare := p.core.now-m.drainSince > imageWaitTimeout && m.instanceType.Price > 3*p.lowestPrice()
 	for _, id := range sortedAttempts(m) {
 		a := m.attempts[id]
-		if a.state != Running || a.stopping || a.job == nil || a.job.Kind != bookkeeping.Service || (nowhere[a.job.ID] && !bare) {
+		if a.state != Running || a.stopping || a.job == nil || a.job.Kind != workload.Service || (nowhere[a.job.ID] && !bare) {
 			continue
 		}
 		for _, o := range p.machines {
@@ -185,8 +185,8 @@
 			keep = min(keep, surplusIdleTimeout)
 		}
 		if !p.schedulable(m) || m.idleSince == 0 || p.core.now-m.idleSince < keep || !p.terminable(m) ||
-			slices.ContainsFunc(p.capacityRequests, func(n fleet.CapacityRequest) bool {
-				return n.Allows(fleet.InstanceKind{InstanceType: m.record.InstanceType, Zone: m.record.Zone, Spot: m.record.Spot})
+			slices.ContainsFunc(p.capacityRequests, func(n provisioning.CapacityRequest) bool {
+				return n.Allows(provisioning.InstanceKind{InstanceType: m.record.InstanceType, Zone: m.record.Zone, Spot: m.record.Spot})
 			}) {
 			continue
 		}
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -5,12 +5,12 @@
 	"maps"
 	"slices"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/config"
-	"pipitlatch/internal/coordination/fleet"
-	"pipitlatch/internal/coordination/lease"
+	"pipitlatch/internal/coordination/leadership"
+	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
 )
 
 const (
@@ -26,7 +26,7 @@
 type Core struct {
 	config  *config.Config
 	process storage.Process
-	teams   map[string]*bookkeeping.Team
+	teams   map[string]*workload.Team
 	keys    storage.Keys
 
 	now, wall micros.Time
@@ -37,7 +37,7 @@
 	lastCallID   uint64
 	pendingCalls map[uint64]func(any)
 
-	catalog          bookkeeping.Catalog
+	catalog          workload.Catalog
 	catalogFetchedAt micros.Time
 	catalogFetching  bool // a call is out
 	// The state service keeps the machine types too, see persistCatalog.
@@ -61,8 +61,8 @@
 	// progressKept is how many entries of progress were left when it was last bounded.
 	progressKept int
 	leader       clusterLeader
-	runtimes     *bookkeeping.RuntimeStats
-	faults       *fleet.FaultTracker
+	runtimes     *workload.RuntimeStats
+	faults       *provisioning.FaultTracker
 	spot         spotLosses
 	reachability reachabilityProbe
 	fair         *fairAdmission   // nil: off
@@ -94,16 +94,16 @@
 	keys := storage.Keys{Prefix: cfg.Operator.KeyPrefix}
 	c := &Core{
 		config: cfg, process: storage.Process{Member: cfg.Member, Incarnation: incarnation},
-		teams: bookkeeping.Teams(cfg), keys: keys, pendingCalls: map[uint64]func(any){},
+		teams: workload.Teams(cfg), keys: keys, pendingCalls: map[uint64]func(any){},
 		maxAgentCalls: max(1, cfg.Sockets().Calls/2), // the other half are idle connections
 		storeLimiter:  storage.NewRateLimiter(cfg.Settings.StateLimits().RPS, cfg.Settings.StateLimits().WriteRPS, cfg.Settings.Nodes),
 		partitions:    map[int]*partitionLeader{}, deathTimes: map[storage.Process]micros.Time{},
 		txnBackoff: txnBackoff{}, peers: map[string]*peerState{}, cancellations: newCancellations(), archivedJobs: map[string]*storage.JobEntry{}, progress: map[string]JobProgress{},
-		runtimes: bookkeeping.NewRuntimeStats(), faults: fleet.NewFaultTracker(), fair: newFairAdmission(cfg),
+		runtimes: workload.NewRuntimeStats(), faults: provisioning.NewFaultTracker(), fair: newFairAdmission(cfg),
 	}
 	c.replication.cache = storage.NewCache(keys)
-	c.replication.term = lease.Term{Length: cfg.LeadershipTerm()}
-	c.leader.capacity = fleet.NewCapacityTracker()
+	c.replication.term = leadership.Term{Length: cfg.LeadershipTerm()}
+	c.leader.capacity = provisioning.NewCapacityTracker()
 	return c
 }
 
@@ -408,7 +408,7 @@
 		return
 	}
 	for id := range c.progress {
-		if e := c.cache.Jobs[id]; e == nil || e.Job.Phase != bookkeeping.Active {
+		if e := c.cache.Jobs[id]; e == nil || e.Job.Phase != workload.Active {
 			delete(c.progress, id)
 		}
 	}
--- a/internal/coordination/waits.go
+++ b/internal/coordination/dependencies.go
@@ -5,9 +5,9 @@
 	"maps"
 	"slices"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
 )
 
 // Jobs that wait on others. What a job needs never changes, so that it may start, and
@@ -62,7 +62,7 @@
 
 // checkDependencies looks the jobs up that a submission names, and calls then with what they
 // are, or says why it cannot be taken. The replica must be fresh.
-func (c *Core) checkDependencies(req RequestID, job *bookkeeping.Job, refs []string, n dependencyCheck, then func(dependencyCheck)) {
+func (c *Core) checkDependencies(req RequestID, job *workload.Job, refs []string, n dependencyCheck, then func(dependencyCheck)) {
 	for i, ref := range refs {
 		if ref == job.ID {
 			c.rejectUnschedulable(req, job.ID, "it waits on itself")
@@ -86,8 +86,8 @@
 		switch {
 		case e.Cancelled():
 			n.cancelled = true
-		case e.Job.Phase == bookkeeping.Done:
-		case e.Job.Kind == bookkeeping.Service:
+		case e.Job.Phase == workload.Done:
+		case e.Job.Kind == workload.Service:
 			// It ends only by cancellation, so what waits on it could never run.
 			c.rejectUnschedulable(req, job.ID, "it waits on a service: "+ref)
 			return
@@ -101,7 +101,7 @@
 // acceptWithDependencies accepts a job that names others. Where all of them are in the replica it
 // need not be as new as the question: they were accepted, done and cancelled are final, and
 // what has become of them since makes the job wait, start or be cancelled all the same.
-func (c *Core) acceptWithDependencies(req RequestID, job *bookkeeping.Job) {
+func (c *Core) acceptWithDependencies(req RequestID, job *workload.Job) {
 	for _, ref := range job.DependsOn {
 		if c.cache.Jobs[ref] == nil {
 			c.linearizableRead(func(ok bool) {
@@ -119,7 +119,7 @@
 
 // resolveSubmission accepts a job that names others as one that waits on those that are not done
 // yet, or as cancelled if one of them is, or says why it cannot be taken.
-func (c *Core) resolveSubmission(req RequestID, job *bookkeeping.Job) {
+func (c *Core) resolveSubmission(req RequestID, job *workload.Job) {
 	if c.cache.Format < storage.Format || c.olderMemberRegistered() {
 		c.respondStatusOr(req, job.ID, func() { c.respondUnavailable(req, "an older version is still running") })
 		return
@@ -130,7 +130,7 @@
 	}
 	c.checkDependencies(req, job, job.DependsOn, dependencyCheck{}, func(n dependencyCheck) {
 		if n.cancelled {
-			over := job.Tombstone(bookkeeping.Cancelled)
+			over := job.Tombstone(workload.Cancelled)
 			over.Submitted = c.wall
 			c.accept(req, over, storage.Prompt)
 			return
@@ -142,7 +142,7 @@
 
 // storeDependencies writes a list of needed jobs that the record has no room for, in parts, and
 // then the record. Parts count only with the record, which names them.
-func (c *Core) storeDependencies(req RequestID, job *bookkeeping.Job) {
+func (c *Core) storeDependencies(req RequestID, job *workload.Job) {
 	most := c.config.Settings.MaxValue()
 	if len(storage.Encode(job)) <= most-acceptedRecordReserve {
 		c.accept(req, job, storage.Prompt)
@@ -172,7 +172,7 @@
 // the job's record; first is the revision of the list's first part, 0 before it is written.
 // The record requires that part: carried out minutes late, after the leader deleted the
 // parts that no job had, it would be a job that waits for ever.
-func (c *Core) storeDependencyParts(req RequestID, job *bookkeeping.Job, parts []storage.Put, first uint64) {
+func (c *Core) storeDependencyParts(req RequestID, job *workload.Job, parts []storage.Put, first uint64) {
 	if len(parts) == 0 {
 		c.accept(req, job, storage.Prompt, storage.Compare{Key: c.keys.DependencyPart(job.ID, job.DependencyListName, 0), ModRevision: first})
 		return
@@ -269,7 +269,7 @@
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.unresolvedDependencies)) {
-		if p.core.cache.Jobs[id] != nil || len(p.core.cache.Dependents[id]) == 0 || p.core.cache.ArchivedPhases[id] != bookkeeping.Active {
+		if p.core.cache.Jobs[id] != nil || len(p.core.cache.Dependents[id]) == 0 || p.core.cache.ArchivedPhases[id] != workload.Active {
 			delete(p.unresolvedDependencies, id)
 			continue
 		}
@@ -297,13 +297,13 @@
 	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{{Key: p.core.keys.Partition(p.partition), ModRevision: p.fencingToken}}}
 	for _, id := range slices.Sorted(maps.Keys(p.dependencyCancellations)) {
 		e := p.core.cache.Jobs[id]
-		if e == nil || e.Job.Phase != bookkeeping.Active {
+		if e == nil || e.Job.Phase != workload.Active {
 			delete(p.dependencyCancellations, id)
 			continue
 		}
 		if len(r.Puts) < p.core.config.Settings.StateLimits().TxnOps {
 			r.Compares = append(r.Compares, storage.Compare{Key: p.core.keys.Job(id), ModRevision: e.ModRevision})
-			r.Puts = append(r.Puts, storage.Put{Key: p.core.keys.Job(id), Value: storage.Encode(e.Job.Tombstone(bookkeeping.Cancelled))})
+			r.Puts = append(r.Puts, storage.Put{Key: p.core.keys.Job(id), Value: storage.Encode(e.Job.Tombstone(workload.Cancelled))})
 		}
 	}
 	if len(r.Puts) == 0 {
@@ -319,7 +319,7 @@
 // inheritedUrgency is what a job must meet for those that wait on it.
 type inheritedUrgency struct {
 	due      micros.Time // time of day; micros.Max: none
-	priority bookkeeping.Priority
+	priority workload.Priority
 }
 
 // inheritFromDependents works back from the jobs after one: it has to be done early enough for what is
@@ -336,7 +336,7 @@
 	}
 	for dep := range p.core.cache.Dependents[id] {
 		e := p.core.cache.Jobs[dep]
-		if e == nil || e.Job.Phase != bookkeeping.Active || e.CancelledByDependency {
+		if e == nil || e.Job.Phase != workload.Active || e.CancelledByDependency {
 			continue
 		}
 		after := p.inheritFromDependents(dep)
--- a/internal/coordination/fairness.go
+++ b/internal/coordination/fair_shares.go
@@ -2,8 +2,8 @@
 
 import (
 	"pipitlatch/internal/admission"
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
 )
 
 const (
@@ -55,7 +55,7 @@
 	}
 	var loads []admission.Load
 	for _, j := range p.sortedJobs {
-		if j.Kind != bookkeeping.Array {
+		if j.Kind != workload.Array {
 			continue
 		}
 		l := admission.Load{Flow: flowOf(j.Job)}
--- a/internal/coordination/reports.go
+++ b/internal/coordination/heartbeats.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
 )
 
 // handleHeartbeat answers a worker.
@@ -329,7 +329,7 @@
 			a.runningSince = p.core.now
 			if a.job != nil {
 				a.machine.useImage(a.job.Image, a.job.ImageGB)
-				if a.job.Kind == bookkeeping.Service && a.startedHere {
+				if a.job.Kind == workload.Service && a.startedHere {
 					p.core.log(levelDebug, "replica runs", "job", a.job.ID, "task", a.id.Task, "machine", a.machine.id,
 						"since_submitted_ms", (p.core.wall-a.job.Submitted)/micros.Millisecond, "since_start_ms", (p.core.now-a.createdAt)/micros.Millisecond)
 				}
--- a/internal/coordination/lease/lease.go
+++ b/internal/coordination/leadership/leadership.go
@@ -1,6 +1,6 @@
-// Package lease decides who may do what: which process holds which queue, how
+// Package leadership decides who may do what: which process holds which queue, how
 // long a holder may answer without news, and when a predecessor surely cannot.
-package lease
+package leadership
 
 import (
 	"slices"
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -4,9 +4,9 @@
 	"cmp"
 	"slices"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
 )
 
 // machine is a machine of the holder's blocks.
@@ -14,7 +14,7 @@
 	id           string
 	record       storage.Machine
 	modRevision  uint64 // of the block's key
-	instanceType *bookkeeping.InstanceType
+	instanceType *workload.InstanceType
 	address      string
 	epoch        uint64
 	// bootedAt is when its first session was heard of; nothing may have reached it by then.
@@ -210,7 +210,7 @@
 	left := m.preemptAt - p.core.now
 	for _, id := range sortedAttempts(m) {
 		a := m.attempts[id]
-		if a.state == Exited || a.stopping || a.job == nil || a.job.Kind == bookkeeping.Service || p.remaining(a) <= left {
+		if a.state == Exited || a.stopping || a.job == nil || a.job.Kind == workload.Service || p.remaining(a) <= left {
 			continue
 		}
 		grace := micros.Time(0)
--- a/internal/coordination/io.go
+++ b/internal/coordination/messages.go
@@ -5,10 +5,10 @@
 
 import (
 	"pipitlatch/internal/admission"
-	"pipitlatch/internal/bookkeeping"
-	"pipitlatch/internal/coordination/fleet"
+	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
 )
 
 // TaskState is what a worker says of a task.
@@ -89,7 +89,7 @@
 type Submit struct {
 	Request RequestID
 	ID      string
-	Job     *bookkeeping.Job
+	Job     *workload.Job
 	Fault   string
 }
 
@@ -154,7 +154,7 @@
 // JobStatus is what a user is told of a job.
 type JobStatus struct {
 	ID      string
-	Phase   bookkeeping.Phase
+	Phase   workload.Phase
 	Done    int
 	Running int
 }
@@ -194,7 +194,7 @@
 	Call              uint64
 	Operation         CloudOperation
 	InstanceRequestID string
-	InstanceRequest   fleet.InstanceRequest
+	InstanceRequest   provisioning.InstanceRequest
 	Names             []string // CloudTerminate
 	After             string   // CloudList
 	Limit             int
@@ -227,7 +227,7 @@
 // CloudReply is the cloud's answer.
 type CloudReply struct {
 	Outcome   CloudOutcome
-	Catalog   bookkeeping.Catalog
+	Catalog   workload.Catalog
 	Names     []string
 	Instances []Instance
 	More      bool
@@ -256,7 +256,7 @@
 type PartitionStatus struct {
 	Partition        int
 	FencingToken     uint64
-	CapacityRequests []fleet.CapacityRequest
+	CapacityRequests []provisioning.CapacityRequest
 	Terminate        []string // machines to delete
 	Idle             []string // machines that could go to another queue
 	UnreachableZones []string // zones whose machines its holder does not hear
--- a/internal/coordination/adoption.go
+++ b/internal/coordination/orphans.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"pipitlatch/internal/coordination/fleet"
+	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 )
@@ -16,13 +16,13 @@
 // deleted under an earlier leader: as a machine that had no task it holds up no
 // planning, and as one that does not answer it is soon deleted again.
 func (l *clusterLeader) heardFromUnmanaged(c *Core, r *Heartbeat) {
-	c.addOrphan(r.Machine, r.Address, fleet.InstanceKind{InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot})
+	c.addOrphan(r.Machine, r.Address, provisioning.InstanceKind{InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot})
 }
 
 // addOrphan notes a machine that is to be assigned to the queue with the
 // greatest need. It has had no task: only machines of a block get any, and they
 // leave it only when they are gone.
-func (c *Core) addOrphan(id, address string, o fleet.InstanceKind) {
+func (c *Core) addOrphan(id, address string, o provisioning.InstanceKind) {
 	l := &c.leader
 	if _, gone := l.terminated[id]; gone || !c.isClusterLeader() || l.revision != c.cache.ClusterLeader.ModRevision {
 		return
@@ -36,7 +36,7 @@
 // one of those it brings, up before the cloud's answer. It is taken into the rental's
 // block then. Adopted as well, it would be in two blocks, and what one record says of it
 // (that it has had tasks) would be hidden by the other.
-func (c *Core) requestOpenFor(o fleet.InstanceKind) bool {
+func (c *Core) requestOpenFor(o provisioning.InstanceKind) bool {
 	for _, out := range c.leader.requestsInFlight {
 		if out == o {
 			return true
@@ -52,7 +52,7 @@
 
 // orphan is a machine without a block.
 type orphan struct {
-	fleet.InstanceKind
+	provisioning.InstanceKind
 	address string
 }
 
@@ -69,7 +69,7 @@
 	if c.cache.Revision < l.provisionedRevision {
 		return // a rental may have become a block that is not seen yet
 	}
-	blocks := map[fleet.InstanceKind]storage.BlockRecord{}
+	blocks := map[provisioning.InstanceKind]storage.BlockRecord{}
 	for _, id := range sortedKeys(l.orphans) {
 		o := l.orphans[id]
 		_, known := c.cache.Machines[id]
@@ -89,7 +89,7 @@
 			blocks[o.InstanceKind] = b.With(id, storage.MachineRecord{Address: o.address})
 		}
 	}
-	if offers := slices.SortedFunc(maps.Keys(blocks), fleet.InstanceKind.Compare); len(offers) > 0 {
+	if offers := slices.SortedFunc(maps.Keys(blocks), provisioning.InstanceKind.Compare); len(offers) > 0 {
 		c.adoptBlock(blocks[offers[0]])
 	}
 }
--- a/internal/coordination/holder.go
+++ b/internal/coordination/partition.go
@@ -6,10 +6,10 @@
 	"maps"
 	"slices"
 
-	"pipitlatch/internal/bookkeeping"
-	"pipitlatch/internal/coordination/fleet"
+	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
 )
 
 // partitionLeader plans one queue and directs its machines, under one lease.
@@ -24,7 +24,7 @@
 	machines       []*machine // by name
 	sortedJobs     []*job     // by id
 	jobs           map[string]*job
-	teamUsage      map[string]bookkeeping.Resources // by team
+	teamUsage      map[string]workload.Resources // by team
 	attemptCounter uint64
 
 	planStale        bool
@@ -32,9 +32,9 @@
 	planInterval     micros.Time              // until the next plan
 	serviceReplicas  int                      // service tasks, running or not, as of lastPlanAt
 	preemptionFailed map[preemptionShape]bool // of this plan
-	capacityRequests []fleet.CapacityRequest
+	capacityRequests []provisioning.CapacityRequest
 	// unreconciledUsage is what machines whose tasks are not known may be running, in this plan.
-	unreconciledUsage bookkeeping.Resources
+	unreconciledUsage workload.Resources
 	lastTick          micros.Time
 	silenceCountsFrom micros.Time // silence is judged from then on
 	// Until then, silence is put down to the network near this controller.
@@ -64,11 +64,11 @@
 
 // job is an active job of the queue.
 type job struct {
-	*bookkeeping.Job
+	*workload.Job
 	modRevision            uint64
 	record                 *storage.JobEntry
-	pendingTasks           *bookkeeping.Bitmap
-	unpersistedTasks       *bookkeeping.Bitmap // finished, not known to be stored
+	pendingTasks           *workload.Bitmap
+	unpersistedTasks       *workload.Bitmap // finished, not known to be stored
 	activeAttempts         map[int]*attempt
 	attempts               map[*attempt]struct{} // all that machines may still show, ended ones included
 	dirtySegments          map[int]bool          // with pending tasks
@@ -79,12 +79,12 @@
 	runtimeSamples         int
 	estimate               micros.Time // estimate of a task as of estimatedAt
 	estimatedAt            micros.Time
-	plannedWithinGuarantee bool                // it was within its team's guarantee when it was planned
-	preemptedOnce          *bookkeeping.Bitmap // stopped once for another job, and not again
-	duplicateAttempts      []*attempt          // second attempts at a live task, being stopped
-	cancelRequested        bool                // a sibling knows it to be cancelled: it starts nothing any more
-	blockedByDependencies  bool                // it waits on others
-	readySince             micros.Time         // time of day since which it may start
+	plannedWithinGuarantee bool             // it was within its team's guarantee when it was planned
+	preemptedOnce          *workload.Bitmap // stopped once for another job, and not again
+	duplicateAttempts      []*attempt       // second attempts at a live task, being stopped
+	cancelRequested        bool             // a sibling knows it to be cancelled: it starts nothing any more
+	blockedByDependencies  bool             // it waits on others
+	readySince             micros.Time      // time of day since which it may start
 }
 
 func (j *job) taskCompleted(task int) bool {
@@ -110,7 +110,7 @@
 	machine          *machine
 	job              *job // nil: the job is over or unknown
 	team             string
-	resources        bookkeeping.Resources
+	resources        workload.Resources
 	state            TaskState
 	reported         bool // a report showed it
 	persisted        bool // nothing more is to be kept of it
@@ -129,7 +129,7 @@
 
 func newPartitionLeader(c *Core, n int, v storage.Versioned[storage.PartitionRecord]) *partitionLeader {
 	h := &partitionLeader{core: c, partition: n, acquiredToken: v.ModRevision, fencingToken: v.ModRevision, formerLeaders: v.Value.FormerLeaders, acquiredAt: c.now,
-		jobs: map[string]*job{}, teamUsage: map[string]bookkeeping.Resources{}, planStale: true, lastTick: c.now,
+		jobs: map[string]*job{}, teamUsage: map[string]workload.Resources{}, planStale: true, lastTick: c.now,
 		silenceCountsFrom: c.now, planInterval: minPlanInterval, preemptionFailed: map[preemptionShape]bool{}, zones: map[string]*zoneHealth{}, useWriteAfter: map[string]micros.Time{},
 		unresolvedDependencies: map[string]micros.Time{}, dependencyCancellations: map[string]bool{}}
 	for _, id := range sortedKeys(c.cache.Machines) {
@@ -143,7 +143,7 @@
 	return h
 }
 
-func (c *Core) partitionOfJob(j *bookkeeping.Job) int {
+func (c *Core) partitionOfJob(j *workload.Job) int {
 	if t := c.teams[j.Team]; t != nil {
 		return t.Partition
 	}
@@ -272,10 +272,10 @@
 func (p *partitionLeader) jobChanged(id string) {
 	e := p.core.cache.Jobs[id]
 	j := p.jobs[id]
-	if e != nil && e.CancelledByDependency && e.Job.Phase == bookkeeping.Active && p.core.partitionOfJob(e.Job) == p.partition {
+	if e != nil && e.CancelledByDependency && e.Job.Phase == workload.Active && p.core.partitionOfJob(e.Job) == p.partition {
 		p.dependencyCancellations[id] = true
 	}
-	if e == nil || e.Job.Phase != bookkeeping.Active || e.CancelledByDependency || p.core.partitionOfJob(e.Job) != p.partition {
+	if e == nil || e.Job.Phase != workload.Active || e.CancelledByDependency || p.core.partitionOfJob(e.Job) != p.partition {
 		if j != nil {
 			p.jobTerminated(j)
 		}
@@ -286,9 +286,9 @@
 		p.updateDependencies(j)
 		return
 	}
-	j = &job{Job: e.Job, modRevision: e.ModRevision, record: e, pendingTasks: bookkeeping.NewBitmap(e.Job.Tasks),
-		unpersistedTasks: bookkeeping.NewBitmap(e.Job.Tasks), activeAttempts: map[int]*attempt{}, attempts: map[*attempt]struct{}{}, dirtySegments: map[int]bool{},
-		preemptedOnce: bookkeeping.NewBitmap(e.Job.Tasks)}
+	j = &job{Job: e.Job, modRevision: e.ModRevision, record: e, pendingTasks: workload.NewBitmap(e.Job.Tasks),
+		unpersistedTasks: workload.NewBitmap(e.Job.Tasks), activeAttempts: map[int]*attempt{}, attempts: map[*attempt]struct{}{}, dirtySegments: map[int]bool{},
+		preemptedOnce: workload.NewBitmap(e.Job.Tasks)}
 	for t := range e.Job.Tasks {
 		if !j.taskCompleted(t) {
 			j.pendingTasks.Add(t)
@@ -488,4 +488,4 @@
 	}
 }
 
-func bitmapHas(s *bookkeeping.Bitmap, t int) bool { return s != nil && s.Has(t) }
+func bitmapHas(s *workload.Bitmap, t int) bool { return s != nil && s.Has(t) }
--- a/internal/coordination/scheduling.go
+++ b/internal/coordination/planning.go
@@ -4,10 +4,10 @@
 	"cmp"
 	"slices"
 
-	"pipitlatch/internal/bookkeeping"
-	"pipitlatch/internal/coordination/fleet"
-	"pipitlatch/internal/coordination/plan"
+	"pipitlatch/internal/coordination/provisioning"
+	"pipitlatch/internal/coordination/scheduling"
 	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
 )
 
 const (
@@ -26,8 +26,8 @@
 // rankedJob is a job with its place in the order.
 type rankedJob struct {
 	job    *job
-	queued *plan.Queued
-	plan.Precedence
+	queued *scheduling.Queued
+	scheduling.Precedence
 }
 
 // schedule plans the waiting tasks and starts those whose slot is now.
@@ -42,12 +42,12 @@
 	clear(p.preemptionFailed)
 	p.serviceReplicas = 0
 	for _, j := range p.jobs {
-		if j.Kind == bookkeeping.Service && !j.blockedByDependencies {
+		if j.Kind == workload.Service && !j.blockedByDependencies {
 			p.serviceReplicas += j.Tasks
 		}
 	}
 	silent := slices.ContainsFunc(p.machines, func(m *machine) bool { return !m.reconciled })
-	p.unreconciledUsage = bookkeeping.Resources{}
+	p.unreconciledUsage = workload.Resources{}
 	for _, m := range p.machines {
 		if !m.reconciled && m.instanceType != nil {
 			p.unreconciledUsage = p.unreconciledUsage.Add(m.instanceType.Capacity)
@@ -61,7 +61,7 @@
 	p.advanceShares(silent)
 	services, arrays := p.rankJobs(silent)
 	machines := p.buildTimelines()
-	var needs []fleet.CapacityRequest
+	var needs []provisioning.CapacityRequest
 	for _, r := range services {
 		needs = append(needs, p.placeService(r, machines)...)
 	}
@@ -88,23 +88,23 @@
 // services by priority and age, arrays by the index, after what is guaranteed.
 func (p *partitionLeader) rankJobs(silent bool) (services, arrays []rankedJob) {
 	now := p.core.now
-	var queue []*plan.Queued
+	var queue []*scheduling.Queued
 	for _, j := range p.sortedJobs {
 		j.estimate = 0
 		if !p.startable(j, silent) {
 			continue
 		}
 		r := rankedJob{job: j, queued: p.indexInput(j)}
-		r.Precedence = plan.Precedence{Guaranteed: p.withinGuarantee(j), Behind: p.lagBeyondBound(j), NearObjective: p.nearObjective(j), Ready: j.readySince, Queued: r.queued}
+		r.Precedence = scheduling.Precedence{Guaranteed: p.withinGuarantee(j), Behind: p.lagBeyondBound(j), NearObjective: p.nearObjective(j), Ready: j.readySince, Queued: r.queued}
 		j.plannedWithinGuarantee = j.plannedWithinGuarantee || r.Guaranteed
-		if j.Kind == bookkeeping.Service {
+		if j.Kind == workload.Service {
 			services = append(services, r)
 		} else {
 			arrays = append(arrays, r)
 			queue = append(queue, r.queued)
 		}
 	}
-	plan.Rank(queue, now)
+	scheduling.Rank(queue, now)
 	slices.SortStableFunc(services, func(a, b rankedJob) int {
 		return cmp.Or(cmp.Compare(b.job.Priority, a.job.Priority), cmp.Compare(a.job.readySince, b.job.readySince))
 	})
@@ -146,7 +146,7 @@
 			for _, a := range m.attempts {
 				switch {
 				case a.state == Exited:
-				case a.job != nil && a.job.Kind == bookkeeping.Service:
+				case a.job != nil && a.job.Kind == workload.Service:
 					services += a.resources.CPU
 				case a.state == Fetching:
 					fetching += a.resources.CPU
@@ -163,10 +163,10 @@
 
 // indexInput is what the index needs of a job's waiting tasks. A job with no
 // deadline takes d = arrival + 2p.
-func (p *partitionLeader) indexInput(j *job) *plan.Queued {
+func (p *partitionLeader) indexInput(j *job) *scheduling.Queued {
 	estimate := p.estimate(j)
 	after := p.inheritFromDependents(j.ID)
-	q := &plan.Queued{Weight: plan.Weight(max(j.Priority, after.priority)), Estimate: estimate, Count: j.pendingTasks.Len()}
+	q := &scheduling.Queued{Weight: scheduling.Weight(max(j.Priority, after.priority)), Estimate: estimate, Count: j.pendingTasks.Len()}
 	due := micros.Max // time of day
 	if j.Deadline > 0 {
 		due = j.Submitted + j.Deadline
@@ -203,9 +203,9 @@
 }
 
 // buildTimelines builds the timelines from what runs.
-func (p *partitionLeader) buildTimelines() []*plan.Machine {
+func (p *partitionLeader) buildTimelines() []*scheduling.Machine {
 	now := p.core.now
-	var out []*plan.Machine
+	var out []*scheduling.Machine
 	for i, m := range p.machines {
 		if m.instanceType == nil || m.startsPausedUntil > now {
 			continue
@@ -219,8 +219,8 @@
 			// Boot times vary; one that is overdue is taken to be there soon.
 			from = max(now+2*micros.Second, m.addedAt+m.instanceType.Boot)
 		}
-		pm := &plan.Machine{Index: i, Type: m.instanceType, Zone: m.record.Zone, Spot: m.record.Spot, Up: up, Slowness: m.slowness(),
-			Timeline: plan.NewTimeline(from, m.instanceType.Capacity), HasImage: m.hasImage}
+		pm := &scheduling.Machine{Index: i, Type: m.instanceType, Zone: m.record.Zone, Spot: m.record.Spot, Up: up, Slowness: m.slowness(),
+			Timeline: scheduling.NewTimeline(from, m.instanceType.Capacity), HasImage: m.hasImage}
 		if m.record.Spot {
 			pm.LossRate = p.core.spot.rate()
 		}
@@ -228,7 +228,7 @@
 			if a.state == Exited {
 				continue
 			}
-			if a.job != nil && a.job.Kind == bookkeeping.Service {
+			if a.job != nil && a.job.Kind == workload.Service {
 				pm.Services++
 			}
 			pm.Timeline.Reserve(a.resources, from, p.remaining(a))
@@ -263,8 +263,8 @@
 		return a.gracePeriod + micros.Second/2
 	case a.job == nil:
 		return micros.Second
-	case a.job.Kind == bookkeeping.Service:
-		return plan.Forever
+	case a.job.Kind == workload.Service:
+		return scheduling.Forever
 	}
 	estimate := p.estimate(a.job)
 	if a.runningSince == 0 {
@@ -275,9 +275,9 @@
 }
 
 // placementRequest is the planner's request for one job.
-func (p *partitionLeader) placementRequest(r rankedJob, count int) *plan.Request {
+func (p *partitionLeader) placementRequest(r rankedJob, count int) *scheduling.Request {
 	j := r.job
-	q := &plan.Request{Job: j.Job, Weight: r.queued.Weight, Estimate: r.queued.Estimate, Due: r.queued.Due, Count: count, Now: p.core.now, InZone: map[string]int{}, Pack: p.packLimit()}
+	q := &scheduling.Request{Job: j.Job, Weight: r.queued.Weight, Estimate: r.queued.Estimate, Due: r.queued.Due, Count: count, Now: p.core.now, InZone: map[string]int{}, Pack: p.packLimit()}
 	for _, a := range j.activeAttempts {
 		q.InZone[a.machine.record.Zone]++
 		if j.OneZone {
@@ -298,7 +298,7 @@
 	if t.LimitCPU >= 0 || t.LimitGPU >= 0 {
 		use = use.Add(p.unreconciledUsage)
 	}
-	free := bookkeeping.Resources{CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}
+	free := workload.Resources{CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}
 	if t.LimitCPU >= 0 {
 		free.CPU = t.LimitCPU - use.CPU
 	}
@@ -327,12 +327,12 @@
 	return true
 }
 
-func (p *partitionLeader) placeService(r rankedJob, machines []*plan.Machine) []fleet.CapacityRequest {
+func (p *partitionLeader) placeService(r rankedJob, machines []*scheduling.Machine) []provisioning.CapacityRequest {
 	j := r.job
 	count := min(j.pendingTasks.Len(), p.quotaAllowance(j))
-	placed := plan.Place(p.placementRequest(r, count), machines, func(s plan.Slot) {
+	placed := scheduling.Place(p.placementRequest(r, count), machines, func(s scheduling.Slot) {
 		m := p.machines[s.Machine.Index]
-		if s.Machine.Up && s.Start <= p.core.now && p.startTask(j, m, plan.Forever) {
+		if s.Machine.Up && s.Start <= p.core.now && p.startTask(j, m, scheduling.Forever) {
 			return
 		}
 		p.preemptFor(j, s.Start)
@@ -343,15 +343,15 @@
 	if missing := count - placed; missing > 0 {
 		n := p.capacityRequest(j, missing)
 		n.Urgent = true
-		return []fleet.CapacityRequest{n}
+		return []provisioning.CapacityRequest{n}
 	}
 	return nil
 }
 
 // capacityRequest is what a rental for tasks of the job has to offer.
-func (p *partitionLeader) capacityRequest(j *job, count int) fleet.CapacityRequest {
-	n := fleet.CapacityRequest{Resources: j.Resources, Count: count, Spot: j.Spot, InstanceTypes: j.InstanceTypes, Zone: j.Zone,
-		Service: j.Kind == bookkeeping.Service, Hold: micros.Time(p.core.config.Operator.IdleKeepS) * micros.Second}
+func (p *partitionLeader) capacityRequest(j *job, count int) provisioning.CapacityRequest {
+	n := provisioning.CapacityRequest{Resources: j.Resources, Count: count, Spot: j.Spot, InstanceTypes: j.InstanceTypes, Zone: j.Zone,
+		Service: j.Kind == workload.Service, Hold: micros.Time(p.core.config.Operator.IdleKeepS) * micros.Second}
 	if n.Service {
 		n.Hold *= 4
 		n.Replicas = p.serviceReplicas
@@ -359,7 +359,7 @@
 	return n
 }
 
-func (p *partitionLeader) placeArray(r rankedJob, machines []*plan.Machine, left *int) []fleet.CapacityRequest {
+func (p *partitionLeader) placeArray(r rankedJob, machines []*scheduling.Machine, left *int) []provisioning.CapacityRequest {
 	j := r.job
 	now := p.core.now
 	allowed := p.quotaAllowance(j)
@@ -374,7 +374,7 @@
 			boot = min(boot, t.Boot)
 		}
 	}
-	placed := plan.Place(p.placementRequest(r, count), machines, func(s plan.Slot) {
+	placed := scheduling.Place(p.placementRequest(r, count), machines, func(s scheduling.Slot) {
 		m := p.machines[s.Machine.Index]
 		if s.Machine.Up && s.Start <= now {
 			p.startTask(j, m, s.Length)
@@ -403,17 +403,17 @@
 	// What does not fit in time: so many slots that the waves on new machines end
 	// by the deadline, or, if that is over anyway, all at once.
 	waves := max(1, min(4, (r.queued.Due-now-boot)/max(1, r.queued.Estimate)))
-	return []fleet.CapacityRequest{p.capacityRequest(j, (short+int(waves)-1)/int(waves))}
+	return []provisioning.CapacityRequest{p.capacityRequest(j, (short+int(waves)-1)/int(waves))}
 }
 
-func sameCapacityRequest(a, b fleet.CapacityRequest) bool {
+func sameCapacityRequest(a, b provisioning.CapacityRequest) bool {
 	return a.Count == b.Count && a.Resources == b.Resources && a.Service == b.Service && a.Urgent == b.Urgent
 }
 
-func mergeCapacityRequests(needs []fleet.CapacityRequest) []fleet.CapacityRequest {
-	var out []fleet.CapacityRequest
+func mergeCapacityRequests(needs []provisioning.CapacityRequest) []provisioning.CapacityRequest {
+	var out []provisioning.CapacityRequest
 	for _, n := range needs {
-		i := slices.IndexFunc(out, func(o fleet.CapacityRequest) bool {
+		i := slices.IndexFunc(out, func(o provisioning.CapacityRequest) bool {
 			return o.Resources == n.Resources && o.Spot == n.Spot && o.Zone == n.Zone && o.Service == n.Service && o.Urgent == n.Urgent && slices.Equal(o.InstanceTypes, n.InstanceTypes)
 		})
 		if i >= 0 {
--- a/internal/coordination/exceptions.go
+++ b/internal/coordination/precedence.go
@@ -4,11 +4,11 @@
 	"cmp"
 	"slices"
 
-	"pipitlatch/internal/coordination/plan"
+	"pipitlatch/internal/coordination/scheduling"
 	"pipitlatch/internal/micros"
 )
 
-// The exceptions to the order by the index (plan.Precedence), as they are found out about a
+// The exceptions to the order by the index (scheduling.Precedence), as they are found out about a
 // job; flows behind their fair share are in fairness.go.
 
 // nearObjective tells whether a job is in the last part of the time within which its
@@ -44,7 +44,7 @@
 // placeLongWaiting places the first task of the jobs that have waited long for it,
 // before all others. Exception to the design: the index ranks what is long and
 // late behind all that is short, under load for ever, and every job is to begin.
-func (p *partitionLeader) placeLongWaiting(arrays []rankedJob, machines []*plan.Machine) {
+func (p *partitionLeader) placeLongWaiting(arrays []rankedJob, machines []*scheduling.Machine) {
 	var late []rankedJob
 	for _, r := range arrays {
 		j := r.job
--- a/internal/coordination/room.go
+++ b/internal/coordination/preemption.go
@@ -4,17 +4,17 @@
 	"cmp"
 	"slices"
 
-	"pipitlatch/internal/bookkeeping"
-	"pipitlatch/internal/coordination/fleet"
-	"pipitlatch/internal/coordination/plan"
+	"pipitlatch/internal/coordination/provisioning"
+	"pipitlatch/internal/coordination/scheduling"
 	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
 )
 
 // preemptionShape is what decides where room can be made for a task without further
 // conditions.
 type preemptionShape struct {
-	resources bookkeeping.Resources
-	priority  bookkeeping.Priority
+	resources workload.Resources
+	priority  workload.Priority
 	zone      string
 	spot      bool
 }
@@ -61,7 +61,7 @@
 	}
 	if !saves {
 		// Commands are executed in order: the room is there when the start comes.
-		return p.startTask(j, best, plan.Forever)
+		return p.startTask(j, best, scheduling.Forever)
 	}
 	return true
 }
@@ -124,11 +124,11 @@
 // headroomRequests asks for room to take up the services of the machine that holds most of
 // them, and some growth, at once: free room, or room that arrays can be stopped
 // for. Exception to the design, which plans for tasks that are there.
-func (p *partitionLeader) headroomRequests() []fleet.CapacityRequest {
+func (p *partitionLeader) headroomRequests() []provisioning.CapacityRequest {
 	survey := p.surveyHeadroom(true)
 	kind, missing := survey.service, survey.missing(nil)
 	if missing > 0 {
-		return []fleet.CapacityRequest{p.capacityRequest(kind, missing)}
+		return []provisioning.CapacityRequest{p.capacityRequest(kind, missing)}
 	}
 	m := p.oversized(kind)
 	if m == nil {
@@ -146,7 +146,7 @@
 			n.InstanceTypes = append(n.InstanceTypes, name)
 		}
 	}
-	return []fleet.CapacityRequest{n}
+	return []provisioning.CapacityRequest{n}
 }
 
 // oversized finds a machine that is kept for so few replicas that smaller ones
@@ -164,7 +164,7 @@
 		replicas := 0
 		room := m.instanceType.Capacity.CPU
 		for _, a := range m.attempts {
-			if a.state != Exited && a.job != nil && a.job.Kind == bookkeeping.Service {
+			if a.state != Exited && a.job != nil && a.job.Kind == workload.Service {
 				replicas++
 				room -= a.resources.CPU
 			}
@@ -208,7 +208,7 @@
 		for _, a := range m.attempts {
 			switch {
 			case a.state == Exited:
-			case a.job != nil && a.job.Kind == bookkeeping.Service:
+			case a.job != nil && a.job.Kind == workload.Service:
 				services += a.resources.CPU
 			default:
 				arrays += a.resources.CPU
@@ -235,7 +235,7 @@
 	s := &headroomSurvey{replicas: map[*machine]int{}, headroomOn: map[*machine]int{}}
 	replicas := 0
 	for _, j := range p.sortedJobs {
-		if j.Kind != bookkeeping.Service {
+		if j.Kind != workload.Service {
 			continue
 		}
 		for _, a := range j.activeAttempts {
@@ -329,7 +329,7 @@
 }
 
 // freeResources is the room a machine has now.
-func (p *partitionLeader) freeResources(m *machine) bookkeeping.Resources {
+func (p *partitionLeader) freeResources(m *machine) workload.Resources {
 	free := m.instanceType.Capacity
 	for _, a := range m.attempts {
 		if a.state != Exited {
--- a/internal/coordination/fleet/fleet.go
+++ b/internal/coordination/provisioning/provisioning.go
@@ -1,17 +1,17 @@
-// Package fleet decides which machines to rent, and counts a machine's faults.
-package fleet
+// Package provisioning decides which machines to rent, and counts a machine's faults.
+package provisioning
 
 import (
 	"cmp"
 	"slices"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
 )
 
 // CapacityRequest asks for room for a number of tasks of one kind.
 type CapacityRequest struct {
-	Resources     bookkeeping.Resources
+	Resources     workload.Resources
 	Count         int
 	Spot          bool
 	InstanceTypes []string
@@ -113,7 +113,7 @@
 // plannedInstance is a rented machine being filled.
 type plannedInstance struct {
 	InstanceKind
-	free bookkeeping.Resources
+	free workload.Resources
 }
 
 // Allows tells whether a machine of the offer could serve the need.
@@ -132,12 +132,12 @@
 // Choose rents for the needs, in their order, what costs least a task over boot
 // and use, at most limit machines in all. Room left on a machine chosen for one
 // need is used for the next.
-func Choose(needs []CapacityRequest, catalog bookkeeping.Catalog, most func(InstanceKind) int, limit int) []InstanceRequest {
-	types := make([]*bookkeeping.InstanceType, 0, len(catalog))
+func Choose(needs []CapacityRequest, catalog workload.Catalog, most func(InstanceKind) int, limit int) []InstanceRequest {
+	types := make([]*workload.InstanceType, 0, len(catalog))
 	for _, t := range catalog {
 		types = append(types, t)
 	}
-	slices.SortFunc(types, func(a, b *bookkeeping.InstanceType) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(types, func(a, b *workload.InstanceType) int { return cmp.Compare(a.Name, b.Name) })
 	var rooms []*plannedInstance
 	perOffer := max(1, limit/kindShare)
 	for i := range needs {
@@ -182,7 +182,7 @@
 
 // cheapest is a machine of the offer that costs least a task, of those that may be had; nil
 // if there is none.
-func (n *CapacityRequest) cheapest(types []*bookkeeping.InstanceType, left int64, available func(InstanceKind) bool) *plannedInstance {
+func (n *CapacityRequest) cheapest(types []*workload.InstanceType, left int64, available func(InstanceKind) bool) *plannedInstance {
 	best, bestCost := (*plannedInstance)(nil), 0.0
 	for _, t := range types {
 		slots := n.Resources.Count(t.Capacity)
@@ -205,7 +205,7 @@
 }
 
 // cost is what a machine costs over boot and use, for each task of the need that it takes.
-func (n *CapacityRequest) cost(t *bookkeeping.InstanceType, spot bool, slots, left int64) float64 {
+func (n *CapacityRequest) cost(t *workload.InstanceType, spot bool, slots, left int64) float64 {
 	price := t.Price
 	if spot {
 		price = t.SpotPrice
--- a/internal/coordination/session.go
+++ b/internal/coordination/replication.go
@@ -1,7 +1,7 @@
 package coordination
 
 import (
-	"pipitlatch/internal/coordination/lease"
+	"pipitlatch/internal/coordination/leadership"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 )
@@ -24,7 +24,7 @@
 	watchInFlight       bool
 	watchSentAt         micros.Time
 	watchRetryAt        micros.Time
-	term                lease.Term
+	term                leadership.Term
 	previousWatchSentAt micros.Time // when the news before the last were sent for
 
 	campaignInFlight bool
--- a/internal/coordination/rentals.go
+++ b/internal/coordination/scale_out.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"pipitlatch/internal/coordination/fleet"
+	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 )
@@ -56,7 +56,7 @@
 	statuses := c.partitionStatuses()
 	slices.SortStableFunc(statuses, func(a, b PartitionStatus) int { return cmp.Compare(a.Partition, b.Partition) })
 	for _, q := range statuses {
-		var needs []fleet.CapacityRequest
+		var needs []provisioning.CapacityRequest
 		for _, service := range []bool{true, false} {
 			for _, n := range q.CapacityRequests {
 				if n.Service == service {
@@ -67,13 +67,13 @@
 		for _, n := range needs {
 			c.log(levelDebug, "need", "queue", q.Partition, "count", n.Count, "cpu", n.Resources.CPU, "service", n.Service, "urgent", n.Urgent)
 		}
-		most := func(o fleet.InstanceKind) int {
+		most := func(o provisioning.InstanceKind) int {
 			if slices.Contains(q.UnreachableZones, o.Zone) {
 				return min(l.capacity.Limit(o, c.now), c.zoneProbeLimit(o.Zone))
 			}
 			return l.capacity.Limit(o, c.now)
 		}
-		for _, r := range fleet.Choose(needs, c.catalog, most, c.maxScaleOutRound()/max(1, len(statuses))) {
+		for _, r := range provisioning.Choose(needs, c.catalog, most, c.maxScaleOutRound()/max(1, len(statuses))) {
 			for r.Count > 0 && c.takeCloudToken() {
 				part := r
 				part.Count = min(r.Count, c.maxBlockMachines())
@@ -115,7 +115,7 @@
 
 // recordInstanceRequest writes a rental down before it is sent, as a block without machines, so
 // that a successor neither loses it nor rents the same need twice.
-func (c *Core) recordInstanceRequest(queue int, r fleet.InstanceRequest) {
+func (c *Core) recordInstanceRequest(queue int, r provisioning.InstanceRequest) {
 	l := &c.leader
 	l.nameCounter++
 	name := fmt.Sprintf("c%d-%d", l.revision, l.nameCounter)
@@ -138,9 +138,9 @@
 // sendInstanceRequest sends a rental that was written down.
 func (c *Core) sendInstanceRequest(name string, rec storage.BlockRecord, version uint64) {
 	l := &c.leader
-	offer := fleet.InstanceKind{InstanceType: rec.InstanceType, Zone: rec.Zone, Spot: rec.Spot}
+	offer := provisioning.InstanceKind{InstanceType: rec.InstanceType, Zone: rec.Zone, Spot: rec.Spot}
 	l.requestsInFlight[name] = offer
-	c.callCloud(CloudCall{Operation: CloudRequestInstances, InstanceRequestID: name, InstanceRequest: fleet.InstanceRequest{InstanceKind: offer, Count: rec.Requested}, Timeout: 4 * micros.Second}, func(r *CloudReply) {
+	c.callCloud(CloudCall{Operation: CloudRequestInstances, InstanceRequestID: name, InstanceRequest: provisioning.InstanceRequest{InstanceKind: offer, Count: rec.Requested}, Timeout: 4 * micros.Second}, func(r *CloudReply) {
 		delete(l.requestsInFlight, name)
 		switch r.Outcome {
 		case CloudOK, CloudInsufficientCapacity:
@@ -175,7 +175,7 @@
 	} else {
 		c.putBlock(r, name, rec)
 	}
-	l.requestsInFlight[name] = fleet.InstanceKind{InstanceType: rec.InstanceType, Zone: rec.Zone, Spot: rec.Spot}
+	l.requestsInFlight[name] = provisioning.InstanceKind{InstanceType: rec.InstanceType, Zone: rec.Zone, Spot: rec.Spot}
 	again := func() {
 		delete(l.requestsInFlight, name)
 		l.requestRetryAt[name] = c.now + 200*micros.Millisecond // the same name gives the same answer
--- a/internal/coordination/plan/index.go
+++ b/internal/coordination/scheduling/index.go
@@ -1,26 +1,26 @@
-// Package plan ranks waiting tasks by the Apparent Tardiness Cost index and
+// Package scheduling ranks waiting tasks by the Apparent Tardiness Cost index and
 // places them into the gaps of machines' timelines.
 //
 // Equation numbers are those of Shanthini, Kalaikumaran and Karthik, "Hybrid
 // Scheduling Model for Independent Grid Tasks" (2015); docs/design.md says what
 // was kept and what was changed.
-package plan
+package scheduling
 
 import (
 	"math"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
 )
 
 // Weight is w of the index: what a priority makes of tardiness.
-func Weight(p bookkeeping.Priority) float64 {
+func Weight(p workload.Priority) float64 {
 	switch p {
-	case bookkeeping.Low:
+	case workload.Low:
 		return 1
-	case bookkeeping.High:
+	case workload.High:
 		return 4
-	case bookkeeping.Production:
+	case workload.Production:
 		return 8
 	default:
 		return 2
--- a/internal/coordination/plan/place.go
+++ b/internal/coordination/scheduling/place.go
@@ -1,17 +1,17 @@
-package plan
+package scheduling
 
 import (
 	"container/heap"
 	"math"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
 )
 
 // Machine is a machine as the planner sees it.
 type Machine struct {
 	Index    int // the caller's
-	Type     *bookkeeping.InstanceType
+	Type     *workload.InstanceType
 	Zone     string
 	Spot     bool
 	Timeline *Timeline
@@ -32,7 +32,7 @@
 
 // Request asks for slots for the waiting tasks of one job.
 type Request struct {
-	Job      *bookkeeping.Job
+	Job      *workload.Job
 	Weight   float64
 	Estimate micros.Time
 	Due      micros.Time
@@ -47,7 +47,7 @@
 }
 
 // fetchTime is how long the image takes to arrive on the machine.
-func fetchTime(j *bookkeeping.Job, m *Machine) micros.Time {
+func fetchTime(j *workload.Job, m *Machine) micros.Time {
 	if j.Image == "" || m.HasImage(j.Image) || m.Type.FetchGBps <= 0 {
 		return 0
 	}
@@ -69,7 +69,7 @@
 	}
 	fetch := fetchTime(j, m)
 	length := Forever
-	if j.Kind == bookkeeping.Array {
+	if j.Kind == workload.Array {
 		length = fetch + micros.Time(float64(r.Estimate)*m.Slowness)
 	}
 	start, ok := m.Timeline.Gap(j.Resources, r.Now, length)
@@ -103,7 +103,7 @@
 // ready first, then, for a service, a machine that has replicas already, up to a
 // number, and from there on the one with fewer, and for an array the machine that
 // services cannot use, then the fuller one.
-func better(j *bookkeeping.Job, pack int, a, b *candidate) bool {
+func better(j *workload.Job, pack int, a, b *candidate) bool {
 	if !b.ok || !a.ok {
 		return a.ok
 	}
@@ -114,7 +114,7 @@
 		return ar < br
 	}
 	am, bm := a.slot.Machine, b.slot.Machine
-	if j.Kind == bookkeeping.Service {
+	if j.Kind == workload.Service {
 		if am.Services != bm.Services {
 			if am.Services < pack && bm.Services < pack {
 				return am.Services > bm.Services
@@ -124,7 +124,7 @@
 	} else if am.Spot != bm.Spot {
 		return am.Spot
 	}
-	if j.Kind == bookkeeping.Array {
+	if j.Kind == workload.Array {
 		if ae, be := a.prolongs(), b.prolongs(); ae != be {
 			return ae < be
 		}
@@ -146,7 +146,7 @@
 // candidates is a heap of the machines' best gaps for one job, the best on top. It
 // holds places in a list: most of a plan's time goes into moving its entries.
 type candidates struct {
-	job   *bookkeeping.Job
+	job   *workload.Job
 	pack  int
 	list  []candidate
 	order []int32
@@ -194,7 +194,7 @@
 			continue
 		}
 		m.Timeline.Reserve(r.Job.Resources, c.slot.Start, c.slot.Length)
-		if r.Job.Kind == bookkeeping.Service {
+		if r.Job.Kind == workload.Service {
 			m.Services++
 		}
 		if r.InZone != nil {
--- a/internal/coordination/plan/plan_test.go
+++ b/internal/coordination/scheduling/plan_test.go
@@ -1,11 +1,11 @@
-package plan
+package scheduling
 
 import (
 	"math"
 	"testing"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
 )
 
 const s = micros.Second
@@ -60,7 +60,7 @@
 	near(t, "expected", expectedTardiness(1, 70*s, 60*s, 20*s, 0.01), 10+(1-math.Exp(-0.2))*10)
 }
 
-func need(cpu int64) bookkeeping.Resources { return bookkeeping.Resources{CPU: cpu * 1000, Mem: 1000} }
+func need(cpu int64) workload.Resources { return workload.Resources{CPU: cpu * 1000, Mem: 1000} }
 
 func TestTimelineGaps(t *testing.T) {
 	tl := NewTimeline(0, need(8))
@@ -91,7 +91,7 @@
 }
 
 func machine(key int, spot bool, busyUntil micros.Time) *Machine {
-	kind := &bookkeeping.InstanceType{Name: "m", Capacity: bookkeeping.Resources{CPU: 8000, Mem: 64_000}, FetchGBps: 0.5}
+	kind := &workload.InstanceType{Name: "m", Capacity: workload.Resources{CPU: 8000, Mem: 64_000}, FetchGBps: 0.5}
 	m := &Machine{Index: key, Type: kind, Zone: "a", Spot: spot, Timeline: NewTimeline(0, kind.Capacity), HasImage: func(string) bool { return true }, Slowness: 1, Up: true}
 	if busyUntil > 0 {
 		m.Timeline.Reserve(need(8), 0, busyUntil)
@@ -99,13 +99,13 @@
 	return m
 }
 
-func place(j *bookkeeping.Job, p, due micros.Time, count int, ms ...*Machine) (slots []Slot, placed int) {
+func place(j *workload.Job, p, due micros.Time, count int, ms ...*Machine) (slots []Slot, placed int) {
 	placed = Place(&Request{Job: j, Weight: 2, Estimate: p, Due: due, Count: count, InZone: map[string]int{}}, ms, func(x Slot) { slots = append(slots, x) })
 	return slots, placed
 }
 
 func TestPlaceTakesTheLeastTardyGap(t *testing.T) {
-	j := &bookkeeping.Job{Resources: need(8), Tasks: 9, Spot: true}
+	j := &workload.Job{Resources: need(8), Tasks: 9, Spot: true}
 	// Machine 1 is free at 30 s, machine 2 at 12 s: 5 s late against 23 s late.
 	slots, _ := place(j, 10*s, 17*s, 1, machine(1, false, 30*s), machine(2, false, 12*s))
 	if slots[0].Machine.Index != 2 || slots[0].Start != 12*s {
@@ -121,7 +121,7 @@
 }
 
 func TestPlaceAvoidsSpotForTightTasks(t *testing.T) {
-	j := &bookkeeping.Job{Resources: need(4), Tasks: 9, Spot: true}
+	j := &workload.Job{Resources: need(4), Tasks: 9, Spot: true}
 	spot, ordinary := machine(1, true, 0), machine(2, false, 0)
 	spot.LossRate = 0.01
 	if slots, _ := place(j, 10*s, 11*s, 1, spot, ordinary); slots[0].Machine != ordinary {
@@ -135,13 +135,13 @@
 func TestPlaceKeepsConstraints(t *testing.T) {
 	a, b := machine(1, false, 0), machine(2, true, 0)
 	b.Zone = "b"
-	if _, n := place(&bookkeeping.Job{Resources: need(4), Tasks: 4}, s, 9*s, 4, b); n != 0 {
+	if _, n := place(&workload.Job{Resources: need(4), Tasks: 4}, s, 9*s, 4, b); n != 0 {
 		t.Error("a spot machine was used without leave")
 	}
-	if _, n := place(&bookkeeping.Job{Resources: need(1), Tasks: 5, Spread: true, Spot: true}, s, 9*s, 5, a); n != 3 {
+	if _, n := place(&workload.Job{Resources: need(1), Tasks: 5, Spread: true, Spot: true}, s, 9*s, 5, a); n != 3 {
 		t.Errorf("spread: %d of 5 tasks in one zone, want 3", n)
 	}
-	slots, n := place(&bookkeeping.Job{Resources: need(4), Tasks: 4, OneZone: true, Spot: true}, s, 9*s, 4, a, b)
+	slots, n := place(&workload.Job{Resources: need(4), Tasks: 4, OneZone: true, Spot: true}, s, 9*s, 4, a, b)
 	for _, x := range slots {
 		if x.Machine.Zone != slots[0].Machine.Zone {
 			t.Error("one zone: tasks in two")
--- a/internal/coordination/plan/precedence_test.go
+++ b/internal/coordination/scheduling/precedence_test.go
@@ -1,4 +1,4 @@
-package plan
+package scheduling
 
 import (
 	"slices"
--- a/internal/coordination/plan/reference_test.go
+++ b/internal/coordination/scheduling/reference_test.go
@@ -1,4 +1,4 @@
-package plan
+package scheduling
 
 import (
 	"slices"
@@ -6,8 +6,8 @@
 
 	"pgregory.net/rapid"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
 )
 
 // plainPlace is Place without the heap: for every task it looks at every machine.
@@ -28,7 +28,7 @@
 		}
 		m := best.slot.Machine
 		m.Timeline.Reserve(r.Job.Resources, best.slot.Start, best.slot.Length)
-		if r.Job.Kind == bookkeeping.Service {
+		if r.Job.Kind == workload.Service {
 			m.Services++
 		}
 		r.InZone[m.Zone]++
@@ -44,8 +44,8 @@
 func drawnFleet(t *rapid.T) []*Machine {
 	var out []*Machine
 	for i := range rapid.IntRange(1, 30).Draw(t, "machines") {
-		kind := &bookkeeping.InstanceType{Name: "m", FetchGBps: 0.5,
-			Capacity: bookkeeping.Resources{CPU: 8000 << rapid.IntRange(0, 2).Draw(t, "size"), Mem: 64_000}}
+		kind := &workload.InstanceType{Name: "m", FetchGBps: 0.5,
+			Capacity: workload.Resources{CPU: 8000 << rapid.IntRange(0, 2).Draw(t, "size"), Mem: 64_000}}
 		image := rapid.Bool().Draw(t, "image")
 		m := &Machine{Index: i, Type: kind, Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
 			Timeline: NewTimeline(0, kind.Capacity), HasImage: func(string) bool { return image }, Slowness: 1, Up: true,
@@ -76,10 +76,10 @@
 func TestPlaceLikeThePlainOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := drawnFleet(t)
-		j := &bookkeeping.Job{Resources: need(int64(rapid.IntRange(1, 6).Draw(t, "need"))), Tasks: 40, Spot: rapid.Bool().Draw(t, "loaners"),
+		j := &workload.Job{Resources: need(int64(rapid.IntRange(1, 6).Draw(t, "need"))), Tasks: 40, Spot: rapid.Bool().Draw(t, "loaners"),
 			Image: "i", ImageGB: 2, Spread: rapid.Bool().Draw(t, "spread"), OneZone: rapid.Bool().Draw(t, "one zone")}
 		if rapid.Bool().Draw(t, "service") {
-			j.Kind = bookkeeping.Service
+			j.Kind = workload.Service
 		}
 		request := func() *Request {
 			return &Request{Job: j, Weight: 2, Estimate: 12 * s, Due: 30 * s, Count: 40, InZone: map[string]int{}, Pack: 2}
@@ -111,7 +111,7 @@
 		}
 		placed := 0
 		for range 20 {
-			j := &bookkeeping.Job{Resources: need(2), Tasks: 100, Spot: true}
+			j := &workload.Job{Resources: need(2), Tasks: 100, Spot: true}
 			placed += Place(&Request{Job: j, Weight: 2, Estimate: 20 * s, Due: 60 * s, Count: 100, InZone: map[string]int{}}, fleet, func(Slot) {})
 		}
 		if placed != 2000 {
--- a/internal/coordination/plan/timeline.go
+++ b/internal/coordination/scheduling/timeline.go
@@ -1,10 +1,10 @@
-package plan
+package scheduling
 
 import (
 	"slices"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
 )
 
 // Forever is the length of a service's open-ended slot.
@@ -12,7 +12,7 @@
 
 type segment struct {
 	from micros.Time
-	free bookkeeping.Resources
+	free workload.Resources
 }
 
 // Timeline is the room a machine is planned to have: a step function of time,
@@ -22,7 +22,7 @@
 }
 
 // NewTimeline is a machine that is empty from a time on, and has nothing before.
-func NewTimeline(from micros.Time, capacity bookkeeping.Resources) *Timeline {
+func NewTimeline(from micros.Time, capacity workload.Resources) *Timeline {
 	return &Timeline{steps: []segment{{from, capacity}}}
 }
 
@@ -48,7 +48,7 @@
 }
 
 // Reserve takes need from start for length.
-func (tl *Timeline) Reserve(need bookkeeping.Resources, start, length micros.Time) {
+func (tl *Timeline) Reserve(need workload.Resources, start, length micros.Time) {
 	first := tl.split(max(start, tl.steps[0].from))
 	last := len(tl.steps)
 	if end := start + length; end < micros.Max {
@@ -62,7 +62,7 @@
 // Gap finds the first gap that takes need for length, at or after from. On one
 // machine the first fitting gap also ends first, so no later one can have a
 // lower weighted tardiness, and only this one is compared between machines.
-func (tl *Timeline) Gap(need bookkeeping.Resources, from, length micros.Time) (micros.Time, bool) {
+func (tl *Timeline) Gap(need workload.Resources, from, length micros.Time) (micros.Time, bool) {
 	start := micros.Time(-1)
 	for i, s := range tl.steps {
 		next := micros.Max
--- a/internal/coordination/users.go
+++ b/internal/coordination/submissions.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
 )
 
 // defaultRetryAfter is when a refused user may try again.
@@ -20,7 +20,7 @@
 // respondIfFinal answers from what can never change, if it is known.
 func (c *Core) respondIfFinal(req RequestID, id string) bool {
 	e := c.cache.Jobs[id]
-	if e == nil || (e.Job.Phase == bookkeeping.Active && !e.CancelledByDependency) {
+	if e == nil || (e.Job.Phase == workload.Active && !e.CancelledByDependency) {
 		return false
 	}
 	c.respond(Response{Request: req, Kind: JobFound, Job: c.jobStatus(e)})
@@ -30,12 +30,12 @@
 func (c *Core) jobStatus(e *storage.JobEntry) JobStatus {
 	v := JobStatus{ID: e.Job.ID, Phase: e.Job.Phase}
 	if e.CancelledByDependency {
-		v.Phase = bookkeeping.Cancelled
+		v.Phase = workload.Cancelled
 	}
 	switch v.Phase {
-	case bookkeeping.Done:
+	case workload.Done:
 		v.Done = e.Job.Tasks
-	case bookkeeping.Active:
+	case workload.Active:
 		p := c.progress[v.ID]
 		v.Done, v.Running = p.Done, p.Running
 		if e.Completed != nil {
@@ -120,7 +120,7 @@
 
 // pruneInstanceTypes leaves out of a job's record what says nothing: machine types that do not
 // exist, or on which its tasks do not fit.
-func (c *Core) pruneInstanceTypes(j *bookkeeping.Job) {
+func (c *Core) pruneInstanceTypes(j *workload.Job) {
 	j.InstanceTypes = slices.DeleteFunc(slices.Clone(j.InstanceTypes), func(name string) bool {
 		t := c.catalog[name]
 		return t == nil || !j.Resources.Fits(t.Capacity)
@@ -136,7 +136,7 @@
 }
 
 // accept writes a job's record, by which it is accepted, under further conditions.
-func (c *Core) accept(req RequestID, job *bookkeeping.Job, urgency storage.Urgency, conditions ...storage.Compare) {
+func (c *Core) accept(req RequestID, job *workload.Job, urgency storage.Urgency, conditions ...storage.Compare) {
 	id := job.ID
 	key, value := c.keys.Job(id), storage.Encode(job)
 	if len(value) > c.config.Settings.MaxValue() {
@@ -167,7 +167,7 @@
 }
 
 // unschedulableReason says why a job can never run, or nothing.
-func (c *Core) unschedulableReason(j *bookkeeping.Job) string {
+func (c *Core) unschedulableReason(j *workload.Job) string {
 	team := c.teams[j.Team]
 	switch {
 	case team == nil:
@@ -201,7 +201,7 @@
 		return
 	}
 	key := c.keys.Job(in.ID)
-	gone := e.Job.Tombstone(bookkeeping.Cancelled)
+	gone := e.Job.Tombstone(workload.Cancelled)
 	var ranges []string // of finished tasks, which nobody needs any more
 	for _, chunk := range sortedKeys(e.CompletedRevisions) {
 		if len(ranges)+1 < c.config.Settings.StateLimits().TxnOps {
@@ -217,7 +217,7 @@
 		switch {
 		case r.Outcome == storage.OK:
 			c.noteCancellation(in.ID, r.Revision, true)
-			c.respond(Response{Request: in.Request, Kind: JobFound, Job: JobStatus{ID: in.ID, Phase: bookkeeping.Cancelled}})
+			c.respond(Response{Request: in.Request, Kind: JobFound, Job: JobStatus{ID: in.ID, Phase: workload.Cancelled}})
 		case r.Outcome == storage.Conflict && tries > 0:
 			c.linearizableRead(func(ok bool) {
 				if !ok {
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -6,9 +6,9 @@
 	"net/url"
 	"strconv"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/coordination"
 	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
 )
 
 // HTTPRequest is a request as a client sends it.
@@ -95,20 +95,20 @@
 // maxMachineName bounds a machine's name, which is part of keys.
 const maxMachineName = 150
 
-func decodeCatalog(body []byte) (bookkeeping.Catalog, error) {
+func decodeCatalog(body []byte) (workload.Catalog, error) {
 	var c struct {
 		Hulls []instanceTypeMessage `json:"hulls"`
 	}
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil, fmt.Errorf("catalog: %w", err)
 	}
-	catalog := bookkeeping.Catalog{}
+	catalog := workload.Catalog{}
 	for _, h := range c.Hulls {
 		if h.SKU == "" || h.Cores <= 0 || h.RAMGB < 0 || h.BootS < 0 || h.Hourly < 0 {
 			return nil, fmt.Errorf("catalog: bad type %q", h.SKU)
 		}
-		catalog[h.SKU] = &bookkeeping.InstanceType{Name: h.SKU, CacheGB: h.CacheGB, FetchGBps: h.FetchGBps,
-			Capacity: bookkeeping.Resources{CPU: bookkeeping.Milli(h.Cores), GPU: bookkeeping.Milli(h.GPUs), Mem: bookkeeping.Milli(h.RAMGB)},
+		catalog[h.SKU] = &workload.InstanceType{Name: h.SKU, CacheGB: h.CacheGB, FetchGBps: h.FetchGBps,
+			Capacity: workload.Resources{CPU: workload.Milli(h.Cores), GPU: workload.Milli(h.GPUs), Mem: workload.Milli(h.RAMGB)},
 			Price:    h.Hourly, SpotPrice: h.SpotHourly, Boot: micros.FromSeconds(h.BootS), Zones: h.Berths}
 	}
 	return catalog, nil
--- a/internal/protocol/siblings.go
+++ b/internal/protocol/peers.go
@@ -6,11 +6,11 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 
 	"pipitlatch/internal/admission"
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/coordination"
-	"pipitlatch/internal/coordination/fleet"
+	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/protocol/wire"
 	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
 )
 
 //go:generate flatc --go siblings.fbs
@@ -82,7 +82,7 @@
 	return vector(b, queues)
 }
 
-func encodeCapacityRequests(b *flatbuffers.Builder, list []fleet.CapacityRequest) flatbuffers.UOffsetT {
+func encodeCapacityRequests(b *flatbuffers.Builder, list []provisioning.CapacityRequest) flatbuffers.UOffsetT {
 	var needs []flatbuffers.UOffsetT
 	for _, n := range list {
 		types, zone := strings(b, n.InstanceTypes), b.CreateString(n.Zone)
@@ -292,7 +292,7 @@
 	for k := range q.NeedsLength() {
 		var n wire.Need
 		q.Needs(&n, k)
-		out.CapacityRequests = append(out.CapacityRequests, fleet.CapacityRequest{Resources: bookkeeping.Resources{CPU: n.Cpu(), GPU: n.Gpu(), Mem: n.Mem()},
+		out.CapacityRequests = append(out.CapacityRequests, provisioning.CapacityRequest{Resources: workload.Resources{CPU: n.Cpu(), GPU: n.Gpu(), Mem: n.Mem()},
 			Count: int(n.Count()), Spot: n.Spot(), InstanceTypes: stringList(n.TypesLength(), n.Types), Zone: string(n.Zone()),
 			Service: n.Service(), Hold: n.Hold(), Replicas: int(n.Replicas()), Urgent: n.Urgent()})
 	}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 
 	"pipitlatch/internal/admission"
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/coordination"
-	"pipitlatch/internal/coordination/fleet"
+	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
 )
 
 const good = `{"ref":"wk-000412","jobclass":"train","owner":"vision","shape":"array","rank":"urgent","shards":16,
@@ -24,8 +24,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &bookkeeping.Job{ID: "wk-000412", Class: "train", Team: "vision", Priority: bookkeeping.High, Tasks: 16,
-		Resources: bookkeeping.Resources{CPU: 8000, GPU: 1000, Mem: 64000}, InstanceTypes: []string{"g8"}, OneZone: true, Spot: true,
+	want := &workload.Job{ID: "wk-000412", Class: "train", Team: "vision", Priority: workload.High, Tasks: 16,
+		Resources: workload.Resources{CPU: 8000, GPU: 1000, Mem: 64000}, InstanceTypes: []string{"g8"}, OneZone: true, Spot: true,
 		Image: "img-07", ImageGB: 6.2, Estimate: 240e6, CheckpointInterval: 30e6, CheckpointDuration: 4e6, Deadline: 900e6}
 	if id != "wk-000412" || !reflect.DeepEqual(j, want) {
 		t.Errorf("got %+v", j)
@@ -58,7 +58,7 @@
 func TestStatusRoundTrip(t *testing.T) {
 	s := &coordination.PeerStatus{From: storage.Process{Member: "a", Incarnation: "x"}, Revision: 77, StoreReachable: true,
 		Partitions: []coordination.PartitionStatus{{Partition: 1, FencingToken: 9, UnreachableZones: []string{"a", "b"}, Terminate: []string{"vm-1"}, Idle: []string{"vm-2", "vm-3"},
-			CapacityRequests: []fleet.CapacityRequest{{Resources: bookkeeping.Resources{CPU: 1, GPU: 2, Mem: 3}, Count: 4, Spot: true, InstanceTypes: []string{"t"}, Zone: "z",
+			CapacityRequests: []provisioning.CapacityRequest{{Resources: workload.Resources{CPU: 1, GPU: 2, Mem: 3}, Count: 4, Spot: true, InstanceTypes: []string{"t"}, Zone: "z",
 				Service: true, Replicas: 5, Urgent: true, Hold: 6}}}},
 		TerminatedMachines: []string{"vm-9"}, Transfers: []coordination.MachineTransfer{{Machine: "vm-4", ToPartition: 1}},
 		Progress: []coordination.JobProgress{{ID: "wk-1", Done: 2, Running: 3}},
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -11,9 +11,9 @@
 	"strconv"
 	gostrings "strings"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/coordination"
 	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
 )
 
 // MaxBody bounds a request's body.
@@ -51,13 +51,13 @@
 	WaitsOn        []string `json:"waits_on"`
 }
 
-var priorities = map[string]bookkeeping.Priority{
-	"production": bookkeeping.Production, "urgent": bookkeeping.High, "standard": bookkeeping.Normal, "low": bookkeeping.Low,
+var priorities = map[string]workload.Priority{
+	"production": workload.Production, "urgent": workload.High, "standard": workload.Normal, "low": workload.Low,
 }
 
 // ParseSubmission reads a submission. The id is returned even with an error, if
 // it could be read: a known job gets 200 whatever its repetition looks like.
-func ParseSubmission(body []byte) (id string, job *bookkeeping.Job, err error) {
+func ParseSubmission(body []byte) (id string, job *workload.Job, err error) {
 	var probe struct {
 		Ref any `json:"ref"`
 	}
@@ -115,13 +115,13 @@
 	maxSeconds = 1e8
 )
 
-func (s *submission) job() (*bookkeeping.Job, error) {
+func (s *submission) job() (*workload.Job, error) {
 	var errs []error
 	e := &errs
-	j := &bookkeeping.Job{ID: *s.Ref, Class: text(e, "jobclass", s.JobClass), Team: text(e, "owner", s.Owner),
+	j := &workload.Job{ID: *s.Ref, Class: text(e, "jobclass", s.JobClass), Team: text(e, "owner", s.Owner),
 		Image: text(e, "bundle", s.Bundle), ImageGB: amount(e, "size_gb", s.SizeGB, 0, maxAmount),
-		Resources: bookkeeping.Resources{CPU: bookkeeping.Milli(amount(e, "cores", s.Cores, 0, maxAmount)),
-			GPU: bookkeeping.Milli(amount(e, "gpus", s.GPUs, 0, maxAmount)), Mem: bookkeeping.Milli(amount(e, "ram_gb", s.RAMGB, 0, maxAmount))},
+		Resources: workload.Resources{CPU: workload.Milli(amount(e, "cores", s.Cores, 0, maxAmount)),
+			GPU: workload.Milli(amount(e, "gpus", s.GPUs, 0, maxAmount)), Mem: workload.Milli(amount(e, "ram_gb", s.RAMGB, 0, maxAmount))},
 		InstanceTypes: s.Hulls, OneZone: flag(e, "one_zone", s.OneZone), Spread: flag(e, "apart", s.Apart), Spot: flag(e, "loaners", s.Loaners),
 		Estimate:           micros.FromSeconds(amount(e, "expect_s", s.ExpectS, 0, maxSeconds)),
 		CheckpointInterval: micros.FromSeconds(amount(e, "snapshot_every_s", s.SnapshotEveryS, 0, maxSeconds)),
@@ -130,7 +130,7 @@
 	switch shape := text(e, "shape", s.Shape); shape {
 	case "array":
 	case "service":
-		j.Kind = bookkeeping.Service
+		j.Kind = workload.Service
 	default:
 		errs = append(errs, fmt.Errorf("shape: unknown: %q", shape))
 	}
@@ -188,9 +188,9 @@
 func EncodeJobStatus(v coordination.JobStatus) []byte {
 	s := JobState{v.ID, "queued", v.Done, v.Running}
 	switch {
-	case v.Phase == bookkeeping.Done:
+	case v.Phase == workload.Done:
 		s.Phase = "done"
-	case v.Phase == bookkeeping.Cancelled:
+	case v.Phase == workload.Cancelled:
 		s.Phase = "cancelled"
 	case v.Running > 0:
 		s.Phase = "running"
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -6,10 +6,10 @@
 	"strconv"
 	"strings"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/coordination"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/protocol"
+	"pipitlatch/internal/workload"
 )
 
 // refList reads "wk-000001,wk-000010..12".
@@ -112,7 +112,7 @@
 		switch a.Kind {
 		case coordination.JobAccepted, coordination.JobFound:
 			u.hear(j, protocol.EncodeJobStatus(a.Job))
-			if (done && a.Job.Phase != bookkeeping.Done) || (cancelled && a.Job.Phase != bookkeeping.Cancelled) {
+			if (done && a.Job.Phase != workload.Done) || (cancelled && a.Job.Phase != workload.Cancelled) {
 				u.w.breakRule("went_back", "%s: %s at %s is answered with something older", j.ref, what, n.name)
 			}
 		case coordination.JobNotFound, coordination.RequestMalformed, coordination.JobUnschedulable:
--- a/internal/scenario/state_test.go
+++ b/internal/scenario/state_test.go
@@ -8,10 +8,10 @@
 	"strconv"
 	"strings"
 
-	"pipitlatch/internal/bookkeeping"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/protocol"
 	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
 )
 
 type stateKey struct {
@@ -473,9 +473,9 @@
 		return
 	}
 	e := s.loaded.Jobs[j.ref]
-	j.wantCancel = e.Job.Phase == bookkeeping.Cancelled
+	j.wantCancel = e.Job.Phase == workload.Cancelled
 	for t := range j.shards {
-		if e.Job.Phase == bookkeeping.Done || (e.Completed != nil && e.Completed.Has(t)) {
+		if e.Job.Phase == workload.Done || (e.Completed != nil && e.Completed.Has(t)) {
 			j.done[t] = true
 		}
 	}
--- a/internal/storage/replica.go
+++ b/internal/storage/cache.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"pipitlatch/internal/bookkeeping"
+	"pipitlatch/internal/workload"
 )
 
 // Process names one run of a controller's process.
@@ -80,20 +80,20 @@
 
 // JobEntry is a job with its finished tasks as stored.
 type JobEntry struct {
-	Job                    *bookkeeping.Job
+	Job                    *workload.Job
 	ModRevision            uint64
-	Completed              *bookkeeping.Bitmap // nil: none
-	CompletedRevisions     map[int]uint64      // by chunk or part
-	Dependencies           []string            // jobs that must be done first
-	DependenciesIncomplete bool                // its list of them is not whole here
-	CancelledByDependency  bool                // one of them, or one before it, is cancelled
+	Completed              *workload.Bitmap // nil: none
+	CompletedRevisions     map[int]uint64   // by chunk or part
+	Dependencies           []string         // jobs that must be done first
+	DependenciesIncomplete bool             // its list of them is not whole here
+	CancelledByDependency  bool             // one of them, or one before it, is cancelled
 }
 
 // Cancelled tells whether the job is cancelled: by itself, or with one before it. That
 // is a function of records, so every controller says the same, and it never goes back:
 // a needed job that is cancelled is never done.
 func (e *JobEntry) Cancelled() bool {
-	return e.Job.Phase == bookkeeping.Cancelled || e.CancelledByDependency
+	return e.Job.Phase == workload.Cancelled || e.CancelledByDependency
 }
 
 // Keys builds the keys below a prefix.
@@ -140,8 +140,8 @@
 
 // CompletedSegment is the key of a chunk, or part, of a job's finished ranges.
 func (k Keys) CompletedSegment(id string, chunk int) string {
-	if chunk >= bookkeeping.FirstSmallSegment {
-		return k.CompletedPrefix(id) + "p" + strconv.Itoa(chunk-bookkeeping.FirstSmallSegment)
+	if chunk >= workload.FirstSmallSegment {
+		return k.CompletedPrefix(id) + "p" + strconv.Itoa(chunk-workload.FirstSmallSegment)
 	}
 	return k.CompletedPrefix(id) + strconv.Itoa(chunk)
 }
@@ -164,7 +164,7 @@
 	Keys            Keys
 	Revision        uint64
 	ClusterLeader   Versioned[Process]
-	Catalog         Versioned[bookkeeping.Catalog]
+	Catalog         Versioned[workload.Catalog]
 	Members         map[string]Versioned[Process]
 	Partitions      map[int]Versioned[PartitionRecord]
 	Blocks          map[string]Versioned[BlockRecord] // by name
@@ -279,7 +279,7 @@
 	if r.Catalog.ModRevision >= it.ModRevision || it.Deleted {
 		return false, nil
 	}
-	v, err := decode[bookkeeping.Catalog](it)
+	v, err := decode[workload.Catalog](it)
 	if err == nil {
 		r.Catalog = v
 	}
@@ -330,7 +330,7 @@
 	job, n, _ := strings.Cut(id, "/")
 	part, isPart := strings.CutPrefix(n, "p")
 	if chunk, err = strconv.Atoi(part); err == nil && isPart {
-		chunk += bookkeeping.FirstSmallSegment
+		chunk += workload.FirstSmallSegment
 	}
 	return job, chunk, err
 }
@@ -398,7 +398,7 @@
 
 // DecodeJob reads a job's record on its own.
 func DecodeJob(it Item) (*JobEntry, error) {
-	v, err := decode[*bookkeeping.Job](it)
+	v, err := decode[*workload.Job](it)
 	if err != nil || v.Value == nil {
 		return nil, fmt.Errorf("record %s: %w", it.Key, err)
 	}
@@ -417,7 +417,7 @@
 		delete(r.Jobs, id)
 		return e != nil, nil
 	}
-	var j bookkeeping.Job
+	var j workload.Job
 	if err := json.Unmarshal(it.Value, &j); err != nil {
 		return false, err
 	}
@@ -427,7 +427,7 @@
 		delete(r.unresolved, id)
 	}
 	e.Job, e.ModRevision = &j, it.ModRevision
-	if j.Phase != bookkeeping.Active {
+	if j.Phase != workload.Active {
 		e.Completed, e.CompletedRevisions = nil, nil
 	}
 	for chunk, fin := range r.rangesBeforeJob[id] {
@@ -452,7 +452,7 @@
 		}
 		return false, nil
 	}
-	if e.Job.Phase != bookkeeping.Active || it.Deleted || e.CompletedRevisions[chunk] >= it.ModRevision {
+	if e.Job.Phase != workload.Active || it.Deleted || e.CompletedRevisions[chunk] >= it.ModRevision {
 		return false, nil
 	}
 	var text string
@@ -460,7 +460,7 @@
 		return false, err
 	}
 	if e.Completed == nil {
-		e.Completed, e.CompletedRevisions = bookkeeping.NewBitmap(e.Job.Tasks), map[int]uint64{}
+		e.Completed, e.CompletedRevisions = workload.NewBitmap(e.Job.Tasks), map[int]uint64{}
 	}
 	e.CompletedRevisions[chunk] = it.ModRevision
 	return true, e.Completed.AddRanges(chunk, text)
--- a/internal/storage/waits.go
+++ b/internal/storage/dependencies.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"pipitlatch/internal/bookkeeping"
+	"pipitlatch/internal/workload"
 )
 
 // Format is what this version writes: from 2 on, jobs that wait on others, finished
@@ -25,11 +25,11 @@
 // dependencyGraph is which jobs wait on which.
 type dependencyGraph struct {
 	Dependents      map[string]map[string]bool        // active jobs that name a job
-	ArchivedPhases  map[string]bookkeeping.Phase      // of needed jobs that were moved away
+	ArchivedPhases  map[string]workload.Phase         // of needed jobs that were moved away
 	unresolved      map[string]bool                   // needed jobs with neither a record nor an outcome known here
 	dependencyParts map[string]map[int]dependencyPart // by job and name
 	affected        []string
-	catalogParts    map[string]Versioned[bookkeeping.Catalog]
+	catalogParts    map[string]Versioned[workload.Catalog]
 }
 
 type dependencyPart struct {
@@ -38,8 +38,8 @@
 }
 
 func newDependencyGraph() dependencyGraph {
-	return dependencyGraph{Dependents: map[string]map[string]bool{}, ArchivedPhases: map[string]bookkeeping.Phase{}, unresolved: map[string]bool{}, dependencyParts: map[string]map[int]dependencyPart{},
-		catalogParts: map[string]Versioned[bookkeeping.Catalog]{}}
+	return dependencyGraph{Dependents: map[string]map[string]bool{}, ArchivedPhases: map[string]workload.Phase{}, unresolved: map[string]bool{}, dependencyParts: map[string]map[int]dependencyPart{},
+		catalogParts: map[string]Versioned[workload.Catalog]{}}
 }
 
 // TakeAffected are the jobs, since the last call, of which something changed because another
@@ -52,7 +52,7 @@
 
 // trackDependencies keeps up who waits on whom after a job's record changed.
 func (r *Cache) trackDependencies(id string, e *JobEntry) {
-	if e.Job.Phase != bookkeeping.Active {
+	if e.Job.Phase != workload.Active {
 		r.untrackDependencies(id, e)
 		r.notifyDependents(id, e.Cancelled())
 		return
@@ -76,7 +76,7 @@
 			r.Dependents[w] = map[string]bool{}
 		}
 		r.Dependents[w][id] = true
-		if r.Jobs[w] == nil && r.ArchivedPhases[w] == bookkeeping.Active {
+		if r.Jobs[w] == nil && r.ArchivedPhases[w] == workload.Active {
 			r.unresolved[w] = true
 		}
 	}
@@ -99,7 +99,7 @@
 		}
 	}
 	e.Dependencies, e.DependenciesIncomplete = nil, false
-	if e.Job.Phase == bookkeeping.Done {
+	if e.Job.Phase == workload.Done {
 		e.CancelledByDependency = false
 	}
 }
@@ -121,7 +121,7 @@
 	for len(todo) > 0 {
 		id, todo = todo[len(todo)-1], todo[:len(todo)-1]
 		e := r.Jobs[id]
-		if e == nil || e.CancelledByDependency || e.Job.Phase != bookkeeping.Active {
+		if e == nil || e.CancelledByDependency || e.Job.Phase != workload.Active {
 			continue
 		}
 		e.CancelledByDependency = true
@@ -136,27 +136,27 @@
 	if e := r.Jobs[id]; e != nil {
 		return e.Cancelled()
 	}
-	return r.ArchivedPhases[id] == bookkeeping.Cancelled
+	return r.ArchivedPhases[id] == workload.Cancelled
 }
 
 // jobRemoved notes that a job's record was moved away: what it came to stays known while an
 // unfinished job names it.
 func (r *Cache) jobRemoved(id string, e *JobEntry) {
 	r.untrackDependencies(id, e)
-	if len(r.Dependents[id]) > 0 && e.Job.Phase != bookkeeping.Active {
+	if len(r.Dependents[id]) > 0 && e.Job.Phase != workload.Active {
 		r.ArchivedPhases[id] = e.Job.Phase
 	}
 }
 
 // Resolve tells what a needed job that is not here came to, as its record says that was
 // moved away.
-func (r *Cache) Resolve(id string, p bookkeeping.Phase) {
-	if len(r.Dependents[id]) == 0 || p == bookkeeping.Active {
+func (r *Cache) Resolve(id string, p workload.Phase) {
+	if len(r.Dependents[id]) == 0 || p == workload.Active {
 		return
 	}
 	r.ArchivedPhases[id] = p
 	delete(r.unresolved, id)
-	r.notifyDependents(id, p == bookkeeping.Cancelled)
+	r.notifyDependents(id, p == workload.Cancelled)
 }
 
 // Blocked tells whether a job has to wait for others, and names one of which nothing is
@@ -167,11 +167,11 @@
 	}
 	for _, w := range e.Dependencies {
 		switch n := r.Jobs[w]; {
-		case n != nil && n.Job.Phase == bookkeeping.Done:
+		case n != nil && n.Job.Phase == workload.Done:
 		case n != nil:
 			blocked = true
-		case r.ArchivedPhases[w] == bookkeeping.Done:
-		case r.ArchivedPhases[w] == bookkeeping.Cancelled:
+		case r.ArchivedPhases[w] == workload.Done:
+		case r.ArchivedPhases[w] == workload.Cancelled:
 			blocked = true
 		default:
 			return true, w
@@ -194,7 +194,7 @@
 		if r.unresolved[id] {
 			out = append(out, id)
 		}
-		if e := r.Jobs[id]; e != nil && e.Job.Phase == bookkeeping.Active {
+		if e := r.Jobs[id]; e != nil && e.Job.Phase == workload.Active {
 			for _, needed := range e.Dependencies {
 				if !seen[needed] {
 					seen[needed] = true
@@ -247,7 +247,7 @@
 	var out []string
 	for list, parts := range r.dependencyParts {
 		job, name, _ := strings.Cut(list, "/")
-		if e := r.Jobs[job]; e != nil && e.Job.Phase == bookkeeping.Active && e.Job.DependencyListName == name {
+		if e := r.Jobs[job]; e != nil && e.Job.Phase == workload.Active && e.Job.DependencyListName == name {
 			continue
 		}
 		for n, p := range parts {
@@ -268,7 +268,7 @@
 	if !changed {
 		return false, err
 	}
-	all := bookkeeping.Catalog{}
+	all := workload.Catalog{}
 	for _, part := range r.catalogParts {
 		for name, t := range part.Value {
 			all[name] = t
--- a/internal/storage/waits_test.go
+++ b/internal/storage/dependencies_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"pipitlatch/internal/bookkeeping"
+	"pipitlatch/internal/workload"
 )
 
 // put applies a record.
@@ -19,8 +19,8 @@
 	}
 }
 
-func job(id string, phase bookkeeping.Phase, waits ...string) *bookkeeping.Job {
-	return &bookkeeping.Job{ID: id, Tasks: 1, Phase: phase, DependsOn: waits}
+func job(id string, phase workload.Phase, waits ...string) *workload.Job {
+	return &workload.Job{ID: id, Tasks: 1, Phase: phase, DependsOn: waits}
 }
 
 // TestWaitsInAnyOrder: what a job may do is the same whatever the order in which records
@@ -30,12 +30,12 @@
 	k := Keys{"pl/"}
 	for _, first := range []bool{true, false} {
 		r := NewCache(k)
-		later := func() { put(t, r, 9, k.Job("wk-3"), job("wk-3", bookkeeping.Active, "wk-2")) }
+		later := func() { put(t, r, 9, k.Job("wk-3"), job("wk-3", workload.Active, "wk-2")) }
 		if first {
 			later()
 		}
-		put(t, r, 8, k.Job("wk-2"), job("wk-2", bookkeeping.Active, "wk-1", "wk-0"))
-		put(t, r, 7, k.Job("wk-1"), job("wk-1", bookkeeping.Done))
+		put(t, r, 8, k.Job("wk-2"), job("wk-2", workload.Active, "wk-1", "wk-0"))
+		put(t, r, 7, k.Job("wk-1"), job("wk-1", workload.Done))
 		if !first {
 			later()
 		}
@@ -44,7 +44,7 @@
 			t.Fatalf("blocked %v by %q", blocked, unknown)
 		}
 		r.TakeAffected()
-		r.Resolve("wk-0", bookkeeping.Done)
+		r.Resolve("wk-0", workload.Done)
 		if blocked, _ := r.Blocked(e); blocked || len(r.TakeAffected()) != 1 {
 			t.Error("still blocked, or nobody told")
 		}
@@ -52,19 +52,19 @@
 		if blocked, _ := r.Blocked(r.Jobs["wk-3"]); !blocked || r.Jobs["wk-3"].Cancelled() {
 			t.Error("wk-3 may start before wk-2 is done")
 		}
-		put(t, r, 10, k.Job("wk-2"), job("wk-2", bookkeeping.Cancelled))
+		put(t, r, 10, k.Job("wk-2"), job("wk-2", workload.Cancelled))
 		if !r.Jobs["wk-3"].Cancelled() {
 			t.Error("wk-3 is not cancelled with wk-2")
 		}
-		put(t, r, 11, k.Job("wk-3"), job("wk-3", bookkeeping.Cancelled))
+		put(t, r, 11, k.Job("wk-3"), job("wk-3", workload.Cancelled))
 		if len(r.Dependents) != 0 || len(r.ArchivedPhases) != 0 {
 			t.Errorf("kept: %v %v", r.Dependents, r.ArchivedPhases)
 		}
 	}
 	// Archived as cancelled before the late acceptance was carried out.
 	r := NewCache(k)
-	put(t, r, 5, k.Job("wk-5"), job("wk-5", bookkeeping.Active, "wk-4"))
-	r.Resolve("wk-4", bookkeeping.Cancelled)
+	put(t, r, 5, k.Job("wk-5"), job("wk-5", workload.Active, "wk-4"))
+	r.Resolve("wk-4", workload.Cancelled)
 	if !r.Jobs["wk-5"].Cancelled() {
 		t.Error("not cancelled with a job that was moved away")
 	}
@@ -75,11 +75,11 @@
 	k, r := Keys{"pl/"}, NewCache(Keys{"pl/"})
 	const n = 20_000
 	id := func(i int) string { return fmt.Sprintf("wk-%06d", i) }
-	put(t, r, 1, k.Job(id(0)), job(id(0), bookkeeping.Active))
+	put(t, r, 1, k.Job(id(0)), job(id(0), workload.Active))
 	for i := 1; i <= n; i++ {
-		put(t, r, uint64(i+1), k.Job(id(i)), job(id(i), bookkeeping.Active, id(i-1)))
+		put(t, r, uint64(i+1), k.Job(id(i)), job(id(i), workload.Active, id(i-1)))
 	}
-	put(t, r, n+2, k.Job(id(0)), job(id(0), bookkeeping.Cancelled))
+	put(t, r, n+2, k.Job(id(0)), job(id(0), workload.Cancelled))
 	for i := 1; i <= n; i++ {
 		if !r.Jobs[id(i)].Cancelled() {
 			t.Fatalf("the chain ends at %d", i)
--- a/internal/bookkeeping/job.go
+++ b/internal/workload/job.go
@@ -1,6 +1,6 @@
-// Package bookkeeping knows jobs, their finished tasks, what teams use and how
+// Package workload knows jobs, their finished tasks, what teams use and how
 // long tasks really run.
-package bookkeeping
+package workload
 
 import (
 	"slices"
--- a/internal/bookkeeping/bookkeeping_test.go
+++ b/internal/workload/workload_test.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package workload
 
 import (
 	"testing"
