--- a/internal/coordination/agent_calls.go
+++ b/internal/coordination/agent_calls.go
@@ -15,10 +15,10 @@
 	var rest, failing []*machine
 	for _, m := range p.machines {
 		switch {
-		case len(m.outbox) == 0 || m.callInFlight:
-		case m.failedCalls > 0:
+		case len(m.commands.outbox) == 0 || m.commands.callInFlight:
+		case m.contact.failedCalls > 0:
 			failing = append(failing, m)
-		case !slices.ContainsFunc(m.outbox, func(c Command) bool { return c.Operation == Stop || p.isService(c.Job) }):
+		case !slices.ContainsFunc(m.commands.outbox, func(c Command) bool { return c.Operation == Stop || p.isService(c.Job) }):
 			rest = append(rest, m)
 		case p.core.availableAgentCalls(false) > 0:
 			p.sendOutbox(m)
@@ -49,47 +49,47 @@
 // goes first: many that never answer must not keep the others from being asked.
 func (p *partitionLeader) sendProbes() {
 	room := p.core.availableAgentCalls(true)
-	if len(p.probeQueue) > room {
-		slices.SortStableFunc(p.probeQueue, func(a, b *machine) int { return cmp.Compare(a.lastProbe, b.lastProbe) })
+	if len(p.detector.probeQueue) > room {
+		slices.SortStableFunc(p.detector.probeQueue, func(a, b *machine) int { return cmp.Compare(a.contact.lastProbe, b.contact.lastProbe) })
 	}
-	for i, m := range p.probeQueue {
+	for i, m := range p.detector.probeQueue {
 		if i >= room {
 			break
 		}
-		if m.callInFlight {
+		if m.commands.callInFlight {
 			continue
 		}
-		m.lastProbe = p.core.now
-		p.callMachine(m, nil, m.epoch == 0)
+		m.contact.lastProbe = p.core.now
+		p.callMachine(m, nil, m.agent.epoch == 0)
 	}
-	clear(p.probeQueue)
-	p.probeQueue = p.probeQueue[:0]
+	clear(p.detector.probeQueue)
+	p.detector.probeQueue = p.detector.probeQueue[:0]
 }
 
 // sendOutbox sends what waits for a machine.
 func (p *partitionLeader) sendOutbox(m *machine) {
-	if m.callInFlight || len(m.outbox) == 0 || m.ackedToken != p.fencingToken || m.epoch == 0 || m.address == "" || p.core.now < m.nextCallAt {
+	if m.commands.callInFlight || len(m.commands.outbox) == 0 || m.agent.ackedToken != p.lease.fencingToken || m.agent.epoch == 0 || m.address == "" || p.core.now < m.commands.nextCallAt {
 		return
 	}
-	n := min(len(m.outbox), maxCommandsPerMessage)
-	batch := slices.Clone(m.outbox[:n])
-	m.outbox = slices.Delete(m.outbox, 0, n)
+	n := min(len(m.commands.outbox), maxCommandsPerMessage)
+	batch := slices.Clone(m.commands.outbox[:n])
+	m.commands.outbox = slices.Delete(m.commands.outbox, 0, n)
 	for i := range batch {
 		a := m.attempts[batch[i].AttemptID]
 		if a != nil && batch[i].Operation == Start {
-			a.startsInFlight++
-			a.startSent = true
+			a.start.inFlight++
+			a.start.sent = true
 		}
 	}
 	p.callMachine(m, batch, false)
 }
 
 func (p *partitionLeader) callMachine(m *machine, batch []Command, show bool) {
-	m.callInFlight = true
-	session, seq, token, sent := m.epoch, m.sequence, p.fencingToken, p.core.now
+	m.commands.callInFlight = true
+	session, seq, token, sent := m.agent.epoch, m.agent.sequence, p.lease.fencingToken, p.core.now
 	p.core.callAgent(AgentCall{Machine: m.id, Address: m.address, FencingToken: token, AgentEpoch: session, Commands: batch, StatusOnly: show,
 		Timeout: micros.Second}, func(r *AgentReply) {
-		m.callInFlight = false
+		m.commands.callInFlight = false
 		if p.core.partitions[p.partition] != p || p.machine(m.id) != m {
 			return
 		}
@@ -102,20 +102,20 @@
 			if a == nil || cmd.Operation != Start {
 				continue
 			}
-			a.startsInFlight--
-			if r.Heartbeat == nil && m.epoch == session {
-				a.startsUnanswered++ // it may still be executed, even minutes later
-				m.hasUnansweredStarts = true
+			a.start.inFlight--
+			if r.Heartbeat == nil && m.agent.epoch == session {
+				a.start.unanswered++ // it may still be executed, even minutes later
+				m.commands.hasUnansweredStarts = true
 			}
 		}
 		if r.Heartbeat == nil {
-			if m.failedCalls++; m.failedCalls == 1 {
-				m.firstFailedCallAt = sent
+			if m.contact.failedCalls++; m.contact.failedCalls == 1 {
+				m.contact.firstFailedCallAt = sent
 			}
-			m.nextCallAt = p.core.now + 300*micros.Millisecond<<min(m.failedCalls-1, 3)
-			if m.epoch == session {
+			m.commands.nextCallAt = p.core.now + 300*micros.Millisecond<<min(m.contact.failedCalls-1, 3)
+			if m.agent.epoch == session {
 				// The same attempts again: repeating them is safe.
-				m.outbox = append(p.commandsToRetry(m, batch), m.outbox...)
+				m.commands.outbox = append(p.commandsToRetry(m, batch), m.commands.outbox...)
 			}
 			return
 		}
@@ -124,10 +124,10 @@
 			p.drainRestarted(m)
 			return
 		}
-		m.lastContact, m.failedCalls, m.unackedReplies = p.core.now, 0, 0
+		m.contact.lastContact, m.contact.failedCalls, m.contact.unackedReplies = p.core.now, 0, 0
 		p.observeHeartbeat(m, r.Heartbeat)
 		if show {
-			m.lastProbe = 0 // its session is known now: it can be told our token
+			m.contact.lastProbe = 0 // its session is known now: it can be told our token
 		}
 	})
 }
@@ -137,7 +137,7 @@
 	var out []Command
 	for _, cmd := range batch {
 		a := m.attempts[cmd.AttemptID]
-		if a == nil || a.state == Exited || (cmd.Operation == Start && (a.stopping || a.reported)) {
+		if a == nil || a.state == Exited || (cmd.Operation == Start && (a.stop.ordered || a.start.reported)) {
 			continue
 		}
 		out = append(out, cmd)
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -166,13 +166,13 @@
 	for b.Loop() {
 		now += minPlanInterval
 		for _, m := range h.machines {
-			m.lastContact = now
+			m.contact.lastContact = now
 		}
 		c.now, c.wall, c.output = now, now, &Output{}
-		h.planStale = true
+		h.plan.stale = true
 		h.schedule()
 	}
-	if len(h.buildTimelines()) != size || len(h.capacityRequests) == 0 {
+	if len(h.buildTimelines()) != size || len(h.plan.capacityRequests) == 0 {
 		b.Fatal("nothing to plan")
 	}
 }
--- a/internal/coordination/block_records.go
+++ b/internal/coordination/block_records.go
@@ -45,10 +45,10 @@
 	if c.catalog == nil && len(stored) > 0 {
 		c.catalog = stored
 	}
-	if !c.isClusterLeader() || !c.catalogFromCloud || c.catalogWriting || c.now-c.catalogWrittenAt < 10*micros.Second || c.catalog.SameTypes(stored) {
+	if !c.isClusterLeader() || !c.catalogSync.fromCloud || c.catalogSync.writing || c.now-c.catalogSync.writtenAt < 10*micros.Second || c.catalog.SameTypes(stored) {
 		return
 	}
-	c.catalogWrittenAt = c.now
+	c.catalogSync.writtenAt = c.now
 	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.leaderCompare()}}
 	if value := storage.Encode(c.catalog); len(value) <= c.config.Settings.MaxValue() {
 		key := c.keys.Catalog()
@@ -59,7 +59,7 @@
 	} else {
 		c.putCatalogParts(r, stored)
 	}
-	c.catalogWriting = c.callStore(r, storage.Deferrable, storeTimeout, func(*storage.Reply) { c.catalogWriting = false })
+	c.catalogSync.writing = c.callStore(r, storage.Deferrable, storeTimeout, func(*storage.Reply) { c.catalogSync.writing = false })
 }
 
 // putCatalogParts adds the parts of the catalog that are not stored as they are, as many as one
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -67,7 +67,7 @@
 		s.notices = s.notices[1:]
 	}
 	if own {
-		c.statusSoon = true // the holder is to hear of it at once
+		c.status.soon = true // the holder is to hear of it at once
 		c.requestCancel(id)
 	}
 }
@@ -106,7 +106,7 @@
 	mine := &c.cancellations
 	if h := mine.acked[s.From.Member]; h.From != s.From || h.UpTo < s.CancelledUpTo {
 		mine.acked[s.From.Member] = CancellationAck{s.From, s.CancelledUpTo}
-		c.statusSoon = true
+		c.status.soon = true
 	}
 	for _, id := range s.Cancelled {
 		if _, ok := mine.requested[id]; ok || len(mine.requested) >= maxCancellationNotices {
@@ -166,7 +166,7 @@
 	for _, a := range j.duplicateAttempts {
 		p.kill(a)
 	}
-	p.planStale = true
+	p.plan.stale = true
 }
 
 // isCancelled tells whether a job is cancelled as far as the stream shows.
@@ -182,13 +182,13 @@
 		return
 	}
 	p.stopAttempt(a, 0)
-	if a.state == Exited || a.killDeadline != 0 {
+	if a.state == Exited || a.stop.killDeadline != 0 {
 		return // its start was not sent yet; or it is counted already
 	}
 	// A worker that has its last answer by then loses the task to its lease within
 	// cancel_s, and as much time is left for the cloud to delete the machine.
 	// One whose time is over already still gets the moment that a stop takes.
-	a.killDeadline = max(p.core.previousWatchSentAt+p.core.config.LeadershipTerm(), p.core.now+killLatency)
+	a.stop.killDeadline = max(p.core.previousWatchSentAt+p.core.config.LeadershipTerm(), p.core.now+killLatency)
 	p.pendingKills = append(p.pendingKills, a)
 }
 
@@ -199,8 +199,8 @@
 // not known, but its machine just spoke under this token, so that a stop takes a moment.
 func (p *partitionLeader) killAdopted(a *attempt) {
 	p.kill(a)
-	if a.killDeadline != 0 {
-		a.killDeadline = min(a.killDeadline, p.core.now+2*p.suspicionTimeout())
+	if a.stop.killDeadline != 0 {
+		a.stop.killDeadline = min(a.stop.killDeadline, p.core.now+2*p.suspicionTimeout())
 	}
 }
 
@@ -212,17 +212,14 @@
 		if a.state == Exited || p.machine(a.machine.id) != a.machine {
 			return true
 		}
-		if p.core.now < a.killDeadline || a.machine.decommissioned() {
+		if p.core.now < a.stop.killDeadline || a.machine.decommissioned() {
 			return false
 		}
-		p.drain(a.machine, drainKillTimeout)
+		p.startDrain(a.machine, drainKillTimeout)
 		return false
 	})
 }
 
-// drainKillTimeout is why such a machine drains.
-const drainKillTimeout = "kill not shown"
-
 // CancellationAck is how far the notices of a process came.
 type CancellationAck struct {
 	From storage.Process
--- a/internal/coordination/cluster_leader.go
+++ b/internal/coordination/cluster_leader.go
@@ -13,49 +13,86 @@
 // clusterLeader is what the leader does: it leases queues, assigns machines, and
 // alone rents and deletes them.
 type clusterLeader struct {
-	revision            uint64 // of the leader key under which the rest was begun
-	acquiredAt          micros.Time
-	nextAssignmentAt    micros.Time
-	assignmentInFlight  bool
-	nameCounter         int
-	requestsInFlight    map[string]provisioning.InstanceKind // charters with a call or write out
-	requestRetryAt      map[string]micros.Time               // charters: not before
-	toTerminate         map[string]bool
-	terminateInFlight   bool
-	terminateRetryAt    micros.Time
-	blockWriteAfter     map[string]micros.Time // blocks that lose machines: not again before
-	terminated          map[string]micros.Time
-	listInFlight        bool
-	nextListAt          micros.Time
-	isolatedLeaders     map[storage.Process]micros.Time // holders that lost their machines: when
-	absentSince         map[string]micros.Time          // blocks without a machine in the list: since when
-	orphans             map[string]orphan
-	nextAdoptionAt      micros.Time
-	adoptionKey         string // of a block whose write was not answered
-	provisionedRevision uint64 // revision at which the last rental was written down, or became a block
+	revision      uint64 // mod revision of the cluster leader's key under which the rest was begun
+	acquiredAt    micros.Time
+	nameCounter   int // makes the names of instance requests and adopted blocks unique
+	assignment    assignmentState
+	transfer      transferState
+	scaling       scalingState
+	termination   terminationState
+	listing       listingState
+	adoption      adoptionState
+	archiver      archiver
+	formatUpgrade formatUpgradeState
+}
+
+// assignmentState paces the assignment of partitions to members.
+type assignmentState struct {
+	nextAt          micros.Time
+	inFlight        bool
+	isolatedLeaders map[storage.Process]micros.Time // partition leaders that lost their machines: when
+}
+
+// transferState holds the transfers of idle machines that partition leaders are asked for.
+type transferState struct {
+	pending map[string][]MachineTransfer // by member
+	nextAt  micros.Time
+}
+
+// scalingState is what is under way to scale the fleet out.
+type scalingState struct {
+	requestsInFlight map[string]provisioning.InstanceKind // instance requests with a call or write in flight
+	requestRetryAt   map[string]micros.Time               // by instance request
+	// provisionedRevision is the revision at which the last instance request was written down
+	// or became a block.
+	provisionedRevision uint64
 	nextScaleOutAt      micros.Time
-	cloudTokens         float64 // rentals that may be sent
+	cloudTokens         float64 // instance requests that the rate limit allows now
 	cloudTokensAt       micros.Time
 	capacity            *provisioning.CapacityTracker
-	transfers           map[string][]MachineTransfer
-	nextTransferAt      micros.Time
-	archiver            archiver
-	formatInFlight      bool
-	formatRetryAt       micros.Time
+}
+
+// terminationState is what is under way to terminate instances.
+type terminationState struct {
+	requested       map[string]bool // instances to terminate besides those that partition leaders ask for
+	inFlight        bool
+	retryAt         micros.Time
+	confirmed       map[string]micros.Time // instances that are surely gone: since when
+	blockWriteAfter map[string]micros.Time // by block: when it may be written again
+}
+
+// listingState is the reading of the cloud's list of instances.
+type listingState struct {
+	inFlight    bool
+	nextAt      micros.Time
+	absentSince map[string]micros.Time // machines that are not in the list: since when
+}
+
+// adoptionState holds unmanaged instances until they are written into a block.
+type adoptionState struct {
+	orphans map[string]orphan
+	nextAt  micros.Time
+	key     string // of a block whose write was not answered
+}
+
+// formatUpgradeState paces the write that allows newer forms of records.
+type formatUpgradeState struct {
+	inFlight bool
+	retryAt  micros.Time
 }
 
 func (l *clusterLeader) acquire(c *Core) {
 	l.revision, l.acquiredAt = c.cache.ClusterLeader.ModRevision, c.now
-	l.assignmentInFlight, l.terminateInFlight, l.listInFlight = false, false, false
-	l.requestsInFlight, l.requestRetryAt = map[string]provisioning.InstanceKind{}, map[string]micros.Time{}
-	l.toTerminate, l.blockWriteAfter, l.orphans = map[string]bool{}, map[string]micros.Time{}, map[string]orphan{}
-	l.provisionedRevision = c.cache.Revision
-	l.absentSince = map[string]micros.Time{}
-	l.isolatedLeaders = map[storage.Process]micros.Time{}
-	l.terminated = map[string]micros.Time{}
-	l.nameCounter, l.adoptionKey = 0, ""
+	l.assignment.inFlight, l.termination.inFlight, l.listing.inFlight = false, false, false
+	l.scaling.requestsInFlight, l.scaling.requestRetryAt = map[string]provisioning.InstanceKind{}, map[string]micros.Time{}
+	l.termination.requested, l.termination.blockWriteAfter, l.adoption.orphans = map[string]bool{}, map[string]micros.Time{}, map[string]orphan{}
+	l.scaling.provisionedRevision = c.cache.Revision
+	l.listing.absentSince = map[string]micros.Time{}
+	l.assignment.isolatedLeaders = map[storage.Process]micros.Time{}
+	l.termination.confirmed = map[string]micros.Time{}
+	l.nameCounter, l.adoption.key = 0, ""
 	l.archiver = archiver{}
-	l.formatInFlight = false
+	l.formatUpgrade.inFlight = false
 	c.log(levelInfo, "leading", "token", l.revision)
 }
 
@@ -63,12 +100,14 @@
 // one message has no room for all.
 func (l *clusterLeader) recentlyTerminated(now micros.Time) []string {
 	var out []string
-	for m, at := range l.terminated {
+	for m, at := range l.termination.confirmed {
 		if now-at < terminatedNoticeTTL {
 			out = append(out, m)
 		}
 	}
-	slices.SortFunc(out, func(a, b string) int { return cmp.Or(cmp.Compare(l.terminated[b], l.terminated[a]), cmp.Compare(a, b)) })
+	slices.SortFunc(out, func(a, b string) int {
+		return cmp.Or(cmp.Compare(l.termination.confirmed[b], l.termination.confirmed[a]), cmp.Compare(a, b))
+	})
 	return out[:min(len(out), maxTerminatedPerMessage)]
 }
 
@@ -87,7 +126,7 @@
 	if l.revision != c.cache.ClusterLeader.ModRevision {
 		l.acquire(c)
 	}
-	if c.leaseID == 0 || !c.term.Valid(c.now) {
+	if c.member.leaseID == 0 || !c.term.Valid(c.now) {
 		return
 	}
 	c.assignPartitions()
@@ -107,7 +146,7 @@
 // queues go to another.
 func (c *Core) assignPartitions() {
 	l := &c.leader
-	if l.assignmentInFlight || c.now < l.nextAssignmentAt {
+	if l.assignment.inFlight || c.now < l.assignment.nextAt {
 		return
 	}
 	mute := func(p storage.Process) bool {
@@ -130,9 +169,9 @@
 			storage.Compare{Key: c.keys.Member(m), ModRevision: c.cache.Members[m].ModRevision})
 		r.Puts = append(r.Puts, storage.Put{Key: c.keys.Partition(a.Partition), Value: storage.Encode(a.Record)})
 	}
-	l.assignmentInFlight = c.callStore(r, storage.Urgent, storeTimeout, func(*storage.Reply) {
-		l.assignmentInFlight = false
-		l.nextAssignmentAt = c.now + 300*micros.Millisecond
+	l.assignment.inFlight = c.callStore(r, storage.Urgent, storeTimeout, func(*storage.Reply) {
+		l.assignment.inFlight = false
+		l.assignment.nextAt = c.now + 300*micros.Millisecond
 	})
 }
 
@@ -150,7 +189,7 @@
 // both. One that lost a queue gets none for a while, so it does not go back and forth.
 func (c *Core) leaderIsolated(p storage.Process) bool {
 	l := &c.leader
-	if at, ok := l.isolatedLeaders[p]; ok && c.now-at < isolationPenalty {
+	if at, ok := l.assignment.isolatedLeaders[p]; ok && c.now-at < isolationPenalty {
 		return true
 	}
 	v := c.peers[p.Member]
@@ -172,7 +211,7 @@
 		}
 		if theirs >= mine+max(minReachabilityGain, most/8) {
 			c.log(levelInfo, "holder is cut off from machines", "holder", p.Member, "queue", q.Partition, "zones", q.UnreachableZones, "reaches", mine, "another", theirs)
-			l.isolatedLeaders[p] = c.now
+			l.assignment.isolatedLeaders[p] = c.now
 			return true
 		}
 	}
@@ -211,12 +250,12 @@
 	l := &c.leader
 	// One that is cut off hears nobody, and what it asks of the cloud may be carried
 	// out when the cut ends: it would delete machines that serve another by then.
-	if l.terminateInFlight || c.now < l.terminateRetryAt || c.isolated() {
+	if l.termination.inFlight || c.now < l.termination.retryAt || c.isolated() {
 		return
 	}
 	var names []string
 	add := func(m string) {
-		if _, gone := l.terminated[m]; !gone && !slices.Contains(names, m) && len(names) < 100 {
+		if _, gone := l.termination.confirmed[m]; !gone && !slices.Contains(names, m) && len(names) < 100 {
 			names = append(names, m)
 		}
 	}
@@ -227,19 +266,19 @@
 			}
 		}
 	}
-	for _, m := range sortedKeys(l.toTerminate) {
+	for _, m := range sortedKeys(l.termination.requested) {
 		add(m)
 	}
 	if len(names) == 0 {
 		return
 	}
-	l.terminateInFlight = true
+	l.termination.inFlight = true
 	version := l.revision
 	c.callCloud(CloudCall{Operation: CloudTerminate, Names: names, Timeout: 3 * micros.Second}, func(r *CloudReply) {
-		l.terminateInFlight = false
-		l.terminateRetryAt = c.now + 200*micros.Millisecond
+		l.termination.inFlight = false
+		l.termination.retryAt = c.now + 200*micros.Millisecond
 		if r.Outcome != CloudOK {
-			l.terminateRetryAt = c.now + micros.Second
+			l.termination.retryAt = c.now + micros.Second
 			return
 		}
 		for _, m := range names {
@@ -248,17 +287,17 @@
 		if l.revision == version {
 			c.pruneBlocks()
 		}
-		c.statusSoon = true
+		c.status.soon = true
 	})
 }
 
 // instanceTerminated notes proof that a machine is gone.
 func (c *Core) instanceTerminated(m string) {
-	c.leader.terminated[m] = c.now
+	c.leader.termination.confirmed[m] = c.now
 	if v, ok := c.cache.Machines[m]; ok {
-		c.leader.capacity.Terminated(provisioning.InstanceKind{InstanceType: v.Value.InstanceType, Zone: v.Value.Zone, Spot: v.Value.Spot})
+		c.leader.scaling.capacity.Terminated(provisioning.InstanceKind{InstanceType: v.Value.InstanceType, Zone: v.Value.Zone, Spot: v.Value.Spot})
 	}
-	delete(c.leader.toTerminate, m)
+	delete(c.leader.termination.requested, m)
 	for _, n := range sortedKeys(c.partitions) {
 		c.partitions[n].machineTerminated(m)
 	}
@@ -268,16 +307,16 @@
 func (c *Core) pruneBlocks() {
 	l := &c.leader
 	gone := map[string][]string{} // by block
-	for m, at := range l.terminated {
+	for m, at := range l.termination.confirmed {
 		if b, ok := c.cache.Machines[m]; ok {
 			gone[b.Value.Block] = append(gone[b.Value.Block], m)
 		} else if c.now-at > terminatedTTL {
-			delete(l.terminated, m)
+			delete(l.termination.confirmed, m)
 		}
 	}
 	for _, name := range sortedKeys(gone) {
 		slices.Sort(gone[name])
-		if c.now < l.blockWriteAfter[name] {
+		if c.now < l.termination.blockWriteAfter[name] {
 			continue
 		}
 		b := c.cache.Blocks[name]
@@ -287,9 +326,9 @@
 		} else {
 			c.putBlock(r, name, rest)
 		}
-		l.blockWriteAfter[name] = c.now + storeTimeout + micros.Second
-		if !c.callStore(r, storage.Deferrable, storeTimeout, func(*storage.Reply) { l.blockWriteAfter[name] = c.now + 500*micros.Millisecond }) {
-			delete(l.blockWriteAfter, name)
+		l.termination.blockWriteAfter[name] = c.now + storeTimeout + micros.Second
+		if !c.callStore(r, storage.Deferrable, storeTimeout, func(*storage.Reply) { l.termination.blockWriteAfter[name] = c.now + 500*micros.Millisecond }) {
+			delete(l.termination.blockWriteAfter, name)
 			return
 		}
 	}
@@ -303,10 +342,10 @@
 // proves nothing; a failed machine is gone, and an unknown one is adopted.
 func (c *Core) listInstances() {
 	l := &c.leader
-	if l.listInFlight || c.now < l.nextListAt {
+	if l.listing.inFlight || c.now < l.listing.nextAt {
 		return
 	}
-	l.listInFlight = true
+	l.listing.inFlight = true
 	c.listInstancesPage("", map[string]bool{})
 }
 
@@ -333,21 +372,21 @@
 		if version != l.revision {
 			return
 		}
-		l.nextListAt = c.now + c.listInterval()
+		l.listing.nextAt = c.now + c.listInterval()
 		if r.Outcome != CloudOK {
-			l.listInFlight = false
+			l.listing.inFlight = false
 			return
 		}
 		for _, m := range r.Instances {
 			seen[m.Machine] = true
-			if _, gone := l.terminated[m.Machine]; gone {
+			if _, gone := l.termination.confirmed[m.Machine]; gone {
 				continue
 			}
 			b, known := c.cache.Machines[m.Machine]
 			switch {
 			case m.Failed:
-				if !l.toTerminate[m.Machine] {
-					l.toTerminate[m.Machine] = true
+				if !l.termination.requested[m.Machine] {
+					l.termination.requested[m.Machine] = true
 					c.log(levelInfo, "machine failed", "machine", m.Machine)
 				}
 			case !known && c.now-l.acquiredAt > micros.Second && m.Age > 2*micros.Second:
@@ -364,24 +403,24 @@
 			c.listInstancesPage(r.Instances[len(r.Instances)-1].Machine, seen)
 			return
 		}
-		l.listInFlight = false
+		l.listing.inFlight = false
 		lag := micros.FromSeconds(c.config.Settings.Cloud.ListLagS)
 		for _, id := range sortedKeys(c.cache.Machines) {
 			if seen[id] {
-				delete(l.absentSince, id)
-			} else if _, ok := l.absentSince[id]; !ok {
-				l.absentSince[id] = c.now
-			} else if c.now-l.absentSince[id] > 4*lag+20*micros.Second {
+				delete(l.listing.absentSince, id)
+			} else if _, ok := l.listing.absentSince[id]; !ok {
+				l.listing.absentSince[id] = c.now
+			} else if c.now-l.listing.absentSince[id] > 4*lag+20*micros.Second {
 				// Deleting is what proves it; the name may be unknown by now.
-				if h := c.partitions[partitionOfMachine(c, id)]; h == nil || h.machine(id) == nil || c.now-h.machine(id).lastContact > 10*micros.Second {
-					l.toTerminate[id] = true
+				if h := c.partitions[partitionOfMachine(c, id)]; h == nil || h.machine(id) == nil || c.now-h.machine(id).contact.lastContact > 10*micros.Second {
+					l.termination.requested[id] = true
 				}
-				delete(l.absentSince, id)
+				delete(l.listing.absentSince, id)
 			}
 		}
-		for id := range l.absentSince {
+		for id := range l.listing.absentSince {
 			if _, ok := c.cache.Machines[id]; !ok {
-				delete(l.absentSince, id)
+				delete(l.listing.absentSince, id)
 			}
 		}
 	})
@@ -392,10 +431,10 @@
 // transferIdleMachines moves idle machines of one queue to another that needs them.
 func (c *Core) transferIdleMachines() {
 	l := &c.leader
-	if c.now < l.nextTransferAt || c.partitionCount() < 2 {
+	if c.now < l.transfer.nextAt || c.partitionCount() < 2 {
 		return
 	}
-	l.nextTransferAt = c.now + 2*micros.Second
+	l.transfer.nextAt = c.now + 2*micros.Second
 	statuses := c.partitionStatuses()
 	for _, needy := range statuses {
 		if len(needy.CapacityRequests) == 0 {
@@ -411,11 +450,11 @@
 					continue
 				}
 				holder := c.cache.Partitions[q.Partition].Value.Leader.Member
-				if l.transfers == nil {
-					l.transfers = map[string][]MachineTransfer{}
+				if l.transfer.pending == nil {
+					l.transfer.pending = map[string][]MachineTransfer{}
 				}
-				l.transfers[holder] = append(l.transfers[holder], MachineTransfer{Machine: m, ToPartition: needy.Partition})
-				c.statusSoon = true
+				l.transfer.pending[holder] = append(l.transfer.pending[holder], MachineTransfer{Machine: m, ToPartition: needy.Partition})
+				c.status.soon = true
 				return
 			}
 		}
--- a/internal/coordination/completion.go
+++ b/internal/coordination/completion.go
@@ -17,8 +17,8 @@
 		a.persisted = true
 		return
 	}
-	j.unpersistedTasks.Add(t)
-	j.dirtySegments[workload.Segment(t, p.core.usesSmallSegments())] = true
+	j.completion.unpersisted.Add(t)
+	j.completion.dirtySegments[workload.Segment(t, p.core.usesSmallSegments())] = true
 }
 
 // usesSmallSegments tells whether finished ranges are written in parts: where a chunk would not
@@ -33,16 +33,16 @@
 
 // persistCompleted writes finished ranges, and that the job is done when all are.
 func (p *partitionLeader) persistCompleted(j *job) {
-	if j.writeInFlight || len(j.dirtySegments) == 0 || p.core.now < j.nextWriteAt || !p.core.term.Valid(p.core.now) {
+	if j.completion.writeInFlight || len(j.completion.dirtySegments) == 0 || p.core.now < j.completion.nextWriteAt || !p.core.term.Valid(p.core.now) {
 		return
 	}
 	whole := j.Kind == workload.Array && j.completedCount() == j.Tasks
-	if !whole && j.nextWriteAt == 0 {
-		j.nextWriteAt = p.core.now + completedWriteInterval
+	if !whole && j.completion.nextWriteAt == 0 {
+		j.completion.nextWriteAt = p.core.now + completedWriteInterval
 		return
 	}
 	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{
-		{Key: p.core.keys.Partition(p.partition), ModRevision: p.fencingToken},
+		{Key: p.core.keys.Partition(p.partition), ModRevision: p.lease.fencingToken},
 		{Key: p.core.keys.Job(j.ID), ModRevision: j.modRevision},
 	}}
 	urgency, written := storage.Deferrable, map[int]*workload.Bitmap{}
@@ -52,9 +52,9 @@
 	} else {
 		written = p.putCompletedSegments(r, j)
 	}
-	j.writeInFlight = p.core.callStore(r, urgency, storeTimeout, func(reply *storage.Reply) {
-		j.writeInFlight = false
-		j.nextWriteAt = p.core.now + 300*micros.Millisecond
+	j.completion.writeInFlight = p.core.callStore(r, urgency, storeTimeout, func(reply *storage.Reply) {
+		j.completion.writeInFlight = false
+		j.completion.nextWriteAt = p.core.now + 300*micros.Millisecond
 		if reply.Outcome == storage.OK {
 			p.completedPersisted(j, whole, written)
 		}
@@ -83,7 +83,7 @@
 		}
 	}
 	written := map[int]*workload.Bitmap{}
-	for _, chunk := range sortedKeys(j.dirtySegments) {
+	for _, chunk := range sortedKeys(j.completion.dirtySegments) {
 		if len(r.Puts) >= p.core.config.Settings.StateLimits().TxnOps {
 			break
 		}
@@ -100,7 +100,7 @@
 // completedPersisted notes what is in the state service now. The stream brings the same to the replica;
 // the workers may forget it.
 func (p *partitionLeader) completedPersisted(j *job, whole bool, written map[int]*workload.Bitmap) {
-	j.nextWriteAt = p.core.now + completedWriteInterval
+	j.completion.nextWriteAt = p.core.now + completedWriteInterval
 	for a := range j.attempts {
 		if a.state == Exited && (whole || segmentWritten(written, a.id.Task)) {
 			a.persisted = true
@@ -108,15 +108,15 @@
 	}
 	for chunk, set := range written {
 		left := false
-		for t := j.unpersistedTasks.Next(0); t >= 0; t = j.unpersistedTasks.Next(t + 1) {
+		for t := j.completion.unpersisted.Next(0); t >= 0; t = j.completion.unpersisted.Next(t + 1) {
 			left = left || (workload.InSegment(t, chunk) && !set.Has(t))
 		}
 		if !left {
-			delete(j.dirtySegments, chunk)
+			delete(j.completion.dirtySegments, chunk)
 		}
 	}
 	if whole {
-		clear(j.dirtySegments)
+		clear(j.completion.dirtySegments)
 		took := p.core.wall - j.Submitted
 		p.core.log(levelInfo, "job done", "job", j.ID, "class", j.Class, "tasks", j.Tasks, "took_ms", took/micros.Millisecond,
 			"late_ms", (took-j.Deadline)/micros.Millisecond)
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -36,7 +36,7 @@
 	leaving := 0
 	nowhere := map[string]bool{} // services whose replicas no machine takes now
 	for _, m := range p.machines {
-		if m.drainReason == "surplus" {
+		if m.drain.reason == drainConsolidation {
 			p.evictNextReplica(m, nowhere)
 			if replicasOn(m) > 0 {
 				leaving++ // one that waits for its arrays to end holds up no others
@@ -44,21 +44,21 @@
 		}
 	}
 	most := max(minConcurrentDrains, len(p.machines)/drainFleetDivisor)
-	if leaving >= most || now-p.consolidatedAt < replicaMoveInterval || now-p.acquiredAt < 10*micros.Second || p.core.term.SinceConfirmed(now) >= storeStaleAfter {
+	if leaving >= most || now-p.consolidation.lastPassAt < replicaMoveInterval || now-p.lease.acquiredAt < 10*micros.Second || p.core.term.SinceConfirmed(now) >= storeStaleAfter {
 		return
 	}
-	p.consolidatedAt = now
+	p.consolidation.lastPassAt = now
 	// What arrays used of late is remembered for a minute where one of them can fill
 	// the fleet, and for less the larger the fleet: a single one counts less there.
 	arrays, services, capacity := p.cpuLoad()
-	p.recentArrayCPU = max(arrays, p.recentArrayCPU-(p.recentArrayCPU-arrays)/int64(max(4, min(20, 640/max(1, len(p.machines))))))
+	p.consolidation.recentArrayCPU = max(arrays, p.consolidation.recentArrayCPU-(p.consolidation.recentArrayCPU-arrays)/int64(max(4, min(20, 640/max(1, len(p.machines))))))
 	type surplus struct {
 		m    *machine
 		cost float64 // a replica
 	}
 	var list []surplus
 	for _, m := range p.machines {
-		if m.instanceType == nil || m.record.Spot || !p.schedulable(m) || now-m.addedAt < minMachineAge || m.idleSince != 0 {
+		if m.instanceType == nil || m.record.Spot || !p.schedulable(m) || now-m.lifecycle.addedAt < minMachineAge || m.lifecycle.idleSince != 0 {
 			continue
 		}
 		list = append(list, surplus{m, m.instanceType.Price / float64(max(1, replicasOn(m)))})
@@ -71,8 +71,8 @@
 		if leaving >= most {
 			return
 		}
-		if p.recentArrayCPU > (capacity-m.instanceType.Capacity.CPU-services)*8/10 ||
-			slices.ContainsFunc(p.capacityRequests, func(n provisioning.CapacityRequest) bool {
+		if p.consolidation.recentArrayCPU > (capacity-m.instanceType.Capacity.CPU-services)*8/10 ||
+			slices.ContainsFunc(p.plan.capacityRequests, func(n provisioning.CapacityRequest) bool {
 				return !n.Service && n.Allows(provisioning.InstanceKind{InstanceType: m.record.InstanceType, Zone: m.record.Zone})
 			}) {
 			continue
@@ -80,7 +80,7 @@
 		if survey.missing(m) > 0 {
 			continue
 		}
-		p.drain(m, "surplus")
+		p.startDrain(m, drainConsolidation)
 		survey.remove(m)
 		capacity -= m.instanceType.Capacity.CPU
 		leaving++
@@ -102,15 +102,15 @@
 // place in this pass is not looked for again: the whole fleet was asked for it.
 func (p *partitionLeader) evictNextReplica(m *machine, nowhere map[string]bool) {
 	pace := replicaMoveInterval / 2 / micros.Time(max(1, p.packLimit()))
-	if p.core.now-p.replicaMovedAt < pace || m.ackedToken != p.fencingToken {
+	if p.core.now-p.consolidation.replicaMovedAt < pace || m.agent.ackedToken != p.lease.fencingToken {
 		return
 	}
 	// A replica is away for as long as its image takes to arrive: a dear machine is
 	// worth that, others wait for room where the image is.
-	bare := p.core.now-m.drainSince > imageWaitTimeout && m.instanceType.Price > 3*p.lowestPrice()
+	bare := p.core.now-m.drain.since > imageWaitTimeout && m.instanceType.Price > 3*p.lowestPrice()
 	for _, id := range sortedAttempts(m) {
 		a := m.attempts[id]
-		if a.state != Running || a.stopping || a.job == nil || a.job.Kind != workload.Service || (nowhere[a.job.ID] && !bare) {
+		if a.state != Running || a.stop.ordered || a.job == nil || a.job.Kind != workload.Service || (nowhere[a.job.ID] && !bare) {
 			continue
 		}
 		for _, o := range p.machines {
@@ -118,7 +118,7 @@
 				(a.job.Zone != "" && a.job.Zone != o.record.Zone) || a.job.OneZone || a.job.Spread || !a.resources.Fits(p.freeResources(o)) {
 				continue
 			}
-			p.replicaMovedAt = p.core.now
+			p.consolidation.replicaMovedAt = p.core.now
 			p.stopAttempt(a, a.job.CheckpointDuration)
 			return
 		}
@@ -144,8 +144,8 @@
 		// Nothing can be submitted while the state service is out: all users come back
 		// at once, and what was given back would have to boot first.
 		for _, m := range p.machines {
-			if m.idleSince != 0 {
-				m.idleSince = p.core.now
+			if m.lifecycle.idleSince != 0 {
+				m.lifecycle.idleSince = p.core.now
 			}
 		}
 		return
@@ -153,7 +153,7 @@
 	survey := p.surveyHeadroom(true)
 	large := p.oversized(survey.service)
 	for _, m := range p.machines {
-		if m.drainReason == "idle" && p.core.now-m.drainSince > terminationTimeout {
+		if m.drain.reason == drainIdle && p.core.now-m.drain.since > terminationTimeout {
 			// The cloud does not take them back now: what is drained serves nobody.
 			return
 		}
@@ -161,8 +161,8 @@
 	// Of many that are idle only a reserve is worth the usual time.
 	var idle []micros.Time
 	for _, m := range p.machines {
-		if p.schedulable(m) && m.idleSince != 0 {
-			idle = append(idle, m.idleSince)
+		if p.schedulable(m) && m.lifecycle.idleSince != 0 {
+			idle = append(idle, m.lifecycle.idleSince)
 		}
 	}
 	slices.Sort(idle)
@@ -181,11 +181,11 @@
 				keep, takesOver = 3*m.instanceType.Boot, true
 			}
 		}
-		if m.idleSince <= surplus && !takesOver {
+		if m.lifecycle.idleSince <= surplus && !takesOver {
 			keep = min(keep, surplusIdleTimeout)
 		}
-		if !p.schedulable(m) || m.idleSince == 0 || p.core.now-m.idleSince < keep || !p.terminable(m) ||
-			slices.ContainsFunc(p.capacityRequests, func(n provisioning.CapacityRequest) bool {
+		if !p.schedulable(m) || m.lifecycle.idleSince == 0 || p.core.now-m.lifecycle.idleSince < keep || !p.terminable(m) ||
+			slices.ContainsFunc(p.plan.capacityRequests, func(n provisioning.CapacityRequest) bool {
 				return n.Allows(provisioning.InstanceKind{InstanceType: m.record.InstanceType, Zone: m.record.Zone, Spot: m.record.Spot})
 			}) {
 			continue
@@ -194,6 +194,6 @@
 			continue
 		}
 		survey.remove(m)
-		p.drain(m, "idle")
+		p.startDrain(m, drainIdle)
 	}
 }
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -34,42 +34,57 @@
 	lastTick  micros.Time
 	output    *Output
 
-	lastCallID   uint64
-	pendingCalls map[uint64]func(any)
-
-	catalog          workload.Catalog
-	catalogFetchedAt micros.Time
-	catalogFetching  bool // a call is out
-	// The state service keeps the machine types too, see persistCatalog.
-	catalogFromCloud bool // the cloud told us
-	catalogWriting   bool // a write is out
-	catalogWrittenAt micros.Time
-
-	storeLimiter       *storage.RateLimiter
-	txnBackoff         txnBackoff // transactions that the state service calls invalid
-	agentCallsInFlight int        // direct calls to workers that are out
-	maxAgentCalls      int        // how many may be, for lack of sockets
+	calls        callTable
+	storeLimiter *storage.RateLimiter
+	txnBackoff   txnBackoff // transactions that the key-value store calls invalid
 	replication
 	readBarrier
+
+	catalog     workload.Catalog
+	catalogSync catalogSync
+
 	partitions      map[int]*partitionLeader
-	deathTimes      map[storage.Process]micros.Time // when a process was first known dead
+	deathTimes      map[storage.Process]micros.Time // when a process was first known to be dead
 	peers           map[string]*peerState
+	status          statusState
+	lastServedAt    micros.Time // when the key-value store last answered in time
 	cancellations   cancellations
-	dependencyLists int                          // of needed jobs that were stored in parts
-	archivedJobs    map[string]*storage.JobEntry // records read from there
+	dependencyLists int                          // lists of dependencies that were stored in parts
+	archivedJobs    map[string]*storage.JobEntry // records read from the archive
 	progress        map[string]JobProgress
-	// progressKept is how many entries of progress were left when it was last bounded.
+	leader          clusterLeader
+	runtimes        *workload.RuntimeStats
+	faults          *provisioning.FaultTracker
+	spot            spotLosses
+	reachability    reachabilityProbe
+	fair            *fairAdmission   // nil: off
+	lastPlanned     *partitionLeader // that planned in the last step
+}
+
+// callTable is the calls that have not completed yet.
+type callTable struct {
+	lastID             uint64
+	pending            map[uint64]func(any)
+	agentCallsInFlight int
+	maxAgentCalls      int // as many as there are sockets for
+}
+
+// catalogSync is how the instance types are fetched from the cloud and kept in the key-value
+// store, see persistCatalog.
+type catalogSync struct {
+	fetchedAt micros.Time
+	fetching  bool
+	fromCloud bool // the cloud, not only the store, told them to this process
+	writing   bool
+	writtenAt micros.Time
+}
+
+// statusState paces the status messages to peers.
+type statusState struct {
+	sentAt micros.Time
+	soon   bool // send the next one soon
+	// progressKept is how many entries of progress were left when they were last pruned.
 	progressKept int
-	leader       clusterLeader
-	runtimes     *workload.RuntimeStats
-	faults       *provisioning.FaultTracker
-	spot         spotLosses
-	reachability reachabilityProbe
-	fair         *fairAdmission   // nil: off
-	lastPlanned  *partitionLeader // that planned in the last step
-	statusSentAt micros.Time
-	statusSoon   bool        // send the status soon
-	lastServedAt micros.Time // when the state service last answered in time
 }
 
 // spotLosses counts how often spot machines are taken.
@@ -92,18 +107,31 @@
 // New starts a controller's core; incarnation must be new with every process.
 func New(cfg *config.Config, incarnation string) *Core {
 	keys := storage.Keys{Prefix: cfg.Operator.KeyPrefix}
+	limits := cfg.Settings.StateLimits()
 	c := &Core{
-		config: cfg, process: storage.Process{Member: cfg.Member, Incarnation: incarnation},
-		teams: workload.Teams(cfg), keys: keys, pendingCalls: map[uint64]func(any){},
-		maxAgentCalls: max(1, cfg.Sockets().Calls/2), // the other half are idle connections
-		storeLimiter:  storage.NewRateLimiter(cfg.Settings.StateLimits().RPS, cfg.Settings.StateLimits().WriteRPS, cfg.Settings.Nodes),
-		partitions:    map[int]*partitionLeader{}, deathTimes: map[storage.Process]micros.Time{},
-		txnBackoff: txnBackoff{}, peers: map[string]*peerState{}, cancellations: newCancellations(), archivedJobs: map[string]*storage.JobEntry{}, progress: map[string]JobProgress{},
-		runtimes: workload.NewRuntimeStats(), faults: provisioning.NewFaultTracker(), fair: newFairAdmission(cfg),
+		config:  cfg,
+		process: storage.Process{Member: cfg.Member, Incarnation: incarnation},
+		teams:   workload.Teams(cfg),
+		keys:    keys,
+		calls: callTable{
+			pending:       map[uint64]func(any){},
+			maxAgentCalls: max(1, cfg.Sockets().Calls/2), // the other half are idle connections
+		},
+		storeLimiter:  storage.NewRateLimiter(limits.RPS, limits.WriteRPS, cfg.Settings.Nodes),
+		txnBackoff:    txnBackoff{},
+		partitions:    map[int]*partitionLeader{},
+		deathTimes:    map[storage.Process]micros.Time{},
+		peers:         map[string]*peerState{},
+		cancellations: newCancellations(),
+		archivedJobs:  map[string]*storage.JobEntry{},
+		progress:      map[string]JobProgress{},
+		runtimes:      workload.NewRuntimeStats(),
+		faults:        provisioning.NewFaultTracker(),
+		fair:          newFairAdmission(cfg),
 	}
 	c.replication.cache = storage.NewCache(keys)
 	c.replication.term = leadership.Term{Length: cfg.LeadershipTerm()}
-	c.leader.capacity = provisioning.NewCapacityTracker()
+	c.leader.scaling.capacity = provisioning.NewCapacityTracker()
 	return c
 }
 
@@ -132,7 +160,7 @@
 // leaves time for everything else is measured outside.
 func (c *Core) ObserveStepDuration(d micros.Time) {
 	if c.lastPlanned != nil {
-		c.lastPlanned.planInterval = min(maxPlanInterval, max(minPlanInterval, planTimeDivisor*d))
+		c.lastPlanned.plan.interval = min(maxPlanInterval, max(minPlanInterval, planTimeDivisor*d))
 	}
 	c.lastPlanned = nil
 }
@@ -162,16 +190,16 @@
 
 func (c *Core) completeCall(call uint64, reply any) {
 	// A completion that comes twice, or was never asked for, has no effect.
-	if done := c.pendingCalls[call]; done != nil {
-		delete(c.pendingCalls, call)
+	if done := c.calls.pending[call]; done != nil {
+		delete(c.calls.pending, call)
 		done(reply)
 	}
 }
 
 func (c *Core) registerCall(done func(any)) uint64 {
-	c.lastCallID++
-	c.pendingCalls[c.lastCallID] = done
-	return c.lastCallID
+	c.calls.lastID++
+	c.calls.pending[c.calls.lastID] = done
+	return c.calls.lastID
 }
 
 // callStore sends a request to the state service if the budget allows.
@@ -195,9 +223,9 @@
 
 // callAgent sends a direct call; there must be room for it.
 func (c *Core) callAgent(call AgentCall, done func(*AgentReply)) {
-	c.agentCallsInFlight++
+	c.calls.agentCallsInFlight++
 	call.Call = c.registerCall(func(v any) {
-		c.agentCallsInFlight--
+		c.calls.agentCallsInFlight--
 		done(v.(*AgentReply))
 	})
 	c.output.AgentCalls = append(c.output.AgentCalls, call)
@@ -207,11 +235,11 @@
 // ask or command a whole fleet at once would leave none for the workers' reports.
 // Probes, whose machines often do not answer, leave a third to commands.
 func (c *Core) availableAgentCalls(probe bool) int {
-	most := c.maxAgentCalls
+	most := c.calls.maxAgentCalls
 	if probe {
 		most -= most / 3
 	}
-	return most - c.agentCallsInFlight
+	return most - c.calls.agentCallsInFlight
 }
 
 // Log levels, as in log/slog.
@@ -249,17 +277,17 @@
 	if c.catalog == nil {
 		every = micros.Second
 	}
-	if c.catalogFetching || (c.catalogFetchedAt != 0 && c.now-c.catalogFetchedAt < every) {
+	if c.catalogSync.fetching || (c.catalogSync.fetchedAt != 0 && c.now-c.catalogSync.fetchedAt < every) {
 		return
 	}
-	c.catalogFetching, c.catalogFetchedAt = true, c.now
+	c.catalogSync.fetching, c.catalogSync.fetchedAt = true, c.now
 	c.callCloud(CloudCall{Operation: CloudCatalog, Timeout: 3 * micros.Second}, func(r *CloudReply) {
-		c.catalogFetching = false
+		c.catalogSync.fetching = false
 		if r.Outcome == CloudOK && len(r.Catalog) > 0 {
 			c.catalog = r.Catalog
-			c.catalogFromCloud = true
+			c.catalogSync.fromCloud = true
 			for _, h := range c.partitions {
-				h.planStale = true
+				h.plan.stale = true
 			}
 		}
 	})
@@ -331,13 +359,13 @@
 // sendStatus tells the siblings how things stand.
 func (c *Core) sendStatus() {
 	every := 500 * micros.Millisecond
-	if c.statusSoon {
+	if c.status.soon {
 		every = 100 * micros.Millisecond
 	}
-	if c.now-c.statusSentAt < every {
+	if c.now-c.status.sentAt < every {
 		return
 	}
-	c.statusSentAt, c.statusSoon = c.now, false
+	c.status.sentAt, c.status.soon = c.now, false
 	s := &PeerStatus{From: c.process, Revision: c.cache.Revision, StoreReachable: c.storeReachable(), Usage: c.storeLimiter.RecentUsage(), Reachability: c.reachability.report(c.now)}
 	var others storage.Usage
 	for member, p := range c.peers {
@@ -364,14 +392,14 @@
 	s.Demand = c.demandForPeers()
 	for _, p := range c.config.Peers {
 		mine := *s
-		mine.Transfers = c.leader.transfers[p.Member]
+		mine.Transfers = c.leader.transfer.pending[p.Member]
 		mine.Cancelled, mine.CancelledUpTo = c.cancellationNoticesFor(p.Member)
 		c.output.PeerMessages = append(c.output.PeerMessages, PeerMessage{p.Member, &mine})
 	}
-	for _, sh := range c.leader.transfers[c.process.Member] {
+	for _, sh := range c.leader.transfer.pending[c.process.Member] {
 		c.transferMachine(sh)
 	}
-	c.leader.transfers = nil
+	c.leader.transfer.pending = nil
 	c.receiveStatus(s)
 }
 
@@ -404,7 +432,7 @@
 // pruneProgress forgets the progress of jobs that are over, once there is much of it: with
 // more active jobs than that all of theirs is kept.
 func (c *Core) pruneProgress() {
-	if len(c.progress) <= max(minProgressEntries, 2*c.progressKept) {
+	if len(c.progress) <= max(minProgressEntries, 2*c.status.progressKept) {
 		return
 	}
 	for id := range c.progress {
@@ -412,7 +440,7 @@
 			delete(c.progress, id)
 		}
 	}
-	c.progressKept = len(c.progress)
+	c.status.progressKept = len(c.progress)
 }
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -20,7 +20,7 @@
 // start a job without regard to what it waits for.
 func (c *Core) upgradeFormat() {
 	l := &c.leader
-	if c.cache.Format >= storage.Format || l.formatInFlight || c.now < l.formatRetryAt {
+	if c.cache.Format >= storage.Format || l.formatUpgrade.inFlight || c.now < l.formatUpgrade.retryAt {
 		return
 	}
 	members := []string{c.process.Member}
@@ -32,11 +32,11 @@
 			return
 		}
 	}
-	l.formatRetryAt = c.now + micros.Second
-	l.formatInFlight = c.callStore(&storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.leaderCompare()},
+	l.formatUpgrade.retryAt = c.now + micros.Second
+	l.formatUpgrade.inFlight = c.callStore(&storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.leaderCompare()},
 		Puts: []storage.Put{{Key: c.keys.Format(), Value: storage.Encode(map[string]int{"v": storage.Format})}},
 	}, storage.Urgent, storeTimeout, func(r *storage.Reply) {
-		l.formatInFlight = false
+		l.formatUpgrade.inFlight = false
 		if r.Outcome == storage.OK {
 			c.log(levelInfo, "every member reads the new records", "format", storage.Format)
 		}
@@ -237,7 +237,7 @@
 	}
 	blocked, unknown := p.core.cache.Blocked(j.record)
 	if unknown != "" {
-		p.unresolvedDependencies[unknown] = max(p.unresolvedDependencies[unknown], 1)
+		p.dependencies.unresolved[unknown] = max(p.dependencies.unresolved[unknown], 1)
 	}
 	if blocked {
 		return
@@ -252,7 +252,7 @@
 			j.readySince = p.core.wall
 		}
 	}
-	p.planStale = true
+	p.plan.stale = true
 	p.core.log(levelDebug, "job may start", "job", j.ID)
 }
 
@@ -265,21 +265,21 @@
 
 // lookUpDependencies looks needed jobs up that are not in memory.
 func (p *partitionLeader) lookUpDependencies() {
-	if len(p.unresolvedDependencies) == 0 || p.lookupsInFlight >= maxDependencyLookups {
+	if len(p.dependencies.unresolved) == 0 || p.dependencies.lookupsInFlight >= maxDependencyLookups {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(p.unresolvedDependencies)) {
+	for _, id := range slices.Sorted(maps.Keys(p.dependencies.unresolved)) {
 		if p.core.cache.Jobs[id] != nil || len(p.core.cache.Dependents[id]) == 0 || p.core.cache.ArchivedPhases[id] != workload.Active {
-			delete(p.unresolvedDependencies, id)
+			delete(p.dependencies.unresolved, id)
 			continue
 		}
-		if p.unresolvedDependencies[id] > p.core.now || p.lookupsInFlight >= maxDependencyLookups {
+		if p.dependencies.unresolved[id] > p.core.now || p.dependencies.lookupsInFlight >= maxDependencyLookups {
 			continue
 		}
-		p.unresolvedDependencies[id] = p.core.now + dependencyLookupInterval
-		p.lookupsInFlight++
+		p.dependencies.unresolved[id] = p.core.now + dependencyLookupInterval
+		p.dependencies.lookupsInFlight++
 		p.core.lookupArchived(id, func(e *storage.JobEntry, ok bool) {
-			p.lookupsInFlight--
+			p.dependencies.lookupsInFlight--
 			if ok && e != nil {
 				p.core.cache.Resolve(id, e.Job.Phase)
 				p.core.reevaluateAffected()
@@ -291,14 +291,14 @@
 // persistDependencyCancellations writes down that jobs are cancelled with one before them, one at a time:
 // every controller says so already.
 func (p *partitionLeader) persistDependencyCancellations() {
-	if len(p.dependencyCancellations) == 0 || p.cancellationWriteInFlight || p.core.now < p.nextCancellationWriteAt {
+	if len(p.dependencies.cancelled) == 0 || p.dependencies.writeInFlight || p.core.now < p.dependencies.nextWriteAt {
 		return
 	}
-	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{{Key: p.core.keys.Partition(p.partition), ModRevision: p.fencingToken}}}
-	for _, id := range slices.Sorted(maps.Keys(p.dependencyCancellations)) {
+	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{{Key: p.core.keys.Partition(p.partition), ModRevision: p.lease.fencingToken}}}
+	for _, id := range slices.Sorted(maps.Keys(p.dependencies.cancelled)) {
 		e := p.core.cache.Jobs[id]
 		if e == nil || e.Job.Phase != workload.Active {
-			delete(p.dependencyCancellations, id)
+			delete(p.dependencies.cancelled, id)
 			continue
 		}
 		if len(r.Puts) < p.core.config.Settings.StateLimits().TxnOps {
@@ -309,8 +309,8 @@
 	if len(r.Puts) == 0 {
 		return
 	}
-	p.nextCancellationWriteAt = p.core.now + 300*micros.Millisecond
-	p.cancellationWriteInFlight = p.core.callStore(r, storage.Deferrable, storeTimeout, func(*storage.Reply) { p.cancellationWriteInFlight = false })
+	p.dependencies.nextWriteAt = p.core.now + 300*micros.Millisecond
+	p.dependencies.writeInFlight = p.core.callStore(r, storage.Deferrable, storeTimeout, func(*storage.Reply) { p.dependencies.writeInFlight = false })
 }
 
 // startOverhead is what the start of a task takes besides its image.
@@ -331,7 +331,7 @@
 	if len(p.core.cache.Dependents[id]) == 0 {
 		return out
 	}
-	if got, ok := p.inheritedUrgency[id]; ok {
+	if got, ok := p.plan.inheritedUrgency[id]; ok {
 		return got
 	}
 	for dep := range p.core.cache.Dependents[id] {
@@ -350,10 +350,10 @@
 		}
 		out.priority = max(out.priority, after.priority, e.Job.Priority)
 	}
-	if p.inheritedUrgency == nil {
-		p.inheritedUrgency = map[string]inheritedUrgency{}
+	if p.plan.inheritedUrgency == nil {
+		p.plan.inheritedUrgency = map[string]inheritedUrgency{}
 	}
-	p.inheritedUrgency[id] = out
+	p.plan.inheritedUrgency[id] = out
 	return out
 }
 
--- /dev/null
+++ b/internal/coordination/drain.go
@@ -0,0 +1,66 @@
+package coordination
+
+// drainReason is why a machine takes no more tasks.
+type drainReason uint8
+
+const (
+	notDraining drainReason = iota
+	// drainUnresponsive: neither heartbeats nor replies to probes came for too long.
+	drainUnresponsive
+	// drainUnreachable: it sends heartbeats, but shows that no reply reaches it.
+	drainUnreachable
+	// drainAgentRestarted: its agent began anew within its lease, so that no order of its
+	// heartbeats can be told any more.
+	drainAgentRestarted
+	// drainBootTimeout: it never sent a heartbeat.
+	drainBootTimeout
+	// drainQuarantined: tasks of several jobs failed on it.
+	drainQuarantined
+	// drainSlow: its tasks take much longer than those of the same jobs elsewhere.
+	drainSlow
+	// drainUnresolvedStart: a start command that is no longer wanted may still arrive.
+	drainUnresolvedStart
+	// drainCannotReport: calls reach it, but its heartbeats reach no controller.
+	drainCannotReport
+	// drainKillTimeout: a task of a cancelled job was not shown as gone in time.
+	drainKillTimeout
+	// drainIdle: it has had no task for a while.
+	drainIdle
+	// drainConsolidation: its service replicas fit on other machines.
+	drainConsolidation
+	// drainTransfer: it moves to another partition.
+	drainTransfer
+)
+
+// String returns the reason as it appears in the log.
+func (r drainReason) String() string {
+	switch r {
+	case notDraining:
+		return ""
+	case drainUnresponsive:
+		return "unresponsive"
+	case drainUnreachable:
+		return "unreachable"
+	case drainAgentRestarted:
+		return "agent restarted"
+	case drainBootTimeout:
+		return "boot timeout"
+	case drainQuarantined:
+		return "quarantined"
+	case drainSlow:
+		return "slow"
+	case drainUnresolvedStart:
+		return "unresolved start"
+	case drainCannotReport:
+		return "cannot report"
+	case drainKillTimeout:
+		return "kill timeout"
+	case drainIdle:
+		return "idle"
+	case drainConsolidation:
+		return "consolidation"
+	case drainTransfer:
+		return "transfer"
+	}
+	return "unknown"
+}
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -26,13 +26,13 @@
 // commands reach while it reaches no controller loses its tasks all the same when its
 // lease ends: commands do not renew it.
 func (p *partitionLeader) sinceLastRenewal(m *machine) micros.Time {
-	return p.core.now - max(m.lastRenewal, p.acquiredAt, m.addedAt, p.silenceCountsFrom)
+	return p.core.now - max(m.contact.lastRenewal, p.lease.acquiredAt, m.lifecycle.addedAt, p.detector.silenceCountsFrom)
 }
 
 // cannotReport tells whether a machine that answers calls has reached no controller for a lease,
 // while most others do: it is empty by now, and would stay so.
 func (p *partitionLeader) cannotReport(m *machine) bool {
-	if m.epoch == 0 || p.sinceLastRenewal(m) <= p.core.config.AgentLeaseExpiry() {
+	if m.agent.epoch == 0 || p.sinceLastRenewal(m) <= p.core.config.AgentLeaseExpiry() {
 		return false
 	}
 	census := p.fleetHealth()
@@ -43,17 +43,17 @@
 // renewed its lease: ours, or a predecessor's, whose answers end with its term,
 // or with its process if that is known to be dead.
 func (p *partitionLeader) lastPossibleRenewal(m *machine) micros.Time {
-	last := p.acquiredAt
+	last := p.lease.acquiredAt
 	if m.record.Used {
-		for _, predecessor := range p.formerLeaders {
+		for _, predecessor := range p.lease.formerLeaders {
 			end, dead := p.core.deathTimes[predecessor]
 			if !dead {
-				end = p.acquiredAt + p.core.config.LeadershipTerm()
+				end = p.lease.acquiredAt + p.core.config.LeadershipTerm()
 			}
 			last = max(last, end)
 		}
 	}
-	return max(last, m.lastRenewal)
+	return max(last, m.contact.lastRenewal)
 }
 
 // mostReconciled tells whether most of the machines in use are known. A third of them may
@@ -78,14 +78,14 @@
 	var silent, up int
 	shares := map[share][2]int{}
 	for _, m := range p.machines {
-		if m.epoch == 0 && !m.record.Used {
+		if m.agent.epoch == 0 && !m.record.Used {
 			continue
 		}
 		k := share{m.record.Zone, m.record.Spot}
 		n := shares[k]
 		up++
 		n[1]++
-		if p.core.now-m.lastContact > p.suspicionTimeout()*7/10 {
+		if p.core.now-m.contact.lastContact > p.suspicionTimeout()*7/10 {
 			silent++
 			n[0]++
 		}
@@ -108,7 +108,7 @@
 // many machines are overdue. Three machines are too few to tell.
 func (p *partitionLeader) restOfFleetHeard(m *machine) bool {
 	census := p.fleetHealth()
-	heard := len(census.lastContacts) - sort.Search(len(census.lastContacts), func(i int) bool { return census.lastContacts[i] > m.firstFailedCallAt })
+	heard := len(census.lastContacts) - sort.Search(len(census.lastContacts), func(i int) bool { return census.lastContacts[i] > m.contact.firstFailedCallAt })
 	return heard*4 > census.inUse || census.inUse <= 3
 }
 
@@ -126,27 +126,27 @@
 
 // fleetHealth returns the census of this tick.
 func (p *partitionLeader) fleetHealth() *fleetHealth {
-	if p.healthSummary != nil && p.healthSummary.takenAt == p.core.now {
-		return p.healthSummary
+	if p.detector.healthSummary != nil && p.detector.healthSummary.takenAt == p.core.now {
+		return p.detector.healthSummary
 	}
 	n := &fleetHealth{takenAt: p.core.now}
 	for _, m := range p.machines {
 		if m.record.Used {
 			n.mayHaveTasks++
-			if m.reconciled {
+			if m.agent.reconciled {
 				n.reconciled++
 			}
 		}
-		if m.epoch == 0 && !m.record.Used {
+		if m.agent.epoch == 0 && !m.record.Used {
 			continue
 		}
 		n.inUse++
-		n.lastContacts = append(n.lastContacts, m.lastContact)
+		n.lastContacts = append(n.lastContacts, m.contact.lastContact)
 		if p.sinceLastRenewal(m) < p.core.config.AgentLease()/2 {
 			n.renewed++
 		}
 	}
 	slices.Sort(n.lastContacts)
-	p.healthSummary = n
+	p.detector.healthSummary = n
 	return n
 }
--- a/internal/coordination/fair_shares.go
+++ b/internal/coordination/fair_shares.go
@@ -80,7 +80,7 @@
 	}
 	// Tasks of a job older than the lease may run on any machine that is not known yet;
 	// nothing of it starts until there is none.
-	return !silent || j.modRevision >= p.acquiredToken
+	return !silent || j.modRevision >= p.lease.acquiredToken
 }
 
 // lagBeyondBound is how far a job's flow is behind its fair share, if that is more than the bound.
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -52,14 +52,14 @@
 		// known here of other holders is as old as the term.
 		p.core.respond(Response{Request: in.Request, Kind: HeartbeatRedirected})
 		return
-	case r.FencingToken > p.fencingToken:
+	case r.FencingToken > p.lease.fencingToken:
 		// The worker would drop a 200 and stay here until its tasks die.
 		p.supersededByToken()
 		p.core.respond(Response{Request: in.Request, Kind: HeartbeatRedirected})
 		return
 	}
 	newer := m.newer(r)
-	if !newer && (r.AgentEpoch < m.epoch || r.Sequence <= m.settledSequence || p.core.now-m.lastHeartbeatAt > replyTimeout || r.FencingToken < m.highestToken) {
+	if !newer && (r.AgentEpoch < m.agent.epoch || r.Sequence <= m.agent.settledSequence || p.core.now-m.agent.lastHeartbeatAt > replyTimeout || r.FencingToken < m.agent.highestToken) {
 		// A copy of an old report, whose answer reaches nobody, or a worker that
 		// began anew: an answer must neither count nor renew a lease.
 		p.logIgnoredHeartbeat("old report", m, r)
@@ -70,23 +70,23 @@
 		p.observeReplyReceipt(m, r)
 		p.observeHeartbeat(m, r)
 	}
-	if m.decommissioned() || m.unackedReplies > maxUnackedReplies {
+	if m.decommissioned() || m.contact.unackedReplies > maxUnackedReplies {
 		// Given up, or out of reach of our answers: more of them would only push off
 		// the time from which its lease has surely run out.
 		p.core.respondUnavailable(in.Request, "machine is given up")
 		return
 	}
-	m.lastRenewal, m.lastReply = p.core.now, p.core.now
+	m.contact.lastRenewal, m.contact.lastReply = p.core.now, p.core.now
 	var cmds []Command
 	if newer {
 		cmds = p.commandsFor(m)
 	}
-	p.core.respond(Response{Request: in.Request, Kind: HeartbeatAcknowledged, FencingToken: p.fencingToken, Commands: cmds})
+	p.core.respond(Response{Request: in.Request, Kind: HeartbeatAcknowledged, FencingToken: p.lease.fencingToken, Commands: cmds})
 }
 
 // newer tells whether a report is newer than all that is known of the machine.
 func (m *machine) newer(r *Heartbeat) bool {
-	return r.AgentEpoch > m.epoch || (r.AgentEpoch == m.epoch && r.Sequence > m.sequence)
+	return r.AgentEpoch > m.agent.epoch || (r.AgentEpoch == m.agent.epoch && r.Sequence > m.agent.sequence)
 }
 
 // maxUnackedReplies is how many answers in a row may be shown as not received before a
@@ -101,18 +101,18 @@
 // answered must neither count as sound nor have its lease renewed by answers that
 // never arrive.
 func (p *partitionLeader) observeReplyReceipt(m *machine, r *Heartbeat) {
-	if m.lastReply == 0 {
+	if m.contact.lastReply == 0 {
 		return
 	}
-	if r.FencingToken < p.acquiredToken || r.AgentEpoch > m.epoch {
+	if r.FencingToken < p.lease.acquiredToken || r.AgentEpoch > m.agent.epoch {
 		// Our answers under this lease, or in its last session, did not arrive.
-		m.unackedReplies++
-	} else if p.core.now-m.lastReply < replyTimeout-1500*micros.Millisecond {
+		m.contact.unackedReplies++
+	} else if p.core.now-m.contact.lastReply < replyTimeout-1500*micros.Millisecond {
 		// It goes on at its pace and stays with us: it had our answer.
-		m.lastContact, m.unackedReplies, m.failedCalls = p.core.now, 0, 0
-		m.nextCallAt = 0
+		m.contact.lastContact, m.contact.unackedReplies, m.contact.failedCalls = p.core.now, 0, 0
+		m.commands.nextCallAt = 0
 	}
-	m.lastReply = 0
+	m.contact.lastReply = 0
 }
 
 // supersededByToken: somebody has a higher token, so this lease is over, or about to be
@@ -125,7 +125,7 @@
 // commandsFor are the commands in the answer to a report: they are not executed
 // late, since the worker drops late answers.
 func (p *partitionLeader) commandsFor(m *machine) []Command {
-	if m.ackedToken != p.fencingToken {
+	if m.agent.ackedToken != p.lease.fencingToken {
 		return nil
 	}
 	var out []Command
@@ -133,10 +133,10 @@
 		switch {
 		case a.state == Exited:
 			// A start that may still arrive would begin a forgotten attempt anew.
-			if a.reported && a.persisted && a.startsInFlight == 0 && a.startsUnanswered == 0 {
+			if a.start.reported && a.persisted && a.start.inFlight == 0 && a.start.unanswered == 0 {
 				out = append(out, Command{Operation: Forget, AttemptID: id})
 			}
-		case a.stopping:
+		case a.stop.ordered:
 			out = append(out, Command{Operation: Stop, AttemptID: id, GracePeriod: p.remainingGrace(a)})
 		}
 	}
@@ -146,10 +146,10 @@
 
 // remainingGrace ends an attempt at once when its time to save is over.
 func (p *partitionLeader) remainingGrace(a *attempt) micros.Time {
-	if a.gracePeriod == 0 || p.core.now-a.stoppedAt > 2*a.gracePeriod+2*micros.Second {
+	if a.stop.gracePeriod == 0 || p.core.now-a.stop.orderedAt > 2*a.stop.gracePeriod+2*micros.Second {
 		return 0
 	}
-	return a.gracePeriod
+	return a.stop.gracePeriod
 }
 
 // observeHeartbeat takes a worker's report, from whichever way it came.
@@ -157,44 +157,44 @@
 	if !m.newer(r) {
 		return // older than what is known
 	}
-	if r.AgentEpoch == m.epoch && r.FencingToken < m.highestToken && m.highestToken >= p.acquiredToken {
+	if r.AgentEpoch == m.agent.epoch && r.FencingToken < m.agent.highestToken && m.agent.highestToken >= p.lease.acquiredToken {
 		// A worker never forgets a token: this one began anew under its old name.
 		p.drainRestarted(m)
 		return
 	}
-	if r.AgentEpoch > m.epoch {
+	if r.AgentEpoch > m.agent.epoch {
 		p.beginEpoch(m, r.AgentEpoch)
 	}
-	if p.core.now-m.settledSequenceAt > replyTimeout {
-		m.settledSequence, m.nextSettledSequence, m.settledSequenceAt = m.nextSettledSequence, r.Sequence, p.core.now
+	if p.core.now-m.agent.settledSequenceAt > replyTimeout {
+		m.agent.settledSequence, m.agent.nextSettledSequence, m.agent.settledSequenceAt = m.agent.nextSettledSequence, r.Sequence, p.core.now
 	}
-	m.sequence, m.lastHeartbeatAt = r.Sequence, p.core.now
-	m.highestToken = max(m.highestToken, r.FencingToken)
-	if m.leaseExpired {
+	m.agent.sequence, m.agent.lastHeartbeatAt = r.Sequence, p.core.now
+	m.agent.highestToken = max(m.agent.highestToken, r.FencingToken)
+	if m.agent.leaseExpired {
 		p.logIgnoredHeartbeat("of an ended session", m, r)
 		return // sent before its lease ran out, and late: what it shows is gone
 	}
 	if r.Address != "" {
 		m.address = r.Address
 	}
-	m.preemptAt = 0
+	m.lifecycle.preemptAt = 0
 	if r.PreemptionNotice >= 0 {
-		m.preemptAt = p.core.now + r.PreemptionNotice
+		m.lifecycle.preemptAt = p.core.now + r.PreemptionNotice
 	}
-	if r.FencingToken > p.fencingToken {
+	if r.FencingToken > p.lease.fencingToken {
 		p.supersededByToken()
 		return
 	}
-	m.ackedToken = r.FencingToken
-	if r.FencingToken < p.acquiredToken {
+	m.agent.ackedToken = r.FencingToken
+	if r.FencingToken < p.lease.acquiredToken {
 		// Not an exchange under this lease: perhaps a copy of an old report, perhaps
 		// overtaken by what the predecessor still orders. It says nothing of tasks.
 		return
 	}
 	p.reconcileTasks(m, r)
-	if m.ackedToken == p.fencingToken && !m.reconciled {
-		m.reconciled = true
-		p.planStale = true
+	if m.agent.ackedToken == p.lease.fencingToken && !m.agent.reconciled {
+		m.agent.reconciled = true
+		p.plan.stale = true
 	}
 	p.handlePreemptionNotice(m)
 }
@@ -202,17 +202,17 @@
 // beginEpoch notes that a machine's lease ran out: it killed and forgot all its tasks. That
 // does not make it known: a predecessor may have started others since.
 func (p *partitionLeader) beginEpoch(m *machine, session uint64) {
-	if m.epoch != 0 {
-		known := m.reconciled
+	if m.agent.epoch != 0 {
+		known := m.agent.reconciled
 		p.clearAttempts(m)
-		m.reconciled = known
+		m.agent.reconciled = known
 	} else {
-		m.bootedAt = p.core.now
+		m.agent.bootedAt = p.core.now
 	}
-	m.epoch = session
-	m.settledSequence, m.nextSettledSequence, m.settledSequenceAt = 0, 0, p.core.now
-	m.leaseExpired = false
-	p.planStale = true
+	m.agent.epoch = session
+	m.agent.settledSequence, m.agent.nextSettledSequence, m.agent.settledSequenceAt = 0, 0, p.core.now
+	m.agent.leaseExpired = false
+	p.plan.stale = true
 }
 
 // reconcileTasks takes a report's tasks for the truth about its machine.
@@ -225,7 +225,7 @@
 		if a == nil {
 			a = p.adoptAttempt(m, t)
 		}
-		a.reported = true
+		a.start.reported = true
 		p.updateAttempt(a, t)
 	}
 	if len(m.attempts) > len(shown) {
@@ -233,7 +233,7 @@
 			a := m.attempts[id]
 			// A start that still waits in the outbox, or that got no answer, says nothing
 			// by its absence: taking it for not started would run the task twice.
-			if shown[id] || !a.startSent || (!a.reported && a.startsInFlight+a.startsUnanswered > 0) {
+			if shown[id] || !a.start.sent || (!a.start.reported && a.start.inFlight+a.start.unanswered > 0) {
 				continue
 			}
 			// Forgotten as ordered, or, if it was never shown, surely not started.
@@ -251,8 +251,8 @@
 func (p *partitionLeader) logIgnoredHeartbeat(why string, m *machine, r *Heartbeat) {
 	if p.core.now-p.ignoredHeartbeatLoggedAt >= ignoredLogInterval || p.ignoredHeartbeatLoggedAt == 0 {
 		p.ignoredHeartbeatLoggedAt = p.core.now
-		p.core.log(levelInfo, "report not believed", "why", why, "machine", m.id, "session", r.AgentEpoch, "seq", r.Sequence, "known_session", m.epoch,
-			"known_seq", m.sequence)
+		p.core.log(levelInfo, "report not believed", "why", why, "machine", m.id, "session", r.AgentEpoch, "seq", r.Sequence, "known_session", m.agent.epoch,
+			"known_seq", m.agent.sequence)
 	}
 }
 
@@ -261,13 +261,19 @@
 // told any more. Its deletion settles what ran there.
 func (p *partitionLeader) drainRestarted(m *machine) {
 	if !m.decommissioned() {
-		p.drain(m, "restarted")
+		p.startDrain(m, drainAgentRestarted)
 	}
 }
 
 // adoptAttempt takes an attempt that this holder did not start.
 func (p *partitionLeader) adoptAttempt(m *machine, t *TaskStatus) *attempt {
-	a := &attempt{id: t.AttemptID, machine: m, state: t.State, createdAt: p.core.now, startSent: true}
+	a := &attempt{
+		id:        t.AttemptID,
+		machine:   m,
+		state:     t.State,
+		createdAt: p.core.now,
+		start:     startState{sent: true},
+	}
 	a.job = p.jobs[t.Job]
 	if e := p.core.cache.Jobs[t.Job]; e != nil {
 		a.team, a.resources = e.Job.Team, e.Job.Resources
@@ -316,7 +322,7 @@
 	case a.job.taskCompleted(t.Task):
 		p.stopAttempt(a, 0)
 	}
-	p.planStale = true
+	p.plan.stale = true
 	return a
 }
 
@@ -339,7 +345,7 @@
 		return
 	}
 	p.release(a)
-	p.planStale = true
+	p.plan.stale = true
 	if a.job == nil {
 		a.persisted = true
 		return
@@ -348,13 +354,13 @@
 	switch t.ExitReason {
 	case ExitCompleted:
 		if a.startedHere && a.runningSince > 0 {
-			if j.runtimeSamples >= 2 { // against its siblings: the owner's estimate says little
-				a.machine.runtimeRatioTotal += min(20, float64(p.core.now-a.runningSince)*float64(j.runtimeSamples)/float64(max(1, j.runtimeTotal)))
-				a.machine.runtimeRatioSamples++
+			if j.runtime.samples >= 2 { // against its siblings: the owner's estimate says little
+				a.machine.runtime.ratioTotal += min(20, float64(p.core.now-a.runningSince)*float64(j.runtime.samples)/float64(max(1, j.runtime.total)))
+				a.machine.runtime.samples++
 			}
 			p.core.runtimes.Observe(j.Class, j.Estimate, p.core.now-a.runningSince)
-			j.runtimeTotal += p.core.now - a.runningSince
-			j.runtimeSamples++
+			j.runtime.total += p.core.now - a.runningSince
+			j.runtime.samples++
 		}
 		p.core.faults.Succeeded(a.machine.id, j.ID)
 		p.completeTask(a)
@@ -367,7 +373,7 @@
 			j.startsPausedUntil = p.core.now + min(60*micros.Second, micros.Second<<min(6, p.core.faults.Failures(j.ID)))
 		}
 	case ExitInsufficientResources, ExitDuplicateTask:
-		a.machine.startsPausedUntil = p.core.now + micros.Second
+		a.machine.lifecycle.startsPausedUntil = p.core.now + micros.Second
 		p.core.log(levelInfo, "start refused", "job", j.ID, "task", a.id.Task, "machine", a.machine.id, "cause", t.ExitReason)
 	case ExitUnknownTask:
 		j.startsPausedUntil = p.core.now + 2*micros.Second
--- a/internal/coordination/large_bench_test.go
+++ b/internal/coordination/large_bench_test.go
@@ -30,7 +30,7 @@
 				c.output = &Output{}
 				c.partitions[0].schedule()
 			}
-			if h := c.partitions[0]; len(h.machines) != size || !h.machines[size-1].reconciled {
+			if h := c.partitions[0]; len(h.machines) != size || !h.machines[size-1].agent.reconciled {
 				b.Fatal("not taken over")
 			}
 		})
@@ -54,16 +54,16 @@
 			for b.Loop() {
 				c.now += 50 * micros.Millisecond
 				for i, m := range h.machines {
-					m.callInFlight = true
+					m.commands.callInFlight = true
 					if i%3 != 0 {
-						m.lastContact, m.lastRenewal = c.now, c.now
+						m.contact.lastContact, m.contact.lastRenewal = c.now, c.now
 					} else {
-						m.failedCalls, m.firstFailedCallAt = 1, c.now-micros.Second
+						m.contact.failedCalls, m.contact.firstFailedCallAt = 1, c.now-micros.Second
 					}
 				}
 				for _, m := range h.machines {
 					h.checkMachine(m)
-					m.drainReason = ""
+					m.drain.reason = notDraining
 				}
 				c.output = &Output{}
 			}
@@ -90,9 +90,9 @@
 				c.now += micros.Second
 				c.term.Confirm(c.now)
 				c.output = &Output{}
-				h.capacityRequests = nil
+				h.plan.capacityRequests = nil
 				for _, m := range h.machines {
-					m.lastContact, m.lastRenewal, m.instanceType, m.drainReason = c.now, c.now, c.catalog["m"], ""
+					m.contact.lastContact, m.contact.lastRenewal, m.instanceType, m.drain.reason = c.now, c.now, c.catalog["m"], notDraining
 				}
 				h.scaleIn()
 			}
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -13,48 +13,84 @@
 type machine struct {
 	id           string
 	record       storage.Machine
-	modRevision  uint64 // of the block's key
+	modRevision  uint64 // of the key of the machine's block
 	instanceType *workload.InstanceType
 	address      string
-	epoch        uint64
-	// bootedAt is when its first session was heard of; nothing may have reached it by then.
-	bootedAt     micros.Time
-	sequence     uint64
-	ackedToken   uint64 // highest token it reported
-	reconciled   bool   // its tasks are known, or it surely has none
-	leaseExpired bool   // its lease ran out, or its session is over: empty until it reports
-
-	addedAt micros.Time
-	// lastContact is when something last showed that our messages reach it: a report
-	// alone does not, the way back may be cut.
-	lastContact         micros.Time
-	lastRenewal         micros.Time // last answer that may have renewed its lease
-	lastReply           micros.Time // last answer to a report, for seen
-	unackedReplies      int         // answers in a row that its next report showed as not received
-	highestToken        uint64      // highest token it ever showed
-	lastHeartbeatAt     micros.Time // when its newest report or answer came
-	settledSequence     uint64      // a report up to this seq is surely not waiting for an answer
-	nextSettledSequence uint64      // the next floor, known since settledSequenceAt
+
+	agent     agentState
+	contact   contactState
+	lifecycle machineLifecycle
+	drain     drainState
+	runtime   runtimeRatio
+
+	attempts map[AttemptID]*attempt
+	images   []image // most recently used last
+	commands commandQueue
+}
+
+// agentState is what the agent's heartbeats showed: which of its epochs is running, how far
+// its heartbeats came, and which fencing token it obeys.
+type agentState struct {
+	epoch uint64 // 0: it has not been heard from
+	// bootedAt is when its first epoch was heard of; nothing can have reached the agent before.
+	bootedAt        micros.Time
+	sequence        uint64
+	lastHeartbeatAt micros.Time // when the newest heartbeat or call reply came
+	ackedToken      uint64      // fencing token of the newest heartbeat
+	highestToken    uint64      // highest fencing token of any heartbeat
+
+	// A heartbeat up to settledSequence surely does not wait for a reply any more.
+	// nextSettledSequence takes its place once it has been known for replyTimeout.
+	settledSequence     uint64
+	nextSettledSequence uint64
 	settledSequenceAt   micros.Time
-	preemptAt           micros.Time // when the cloud takes it; 0: no notice
-	idleSince           micros.Time // since when it has had no task; 0: it has
-	drainReason         string      // why it takes no more tasks
-	drainSince          micros.Time // since when
-	startsPausedUntil   micros.Time // no starts before
 
-	runtimeRatioTotal   float64 // run times of completed tasks over their siblings', added up
-	runtimeRatioSamples int
+	reconciled   bool // its tasks are known, or it surely has none
+	leaseExpired bool // the agent lease expired or its epoch ended: no tasks until the next epoch
+}
+
+// contactState is when messages last went to and from the machine.
+type contactState struct {
+	// lastContact is when something last showed that our messages reach the machine. A
+	// heartbeat alone does not: the way back may be cut.
+	lastContact    micros.Time
+	lastRenewal    micros.Time // last reply that may have renewed the agent lease
+	lastReply      micros.Time // last reply to a heartbeat that the next heartbeat has not acknowledged yet
+	unackedReplies int         // replies in a row that the next heartbeat showed as not received
+
+	lastProbe         micros.Time
+	failedCalls       int         // calls in a row without a reply
+	firstFailedCallAt micros.Time // when the first of them was sent
+}
+
+// machineLifecycle is when the machine came, was last used, and will be taken.
+type machineLifecycle struct {
+	addedAt           micros.Time
+	idleSince         micros.Time // 0: it has tasks
+	startsPausedUntil micros.Time
+	preemptAt         micros.Time // when the cloud takes the spot instance; 0: no preemption notice
+	preemptionHandled bool        // the tasks that will not end before preemptAt were stopped
+}
+
+// drainState says whether, why and since when the machine takes no more tasks.
+type drainState struct {
+	reason drainReason
+	since  micros.Time
+}
+
+// runtimeRatio adds up the run times of the machine's completed tasks over those of the other
+// tasks of their jobs.
+type runtimeRatio struct {
+	ratioTotal float64
+	samples    int
+}
 
-	attempts            map[AttemptID]*attempt
-	images              []image // most recently used last
+// commandQueue holds the commands that wait to be sent to the machine's agent.
+type commandQueue struct {
 	outbox              []Command
 	callInFlight        bool
 	nextCallAt          micros.Time
-	lastProbe           micros.Time
-	failedCalls         int         // calls without an answer, in a row
-	firstFailedCallAt   micros.Time // when the first of them was sent
-	hasUnansweredStarts bool        // a start got no answer
-	preemptionHandled   bool        // what will not end before it is taken was stopped
+	hasUnansweredStarts bool // some start command got no reply
 }
 
 type image struct {
@@ -97,21 +133,21 @@
 
 // schedulable tells whether tasks may be started on the machine.
 func (p *partitionLeader) schedulable(m *machine) bool {
-	return m.reconciled && !m.leaseExpired && m.ackedToken == p.fencingToken && m.epoch != 0 && m.record.Used && m.drainReason == "" &&
-		m.preemptAt == 0 && m.address != "" && m.failedCalls == 0 && p.core.now-m.lastContact < p.suspicionTimeout()*3/4 && p.sinceLastRenewal(m) < p.core.config.AgentLease()/2
+	return m.agent.reconciled && !m.agent.leaseExpired && m.agent.ackedToken == p.lease.fencingToken && m.agent.epoch != 0 && m.record.Used && m.drain.reason == notDraining &&
+		m.lifecycle.preemptAt == 0 && m.address != "" && m.contact.failedCalls == 0 && p.core.now-m.contact.lastContact < p.suspicionTimeout()*3/4 && p.sinceLastRenewal(m) < p.core.config.AgentLease()/2
 }
 
 func (p *partitionLeader) tick() {
 	now := p.core.now
 	if now-p.lastTick > micros.Second {
 		// This process did not run for a while: the silence was ours.
-		p.silenceCountsFrom = now
+		p.detector.silenceCountsFrom = now
 		for _, m := range p.machines {
-			m.lastContact = max(m.lastContact, now-p.suspicionTimeout()/2)
+			m.contact.lastContact = max(m.contact.lastContact, now-p.suspicionTimeout()/2)
 		}
 	}
 	for _, m := range p.machines {
-		if m.record.Spot && m.epoch != 0 && m.drainReason == "" {
+		if m.record.Spot && m.agent.epoch != 0 && m.drain.reason == notDraining {
 			p.core.spot.time += now - p.lastTick
 		}
 	}
@@ -119,7 +155,7 @@
 	p.checkZones()
 	if p.widespreadSilence() {
 		// The last of them to be heard again must not be taken for dead meanwhile.
-		p.networkSuspectUntil = now + p.suspicionTimeout()
+		p.detector.networkSuspectUntil = now + p.suspicionTimeout()
 	}
 	if !p.core.term.Valid(now) {
 		return
@@ -144,58 +180,58 @@
 	if m.instanceType == nil && p.core.catalog != nil {
 		m.instanceType = p.core.catalog[m.record.InstanceType]
 	}
-	up := m.epoch != 0 || m.record.Used
-	quiet := now - max(m.lastContact, p.silenceCountsFrom)
+	up := m.agent.epoch != 0 || m.record.Used
+	quiet := now - max(m.contact.lastContact, p.detector.silenceCountsFrom)
 	// A holder that is cut off may have been replaced long before its term ends, and its
 	// successor may answer a machine that is silent here: only news from after the lease's end,
 	// that this is still the holder, show that nobody renewed it.
-	if up && !m.leaseExpired && p.core.term.ConfirmedSince(p.lastPossibleRenewal(m)+p.core.config.AgentLeaseExpiry()) && quiet > p.suspicionTimeout() {
+	if up && !m.agent.leaseExpired && p.core.term.ConfirmedSince(p.lastPossibleRenewal(m)+p.core.config.AgentLeaseExpiry()) && quiet > p.suspicionTimeout() {
 		p.core.log(levelInfo, "machine's lease ran out", "machine", m.id)
 		p.clearAttempts(m)
-		m.leaseExpired = true
+		m.agent.leaseExpired = true
 	}
-	if up && m.address != "" && !m.callInFlight && now-m.lastProbe > micros.Second && (m.failedCalls > 0 || m.ackedToken != p.fencingToken || (m.preemptAt != 0 && now > m.preemptAt) || (quiet > p.suspicionTimeout()/4 && quiet > p.probeAfter(m))) {
-		p.probeQueue = append(p.probeQueue, m)
+	if up && m.address != "" && !m.commands.callInFlight && now-m.contact.lastProbe > micros.Second && (m.contact.failedCalls > 0 || m.agent.ackedToken != p.lease.fencingToken || (m.lifecycle.preemptAt != 0 && now > m.lifecycle.preemptAt) || (quiet > p.suspicionTimeout()/4 && quiet > p.probeAfter(m))) {
+		p.detector.probeQueue = append(p.detector.probeQueue, m)
 	}
-	if m.drainReason == "" {
+	if m.drain.reason == notDraining {
 		switch {
-		case up && quiet > p.suspicionTimeout() && (m.failedCalls > 0 || m.address == "") && now >= p.networkSuspectUntil && p.restOfFleetHeard(m) && !p.zoneVerdictPending(m.record.Zone):
-			p.drain(m, "silent")
-		case up && m.failedCalls > 1 && quiet > p.probeAfter(m)+1500*micros.Millisecond && now >= p.networkSuspectUntil &&
+		case up && quiet > p.suspicionTimeout() && (m.contact.failedCalls > 0 || m.address == "") && now >= p.detector.networkSuspectUntil && p.restOfFleetHeard(m) && !p.zoneVerdictPending(m.record.Zone):
+			p.startDrain(m, drainUnresponsive)
+		case up && m.contact.failedCalls > 1 && quiet > p.probeAfter(m)+1500*micros.Millisecond && now >= p.detector.networkSuspectUntil &&
 			replicasOn(m) > 0 && p.restOfFleetHeard(m) && !p.zoneVerdictPending(m.record.Zone):
 			// Two calls in a row without an answer: its replicas do not wait for the
 			// time that reports may take.
-			p.drain(m, "silent")
-		case up && m.leaseExpired && quiet > 3*p.core.config.AgentLeaseExpiry():
+			p.startDrain(m, drainUnresponsive)
+		case up && m.agent.leaseExpired && quiet > 3*p.core.config.AgentLeaseExpiry():
 			// Long empty; a fault near this controller would have shown by now.
-			p.drain(m, "silent")
-		case up && m.preemptAt != 0 && now > m.preemptAt+micros.Second && m.failedCalls > 0:
+			p.startDrain(m, drainUnresponsive)
+		case up && m.lifecycle.preemptAt != 0 && now > m.lifecycle.preemptAt+micros.Second && m.contact.failedCalls > 0:
 			// It was to be taken by now, and does not answer.
-			p.drain(m, "silent")
-		case m.unackedReplies > maxUnackedReplies && m.failedCalls > 1:
-			p.drain(m, "unreachable")
-		case !m.reconciled && m.failedCalls > 1 && p.mostReconciled():
+			p.startDrain(m, drainUnresponsive)
+		case m.contact.unackedReplies > maxUnackedReplies && m.contact.failedCalls > 1:
+			p.startDrain(m, drainUnreachable)
+		case !m.agent.reconciled && m.contact.failedCalls > 1 && p.mostReconciled():
 			// Older jobs wait for the last machine that could have their tasks: after
 			// a takeover one that does not answer, while the others do, is not waited
 			// for any longer. Its reports may arrive: that says nothing of the way back.
-			p.drain(m, "silent")
-		case !up && m.instanceType != nil && now-m.addedAt > 3*m.instanceType.Boot+10*micros.Second:
-			p.drain(m, "never came up")
+			p.startDrain(m, drainUnresponsive)
+		case !up && m.instanceType != nil && now-m.lifecycle.addedAt > 3*m.instanceType.Boot+10*micros.Second:
+			p.startDrain(m, drainBootTimeout)
 		case p.cannotReport(m):
-			p.drain(m, "mute")
+			p.startDrain(m, drainCannotReport)
 		case p.core.faults.MachineAtFault(m.id):
-			p.drain(m, "faulty")
-		case m.runtimeRatioSamples >= minRuntimeSamples && m.slowness() > maxSlowness:
-			p.drain(m, "slow")
+			p.startDrain(m, drainQuarantined)
+		case m.runtime.samples >= minRuntimeSamples && m.slowness() > maxSlowness:
+			p.startDrain(m, drainSlow)
 		case p.hasUnresolvedStart(m):
 			// A start that is no longer wanted may still arrive: only the end of the
 			// machine, or of its session, settles that.
-			p.drain(m, "unresolved")
+			p.startDrain(m, drainUnresolvedStart)
 		}
 	}
-	if m.drainReason == "silent" && quiet < micros.Second && p.reconciledHere(m) {
-		m.drainReason = "" // it came back before it was deleted
-		p.planStale = true
+	if m.drain.reason == drainUnresponsive && quiet < micros.Second && p.reconciledHere(m) {
+		m.drain.reason = notDraining // it came back before it was deleted
+		p.plan.stale = true
 	}
 }
 
@@ -203,14 +239,14 @@
 // be lost then, and begins elsewhere by the time of the notice sooner; what can save
 // its progress does so.
 func (p *partitionLeader) handlePreemptionNotice(m *machine) {
-	if m.preemptAt == 0 || m.preemptionHandled || m.ackedToken != p.fencingToken || !m.reconciled {
+	if m.lifecycle.preemptAt == 0 || m.lifecycle.preemptionHandled || m.agent.ackedToken != p.lease.fencingToken || !m.agent.reconciled {
 		return
 	}
-	m.preemptionHandled = true
-	left := m.preemptAt - p.core.now
+	m.lifecycle.preemptionHandled = true
+	left := m.lifecycle.preemptAt - p.core.now
 	for _, id := range sortedAttempts(m) {
 		a := m.attempts[id]
-		if a.state == Exited || a.stopping || a.job == nil || a.job.Kind == workload.Service || p.remaining(a) <= left {
+		if a.state == Exited || a.stop.ordered || a.job == nil || a.job.Kind == workload.Service || p.remaining(a) <= left {
 			continue
 		}
 		grace := micros.Time(0)
@@ -224,11 +260,11 @@
 // hasUnresolvedStart tells whether a start was sent in vain, is no longer wanted, and
 // has not been settled for a good part of a worker's lease.
 func (p *partitionLeader) hasUnresolvedStart(m *machine) bool {
-	if !m.hasUnansweredStarts {
+	if !m.commands.hasUnansweredStarts {
 		return false
 	}
 	for _, a := range m.attempts {
-		if a.stopping && !a.reported && a.startsUnanswered > 0 && p.core.now-a.stoppedAt > p.core.config.AgentLease()/2 {
+		if a.stop.ordered && !a.start.reported && a.start.unanswered > 0 && p.core.now-a.stop.orderedAt > p.core.config.AgentLease()/2 {
 			return true
 		}
 	}
@@ -237,14 +273,14 @@
 
 // reconciledHere is usable apart from draining.
 func (p *partitionLeader) reconciledHere(m *machine) bool {
-	return m.reconciled && !m.leaseExpired && m.ackedToken == p.fencingToken && m.epoch != 0
+	return m.agent.reconciled && !m.agent.leaseExpired && m.agent.ackedToken == p.lease.fencingToken && m.agent.epoch != 0
 }
 
-func (p *partitionLeader) drain(m *machine, why string) {
-	m.drainReason, m.drainSince = why, p.core.now
-	p.core.statusSoon = true
-	p.planStale = true
-	p.core.log(levelInfo, "machine drains", "machine", m.id, "why", why, "attempts", len(m.attempts))
+func (p *partitionLeader) startDrain(m *machine, reason drainReason) {
+	m.drain = drainState{reason: reason, since: p.core.now}
+	p.core.status.soon = true
+	p.plan.stale = true
+	p.core.log(levelInfo, "machine drains", "machine", m.id, "reason", reason, "attempts", len(m.attempts))
 }
 
 const (
@@ -258,7 +294,7 @@
 // slowness is the machine's run times against those of the same jobs elsewhere;
 // what lies within the spread of sound machines counts as none.
 func (m *machine) slowness() float64 {
-	if s := (2 + m.runtimeRatioTotal) / float64(2+m.runtimeRatioSamples); s > 1.3 {
+	if s := (2 + m.runtime.ratioTotal) / float64(2+m.runtime.samples); s > 1.3 {
 		return s
 	}
 	return 1
@@ -274,7 +310,7 @@
 	var marked map[string]storage.BlockRecord
 	var order []string
 	for _, m := range p.machines {
-		if m.record.Used || m.epoch == 0 || m.ackedToken != p.fencingToken || m.drainReason != "" || p.core.now < p.useWriteAfter[m.record.Block] {
+		if m.record.Used || m.agent.epoch == 0 || m.agent.ackedToken != p.lease.fencingToken || m.drain.reason != notDraining || p.core.now < p.useWriteAfter[m.record.Block] {
 			continue
 		}
 		name := m.record.Block
@@ -292,7 +328,7 @@
 	}
 	for _, name := range order {
 		p.useWriteAfter[name] = p.core.now + storeTimeout + micros.Second
-		r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{{Key: p.core.keys.Partition(p.partition), ModRevision: p.fencingToken},
+		r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{{Key: p.core.keys.Partition(p.partition), ModRevision: p.lease.fencingToken},
 			{Key: p.core.keys.Block(name), ModRevision: p.core.cache.Blocks[name].ModRevision}}}
 		p.core.putBlock(r, name, marked[name])
 		if !p.core.callStore(r, storage.Urgent, storeTimeout, func(*storage.Reply) { p.useWriteAfter[name] = p.core.now + useWriteInterval }) {
@@ -306,11 +342,11 @@
 // kept there alone. A start without an answer may still be carried out late, but not after
 // the deletion, and before it the worker knows the attempt, so that it has no effect.
 func (p *partitionLeader) terminable(m *machine) bool {
-	if m.callInFlight || len(m.outbox) > 0 {
+	if m.commands.callInFlight || len(m.commands.outbox) > 0 {
 		return false
 	}
 	for _, a := range m.attempts {
-		if a.state != Exited || !a.persisted || a.startsInFlight > 0 {
+		if a.state != Exited || !a.persisted || a.start.inFlight > 0 {
 			return false
 		}
 	}
@@ -321,7 +357,7 @@
 // queue, where nobody would know of a start that is carried out late.
 func (p *partitionLeader) transferable(m *machine) bool {
 	for _, a := range m.attempts {
-		if a.startsUnanswered > 0 {
+		if a.start.unanswered > 0 {
 			return false
 		}
 	}
@@ -331,5 +367,5 @@
 // decommissioned tells whether the machine is given up for good: only its deletion, or the
 // end of its lease, is waited for.
 func (m *machine) decommissioned() bool {
-	return m.drainReason == "restarted" || m.drainReason == "unreachable" || m.drainReason == drainKillTimeout
+	return m.drain.reason == drainAgentRestarted || m.drain.reason == drainUnreachable || m.drain.reason == drainKillTimeout
 }
--- a/internal/coordination/objective_preemption.go
+++ b/internal/coordination/objective_preemption.go
@@ -82,7 +82,7 @@
 	j, now := r.job, p.core.now
 	var found []victim
 	for _, m := range p.machines {
-		if m.instanceType == nil || !p.schedulable(m) || m.startsPausedUntil > now || !j.AllowsInstanceType(m.record.InstanceType) || (j.Zone != "" && j.Zone != m.record.Zone) ||
+		if m.instanceType == nil || !p.schedulable(m) || m.lifecycle.startsPausedUntil > now || !j.AllowsInstanceType(m.record.InstanceType) || (j.Zone != "" && j.Zone != m.record.Zone) ||
 			(m.record.Spot && !j.Spot) || !j.Resources.Fits(m.instanceType.Capacity) {
 			continue
 		}
@@ -132,7 +132,7 @@
 
 // preemptible tells whether an attempt may be stopped for a job.
 func (p *partitionLeader) preemptible(r rankedJob, a *attempt, borrowed map[string]int64, limited bool) bool {
-	if a.state == Exited || a.stopping || !a.reported || a.startsInFlight+a.startsUnanswered > 0 || a.job == nil || a.job == r.job || a.job.plannedWithinGuarantee || a.job.preemptedOnce.Has(a.id.Task) {
+	if a.state == Exited || a.stop.ordered || !a.start.reported || a.start.inFlight+a.start.unanswered > 0 || a.job == nil || a.job == r.job || a.job.plannedWithinGuarantee || a.job.preemptedOnce.Has(a.id.Task) {
 		return false
 	}
 	if limited {
--- a/internal/coordination/orphans.go
+++ b/internal/coordination/orphans.go
@@ -24,11 +24,11 @@
 // leave it only when they are gone.
 func (c *Core) addOrphan(id, address string, o provisioning.InstanceKind) {
 	l := &c.leader
-	if _, gone := l.terminated[id]; gone || !c.isClusterLeader() || l.revision != c.cache.ClusterLeader.ModRevision {
+	if _, gone := l.termination.confirmed[id]; gone || !c.isClusterLeader() || l.revision != c.cache.ClusterLeader.ModRevision {
 		return
 	}
 	if _, known := c.cache.Machines[id]; !known {
-		l.orphans[id] = orphan{o, address}
+		l.adoption.orphans[id] = orphan{o, address}
 	}
 }
 
@@ -37,7 +37,7 @@
 // block then. Adopted as well, it would be in two blocks, and what one record says of it
 // (that it has had tasks) would be hidden by the other.
 func (c *Core) requestOpenFor(o provisioning.InstanceKind) bool {
-	for _, out := range c.leader.requestsInFlight {
+	for _, out := range c.leader.scaling.requestsInFlight {
 		if out == o {
 			return true
 		}
@@ -62,20 +62,20 @@
 // adoptOrphans makes blocks of the machines found.
 func (c *Core) adoptOrphans() {
 	l := &c.leader
-	if len(l.orphans) == 0 || c.now < l.nextAdoptionAt {
+	if len(l.adoption.orphans) == 0 || c.now < l.adoption.nextAt {
 		return
 	}
-	l.nextAdoptionAt = c.now + adoptionInterval
-	if c.cache.Revision < l.provisionedRevision {
+	l.adoption.nextAt = c.now + adoptionInterval
+	if c.cache.Revision < l.scaling.provisionedRevision {
 		return // a rental may have become a block that is not seen yet
 	}
 	blocks := map[provisioning.InstanceKind]storage.BlockRecord{}
-	for _, id := range sortedKeys(l.orphans) {
-		o := l.orphans[id]
+	for _, id := range sortedKeys(l.adoption.orphans) {
+		o := l.adoption.orphans[id]
 		_, known := c.cache.Machines[id]
-		_, gone := l.terminated[id]
+		_, gone := l.termination.confirmed[id]
 		if known || gone {
-			delete(l.orphans, id)
+			delete(l.adoption.orphans, id)
 			continue
 		}
 		if c.requestOpenFor(o.InstanceKind) {
@@ -99,23 +99,23 @@
 // a machine come into two blocks.
 func (c *Core) adoptBlock(b storage.BlockRecord) {
 	l := &c.leader
-	if l.adoptionKey == "" {
+	if l.adoption.key == "" {
 		l.nameCounter++
-		l.adoptionKey = c.keys.Block(fmt.Sprintf("a%d-%d", l.revision, l.nameCounter))
+		l.adoption.key = c.keys.Block(fmt.Sprintf("a%d-%d", l.revision, l.nameCounter))
 	}
-	key := l.adoptionKey
+	key := l.adoption.key
 	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.leaderCompare(), {Key: key}}}
 	c.putBlock(r, strings.TrimPrefix(key, c.keys.Block("")), b)
-	l.nextAdoptionAt = c.now + storeTimeout + micros.Second
+	l.adoption.nextAt = c.now + storeTimeout + micros.Second
 	c.log(levelInfo, "machines adopted", "type", b.InstanceType, "zone", b.Zone, "spot", b.Spot, "count", len(b.Machines), "queue", b.Partition)
 	if !c.callStore(r, storage.Urgent, storeTimeout, func(reply *storage.Reply) {
-		l.nextAdoptionAt = c.now + adoptionInterval
+		l.adoption.nextAt = c.now + adoptionInterval
 		if reply.Outcome == storage.OK || reply.Outcome == storage.Conflict {
-			l.adoptionKey = ""
-			l.provisionedRevision = max(l.provisionedRevision, reply.Revision)
+			l.adoption.key = ""
+			l.scaling.provisionedRevision = max(l.scaling.provisionedRevision, reply.Revision)
 		}
 	}) {
-		l.nextAdoptionAt = c.now + adoptionInterval
+		l.adoption.nextAt = c.now + adoptionInterval
 	}
 }
 
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -14,12 +14,9 @@
 
 // partitionLeader plans one queue and directs its machines, under one lease.
 type partitionLeader struct {
-	core          *Core
-	partition     int
-	acquiredToken uint64 // version at the change of holder: older jobs may be on silent machines
-	fencingToken  uint64 // version now: the fencing token
-	formerLeaders []storage.Process
-	acquiredAt    micros.Time
+	core      *Core
+	partition int
+	lease     partitionLease
 
 	machines       []*machine // by name
 	sortedJobs     []*job     // by id
@@ -27,75 +24,119 @@
 	teamUsage      map[string]workload.Resources // by team
 	attemptCounter uint64
 
-	planStale        bool
-	lastPlanAt       micros.Time
-	planInterval     micros.Time              // until the next plan
-	serviceReplicas  int                      // service tasks, running or not, as of lastPlanAt
-	preemptionFailed map[preemptionShape]bool // of this plan
+	plan          planState
+	fairShares    *fairShares // nil: off
+	consolidation consolidationState
+	detector      failureDetector
+	dependencies  dependencyState
+
+	lastTick      micros.Time
+	sendRound     int                    // counts rounds of sending commands
+	useWriteAfter map[string]micros.Time // by block: when its machines in use may be written again
+	pendingKills  []*attempt             // of cancelled jobs, not shown as gone
+
+	progressCursor           string      // the job with which the next message on progress begins
+	ignoredHeartbeatLoggedAt micros.Time // when an ignored heartbeat was last logged
+}
+
+// partitionLease is the lease under which a process leads a partition.
+type partitionLease struct {
+	// acquiredToken is the mod revision at which leadership was acquired: jobs older than
+	// that may run on machines that are not reconciled yet.
+	acquiredToken uint64
+	fencingToken  uint64 // mod revision of the partition's key now
+	formerLeaders []storage.Process
+	acquiredAt    micros.Time
+}
+
+// planState is what the planner keeps from one plan to the next.
+type planState struct {
+	stale            bool // something changed since the last plan
+	lastRunAt        micros.Time
+	interval         micros.Time              // until the next plan
+	serviceReplicas  int                      // tasks of services, running or not, as of lastRunAt
+	preemptionFailed map[preemptionShape]bool // in this plan
 	capacityRequests []provisioning.CapacityRequest
-	// unreconciledUsage is what machines whose tasks are not known may be running, in this plan.
+	// unreconciledUsage is what unreconciled machines may be running, in this plan.
 	unreconciledUsage workload.Resources
-	lastTick          micros.Time
-	silenceCountsFrom micros.Time // silence is judged from then on
-	// Until then, silence is put down to the network near this controller.
-	networkSuspectUntil       micros.Time
-	zones                     map[string]*zoneHealth // of machines in use
-	zonesCheckedAt            micros.Time            // last look at them
-	ignoredHeartbeatLoggedAt  micros.Time            // last report told as not believed
-	progressCursor            string                 // the job with which the next message on progress begins
-	allReconciled             bool                   // all machines are known, or were
-	fleetLoggedAt             micros.Time
-	consolidatedAt            micros.Time            // last look at surplus machines
-	replicaMovedAt            micros.Time            // last move of a replica
-	recentArrayCPU            int64                  // CPU that arrays used of late
-	probeQueue                []*machine             // of this tick
-	healthSummary             *fleetHealth           // of this tick
-	sendRound                 int                    // counts rounds of sending
-	useWriteAfter             map[string]micros.Time // blocks whose record of use is being written, or was: not again before
-	pendingKills              []*attempt             // of cancelled jobs, not shown gone
-	unresolvedDependencies    map[string]micros.Time // needed jobs that are not in memory: not looked up before
-	lookupsInFlight           int                    // look-ups that are out
-	dependencyCancellations   map[string]bool        // cancelled with a job before them, which is to be written down
-	cancellationWriteInFlight bool
-	nextCancellationWriteAt   micros.Time
-	inheritedUrgency          map[string]inheritedUrgency // of this plan
-	fairShares                *fairShares                 // nil: off
+	inheritedUrgency  map[string]inheritedUrgency // in this plan
+	allReconciled     bool                        // all machines are, or were, reconciled
+	fleetLoggedAt     micros.Time
+}
+
+// consolidationState paces the moves that free machines.
+type consolidationState struct {
+	lastPassAt     micros.Time // last search for machines that are not needed
+	replicaMovedAt micros.Time // last move of a service replica
+	recentArrayCPU int64       // CPU that arrays used recently
+}
+
+// failureDetector is what the partition leader knows of the health of its fleet.
+type failureDetector struct {
+	silenceCountsFrom micros.Time // silence before this moment was our own
+	// networkSuspectUntil: until then silence is put down to the network near this controller.
+	networkSuspectUntil micros.Time
+	zones               map[string]*zoneHealth // of machines in use
+	zonesCheckedAt      micros.Time
+	probeQueue          []*machine   // to be probed in this tick
+	healthSummary       *fleetHealth // of this tick
+}
+
+// dependencyState is what is still to be found out and written down about jobs that depend on
+// others.
+type dependencyState struct {
+	unresolved      map[string]micros.Time // dependencies that are not cached, and when to look them up again
+	lookupsInFlight int
+	cancelled       map[string]bool // jobs cancelled with a dependency, which is to be written down
+	writeInFlight   bool
+	nextWriteAt     micros.Time
 }
 
 // job is an active job of the queue.
 type job struct {
 	*workload.Job
-	modRevision            uint64
-	record                 *storage.JobEntry
-	pendingTasks           *workload.Bitmap
-	unpersistedTasks       *workload.Bitmap // finished, not known to be stored
-	activeAttempts         map[int]*attempt
-	attempts               map[*attempt]struct{} // all that machines may still show, ended ones included
-	dirtySegments          map[int]bool          // with pending tasks
-	writeInFlight          bool
-	nextWriteAt            micros.Time
-	startsPausedUntil      micros.Time // no starts before
-	runtimeTotal           micros.Time // run times of its completed tasks, added up
-	runtimeSamples         int
-	estimate               micros.Time // estimate of a task as of estimatedAt
-	estimatedAt            micros.Time
+	modRevision       uint64
+	record            *storage.JobEntry
+	pendingTasks      *workload.Bitmap
+	activeAttempts    map[int]*attempt
+	attempts          map[*attempt]struct{} // all that machines may still show, ended ones included
+	duplicateAttempts []*attempt            // second attempts at an active task, being stopped
+	completion        completionState
+	runtime           jobRuntime
+
+	startsPausedUntil      micros.Time
+	readySince             micros.Time // time of day since which it may start
+	blockedByDependencies  bool
+	cancelRequested        bool             // a peer knows it to be cancelled: it starts nothing any more
 	plannedWithinGuarantee bool             // it was within its team's guarantee when it was planned
-	preemptedOnce          *workload.Bitmap // stopped once for another job, and not again
-	duplicateAttempts      []*attempt       // second attempts at a live task, being stopped
-	cancelRequested        bool             // a sibling knows it to be cancelled: it starts nothing any more
-	blockedByDependencies  bool             // it waits on others
-	readySince             micros.Time      // time of day since which it may start
+	preemptedOnce          *workload.Bitmap // tasks that were preempted once, and are not again
+}
+
+// completionState is what is to be written down about completed tasks.
+type completionState struct {
+	unpersisted   *workload.Bitmap // completed, not known to be stored
+	dirtySegments map[int]bool     // segments with unpersisted tasks
+	writeInFlight bool
+	nextWriteAt   micros.Time
+}
+
+// jobRuntime is what is known of the run time of the job's tasks.
+type jobRuntime struct {
+	total       micros.Time // run times of its completed tasks, added up
+	samples     int
+	estimate    micros.Time // of a task, as of estimatedAt
+	estimatedAt micros.Time
 }
 
 func (j *job) taskCompleted(task int) bool {
-	return j.unpersistedTasks.Has(task) || (j.record.Completed != nil && j.record.Completed.Has(task))
+	return j.completion.unpersisted.Has(task) || (j.record.Completed != nil && j.record.Completed.Has(task))
 }
 
 func (j *job) completedCount() int {
-	n := j.unpersistedTasks.Len()
+	n := j.completion.unpersisted.Len()
 	if j.record.Completed != nil {
 		n += j.record.Completed.Len()
-		for t := j.unpersistedTasks.Next(0); t >= 0; t = j.unpersistedTasks.Next(t + 1) {
+		for t := j.completion.unpersisted.Next(0); t >= 0; t = j.completion.unpersisted.Next(t + 1) {
 			if j.record.Completed.Has(t) {
 				n--
 			}
@@ -106,32 +147,65 @@
 
 // attempt is one attempt at a task, on its machine.
 type attempt struct {
-	id               AttemptID
-	machine          *machine
-	job              *job // nil: the job is over or unknown
-	team             string
-	resources        workload.Resources
-	state            TaskState
-	reported         bool // a report showed it
-	persisted        bool // nothing more is to be kept of it
-	startSent        bool // its start went out, or a report showed it
-	startsInFlight   int  // sends of its start without an answer yet
-	startsUnanswered int  // sends of its start that got no answer: they may come late
-	createdAt        micros.Time
-	runningSince     micros.Time // since when
-	plannedDuration  micros.Time // planned
-	stopping         bool
-	gracePeriod      micros.Time
-	stoppedAt        micros.Time // when the stop was first ordered
-	startedHere      bool        // started by this holder
-	killDeadline     micros.Time // of a cancelled job: when it must be shown gone; 0: it is not
+	id              AttemptID
+	machine         *machine
+	job             *job // nil: the job is over or unknown
+	team            string
+	resources       workload.Resources
+	state           TaskState
+	persisted       bool // nothing of it is left to be stored
+	startedHere     bool // started by this partition leader
+	createdAt       micros.Time
+	runningSince    micros.Time
+	plannedDuration micros.Time
+	start           startState
+	stop            stopState
+}
+
+// startState is what became of the commands to start an attempt.
+type startState struct {
+	sent       bool // a start command went out, or a heartbeat showed the attempt
+	reported   bool // a heartbeat showed the attempt
+	inFlight   int  // start commands without a reply yet
+	unanswered int  // start commands that got no reply: they may still arrive late
+}
+
+// stopState is what was ordered to end an attempt.
+type stopState struct {
+	ordered      bool
+	gracePeriod  micros.Time
+	orderedAt    micros.Time // when the stop was first ordered
+	killDeadline micros.Time // of a cancelled job: when it must be shown as gone; 0: not cancelled
 }
 
 func newPartitionLeader(c *Core, n int, v storage.Versioned[storage.PartitionRecord]) *partitionLeader {
-	h := &partitionLeader{core: c, partition: n, acquiredToken: v.ModRevision, fencingToken: v.ModRevision, formerLeaders: v.Value.FormerLeaders, acquiredAt: c.now,
-		jobs: map[string]*job{}, teamUsage: map[string]workload.Resources{}, planStale: true, lastTick: c.now,
-		silenceCountsFrom: c.now, planInterval: minPlanInterval, preemptionFailed: map[preemptionShape]bool{}, zones: map[string]*zoneHealth{}, useWriteAfter: map[string]micros.Time{},
-		unresolvedDependencies: map[string]micros.Time{}, dependencyCancellations: map[string]bool{}}
+	h := &partitionLeader{
+		core:      c,
+		partition: n,
+		lease: partitionLease{
+			acquiredToken: v.ModRevision,
+			fencingToken:  v.ModRevision,
+			formerLeaders: v.Value.FormerLeaders,
+			acquiredAt:    c.now,
+		},
+		jobs:      map[string]*job{},
+		teamUsage: map[string]workload.Resources{},
+		plan: planState{
+			stale:            true,
+			interval:         minPlanInterval,
+			preemptionFailed: map[preemptionShape]bool{},
+		},
+		detector: failureDetector{
+			silenceCountsFrom: c.now,
+			zones:             map[string]*zoneHealth{},
+		},
+		dependencies: dependencyState{
+			unresolved: map[string]micros.Time{},
+			cancelled:  map[string]bool{},
+		},
+		lastTick:      c.now,
+		useWriteAfter: map[string]micros.Time{},
+	}
 	for _, id := range sortedKeys(c.cache.Machines) {
 		h.machineChanged(id)
 	}
@@ -153,9 +227,9 @@
 // renewToken takes a new token under the same lease: every machine has to
 // acknowledge it before it is given commands again.
 func (p *partitionLeader) renewToken(v uint64) {
-	if v != p.fencingToken {
-		p.fencingToken = v
-		p.planStale = true
+	if v != p.lease.fencingToken {
+		p.lease.fencingToken = v
+		p.plan.stale = true
 	}
 }
 
@@ -184,17 +258,24 @@
 		// machine is gone, and a block moves only after its holder let go.
 		p.machineTerminated(id)
 	case m == nil:
-		m = &machine{id: id, record: v.Value, modRevision: v.ModRevision, address: v.Value.Address, addedAt: p.core.now, lastContact: p.core.now,
-			attempts: map[AttemptID]*attempt{}, idleSince: p.core.now}
+		m = &machine{
+			id:          id,
+			record:      v.Value,
+			modRevision: v.ModRevision,
+			address:     v.Value.Address,
+			contact:     contactState{lastContact: p.core.now},
+			lifecycle:   machineLifecycle{addedAt: p.core.now, idleSince: p.core.now},
+			attempts:    map[AttemptID]*attempt{},
+		}
 		// Nobody starts tasks on a machine before the record says so, and a block
 		// that came after the lease was never a predecessor's.
-		m.reconciled = !v.Value.Used || v.ModRevision > p.acquiredToken
+		m.agent.reconciled = !v.Value.Used || v.ModRevision > p.lease.acquiredToken
 		i, _ := slices.BinarySearchFunc(p.machines, id, func(m *machine, id string) int { return cmp.Compare(m.id, id) })
 		p.machines = slices.Insert(p.machines, i, m)
-		p.planStale = true
+		p.plan.stale = true
 	default:
 		m.record, m.modRevision = v.Value, v.ModRevision
-		p.planStale = true
+		p.plan.stale = true
 	}
 }
 
@@ -203,14 +284,14 @@
 	if m == nil {
 		return
 	}
-	if m.record.Spot && m.epoch != 0 && (m.drainReason == "silent" || m.preemptAt != 0) {
+	if m.record.Spot && m.agent.epoch != 0 && (m.drain.reason == drainUnresponsive || m.lifecycle.preemptAt != 0) {
 		p.core.spot.losses++
 	}
 	p.clearAttempts(m)
 	p.machines = slices.DeleteFunc(p.machines, func(o *machine) bool { return o == m })
 	p.core.faults.ForgetMachine(id)
-	p.planStale = true
-	p.core.log(levelInfo, "machine gone", "machine", id, "why", m.drainReason)
+	p.plan.stale = true
+	p.core.log(levelInfo, "machine gone", "machine", id, "why", m.drain.reason)
 }
 
 // clearAttempts notes that the machine surely has none of the tasks known so far.
@@ -221,13 +302,13 @@
 		p.requeue(a)
 		a.unindex()
 	}
-	m.outbox = nil
-	m.reconciled = true
-	m.ackedToken = 0
-	if m.idleSince == 0 {
-		m.idleSince = p.core.now
+	m.commands.outbox = nil
+	m.agent.reconciled = true
+	m.agent.ackedToken = 0
+	if m.lifecycle.idleSince == 0 {
+		m.lifecycle.idleSince = p.core.now
 	}
-	p.planStale = true
+	p.plan.stale = true
 }
 
 func sortedAttempts(m *machine) []AttemptID {
@@ -273,7 +354,7 @@
 	e := p.core.cache.Jobs[id]
 	j := p.jobs[id]
 	if e != nil && e.CancelledByDependency && e.Job.Phase == workload.Active && p.core.partitionOfJob(e.Job) == p.partition {
-		p.dependencyCancellations[id] = true
+		p.dependencies.cancelled[id] = true
 	}
 	if e == nil || e.Job.Phase != workload.Active || e.CancelledByDependency || p.core.partitionOfJob(e.Job) != p.partition {
 		if j != nil {
@@ -286,9 +367,19 @@
 		p.updateDependencies(j)
 		return
 	}
-	j = &job{Job: e.Job, modRevision: e.ModRevision, record: e, pendingTasks: workload.NewBitmap(e.Job.Tasks),
-		unpersistedTasks: workload.NewBitmap(e.Job.Tasks), activeAttempts: map[int]*attempt{}, attempts: map[*attempt]struct{}{}, dirtySegments: map[int]bool{},
-		preemptedOnce: workload.NewBitmap(e.Job.Tasks)}
+	j = &job{
+		Job:            e.Job,
+		modRevision:    e.ModRevision,
+		record:         e,
+		pendingTasks:   workload.NewBitmap(e.Job.Tasks),
+		activeAttempts: map[int]*attempt{},
+		attempts:       map[*attempt]struct{}{},
+		completion: completionState{
+			unpersisted:   workload.NewBitmap(e.Job.Tasks),
+			dirtySegments: map[int]bool{},
+		},
+		preemptedOnce: workload.NewBitmap(e.Job.Tasks),
+	}
 	for t := range e.Job.Tasks {
 		if !j.taskCompleted(t) {
 			j.pendingTasks.Add(t)
@@ -302,7 +393,7 @@
 	_, j.cancelRequested = p.core.cancellations.requested[id]
 	j.cancelRequested = j.cancelRequested || p.core.cancellations.noticed[id]
 	p.updateDependencies(j)
-	p.planStale = true
+	p.plan.stale = true
 	p.core.log(levelDebug, "job", "job", id, "class", j.Class, "tasks", j.Tasks, "cpu", j.Resources.CPU, "estimate_ms", j.Estimate/micros.Millisecond,
 		"due_ms", j.Deadline/micros.Millisecond)
 }
@@ -323,13 +414,13 @@
 		}
 	}
 	p.core.faults.ForgetJob(j.ID)
-	p.planStale = true
+	p.plan.stale = true
 }
 
 // reserve and leave count what an attempt takes.
 func (p *partitionLeader) reserve(a *attempt) {
 	p.teamUsage[a.team] = p.teamUsage[a.team].Add(a.resources)
-	a.machine.idleSince = 0
+	a.machine.lifecycle.idleSince = 0
 }
 
 func (p *partitionLeader) release(a *attempt) {
@@ -343,7 +434,7 @@
 			return
 		}
 	}
-	a.machine.idleSince = p.core.now
+	a.machine.lifecycle.idleSince = p.core.now
 }
 
 // requeue lets the task of an attempt that has ended wait again.
@@ -352,7 +443,7 @@
 		return
 	}
 	delete(a.job.activeAttempts, a.id.Task)
-	p.planStale = true
+	p.plan.stale = true
 	for i, o := range a.job.duplicateAttempts {
 		if o.id.Task == a.id.Task && o.state != Exited {
 			a.job.duplicateAttempts = slices.Delete(a.job.duplicateAttempts, i, i+1)
@@ -367,18 +458,18 @@
 
 // stopAttempt orders an attempt to end.
 func (p *partitionLeader) stopAttempt(a *attempt, grace micros.Time) {
-	if a.state == Exited || (a.stopping && a.gracePeriod <= grace) {
+	if a.state == Exited || (a.stop.ordered && a.stop.gracePeriod <= grace) {
 		return
 	}
-	if !a.startSent {
+	if !a.start.sent {
 		p.revoke(a)
 		return
 	}
-	a.stopping, a.gracePeriod = true, grace
-	if a.stoppedAt == 0 {
-		a.stoppedAt = p.core.now
+	a.stop.ordered, a.stop.gracePeriod = true, grace
+	if a.stop.orderedAt == 0 {
+		a.stop.orderedAt = p.core.now
 	}
-	a.machine.outbox = append(a.machine.outbox, Command{Operation: Stop, AttemptID: a.id, GracePeriod: grace})
+	a.machine.commands.outbox = append(a.machine.commands.outbox, Command{Operation: Stop, AttemptID: a.id, GracePeriod: grace})
 }
 
 // revoke takes back an attempt whose start was not sent yet.
@@ -386,12 +477,12 @@
 	p.release(a)
 	p.requeue(a)
 	a.unindex()
-	a.machine.outbox = slices.DeleteFunc(a.machine.outbox, func(c Command) bool { return c.AttemptID == a.id })
+	a.machine.commands.outbox = slices.DeleteFunc(a.machine.commands.outbox, func(c Command) bool { return c.AttemptID == a.id })
 }
 
 // status is what the leader is told of the queue.
 func (p *partitionLeader) status() PartitionStatus {
-	s := PartitionStatus{Partition: p.partition, FencingToken: p.fencingToken, CapacityRequests: p.capacityRequests, UnreachableZones: p.unreachableZones()}
+	s := PartitionStatus{Partition: p.partition, FencingToken: p.lease.fencingToken, CapacityRequests: p.plan.capacityRequests, UnreachableZones: p.unreachableZones()}
 	if !p.core.term.Valid(p.core.now) {
 		return s
 	}
@@ -399,10 +490,10 @@
 	several := p.core.partitionCount() > 1
 	idle := map[bool]int{} // of spot machines, and of the others
 	for _, m := range p.machines {
-		if m.drainReason == "silent" && (p.core.now < p.networkSuspectUntil || p.zoneVerdictPending(m.record.Zone)) && !m.leaseExpired {
+		if m.drain.reason == drainUnresponsive && (p.core.now < p.detector.networkSuspectUntil || p.zoneVerdictPending(m.record.Zone)) && !m.agent.leaseExpired {
 			continue
 		}
-		if m.drainReason != "" && (m.drainReason == "silent" || m.drainReason == "never came up" || m.drainReason == "unresolved" || m.decommissioned() || p.terminable(m)) {
+		if m.drain.reason != notDraining && (m.drain.reason == drainUnresponsive || m.drain.reason == drainBootTimeout || m.drain.reason == drainUnresolvedStart || m.decommissioned() || p.terminable(m)) {
 			if len(s.Terminate) < maxTerminationsPerStatus {
 				s.Terminate = append(s.Terminate, m.id)
 			}
@@ -460,31 +551,31 @@
 	}
 	to, ok := c.cache.Partitions[s.ToPartition]
 	m := h.machine(s.Machine)
-	if !ok || m == nil || m.drainReason != "" || !h.transferable(m) {
+	if !ok || m == nil || m.drain.reason != notDraining || !h.transferable(m) {
 		return
 	}
 	from := c.cache.Partitions[h.partition]
 	rest := c.cache.Blocks[b.Value.Block]
 	moved := storage.BlockRecord{Partition: s.ToPartition, InstanceType: b.Value.InstanceType, Zone: b.Value.Zone, Spot: b.Value.Spot}.With(m.id, b.Value.MachineRecord)
-	key := c.keys.Block(fmt.Sprintf("m%d-%s", h.fencingToken, m.id))
-	h.drain(m, "moving")
+	key := c.keys.Block(fmt.Sprintf("m%d-%s", h.lease.fencingToken, m.id))
+	h.startDrain(m, drainTransfer)
 	r := &storage.Request{Kind: storage.Txn,
-		Compares: []storage.Compare{{Key: c.keys.Partition(h.partition), ModRevision: h.fencingToken}, {Key: c.keys.Partition(s.ToPartition), ModRevision: to.ModRevision},
+		Compares: []storage.Compare{{Key: c.keys.Partition(h.partition), ModRevision: h.lease.fencingToken}, {Key: c.keys.Partition(s.ToPartition), ModRevision: to.ModRevision},
 			{Key: c.keys.Block(b.Value.Block), ModRevision: rest.ModRevision}, {Key: key}},
 		Puts: []storage.Put{{Key: key, Value: storage.Encode(moved)},
 			{Key: c.keys.Partition(h.partition), Value: storage.Encode(from.Value)}, {Key: c.keys.Partition(s.ToPartition), Value: storage.Encode(to.Value)}}}
 	if c.putBlock(r, b.Value.Block, rest.Value.Without(m.id)); len(r.Puts) > c.config.Settings.StateLimits().TxnOps {
-		m.drainReason = "" // a record of an older version, too large: the next change splits it
+		m.drain.reason = notDraining // a record of an older version, too large: the next change splits it
 		return
 	}
 	if !c.callStore(r, storage.Deferrable, storeTimeout, func(r *storage.Reply) {
 		// Without a clear no, the move may still happen: the machine stays drained
 		// here until the stream tells.
 		if r.Outcome == storage.Conflict || r.Outcome == storage.Unavailable || r.Outcome == storage.Invalid {
-			m.drainReason = ""
+			m.drain.reason = notDraining
 		}
 	}) {
-		m.drainReason = ""
+		m.drain.reason = notDraining
 	}
 }
 
--- a/internal/coordination/planning.go
+++ b/internal/coordination/planning.go
@@ -33,29 +33,29 @@
 // schedule plans the waiting tasks and starts those whose slot is now.
 func (p *partitionLeader) schedule() {
 	now := p.core.now
-	if p.core.catalog == nil || now-p.lastPlanAt < p.planInterval || (!p.planStale && now-p.lastPlanAt < maxPlanInterval) {
+	if p.core.catalog == nil || now-p.plan.lastRunAt < p.plan.interval || (!p.plan.stale && now-p.plan.lastRunAt < maxPlanInterval) {
 		return
 	}
-	p.lastPlanAt, p.planStale = now, false
-	p.inheritedUrgency = nil
+	p.plan.lastRunAt, p.plan.stale = now, false
+	p.plan.inheritedUrgency = nil
 	p.core.lastPlanned = p
-	clear(p.preemptionFailed)
-	p.serviceReplicas = 0
+	clear(p.plan.preemptionFailed)
+	p.plan.serviceReplicas = 0
 	for _, j := range p.jobs {
 		if j.Kind == workload.Service && !j.blockedByDependencies {
-			p.serviceReplicas += j.Tasks
+			p.plan.serviceReplicas += j.Tasks
 		}
 	}
-	silent := slices.ContainsFunc(p.machines, func(m *machine) bool { return !m.reconciled })
-	p.unreconciledUsage = workload.Resources{}
+	silent := slices.ContainsFunc(p.machines, func(m *machine) bool { return !m.agent.reconciled })
+	p.plan.unreconciledUsage = workload.Resources{}
 	for _, m := range p.machines {
-		if !m.reconciled && m.instanceType != nil {
-			p.unreconciledUsage = p.unreconciledUsage.Add(m.instanceType.Capacity)
+		if !m.agent.reconciled && m.instanceType != nil {
+			p.plan.unreconciledUsage = p.plan.unreconciledUsage.Add(m.instanceType.Capacity)
 		}
 	}
-	if !silent && !p.allReconciled {
-		p.allReconciled = true
-		p.core.log(levelInfo, "all machines known", "queue", p.partition, "after_ms", (now-p.acquiredAt)/micros.Millisecond)
+	if !silent && !p.plan.allReconciled {
+		p.plan.allReconciled = true
+		p.core.log(levelInfo, "all machines known", "queue", p.partition, "after_ms", (now-p.lease.acquiredAt)/micros.Millisecond)
 	}
 
 	p.advanceShares(silent)
@@ -72,10 +72,10 @@
 		needs = append(needs, p.placeArray(r, machines, &left)...)
 	}
 	needs = mergeCapacityRequests(needs)
-	if len(needs) > 0 && !slices.EqualFunc(needs, p.capacityRequests, sameCapacityRequest) {
-		p.core.statusSoon = true // the leader is to hear of them soon
+	if len(needs) > 0 && !slices.EqualFunc(needs, p.plan.capacityRequests, sameCapacityRequest) {
+		p.core.status.soon = true // the leader is to hear of them soon
 	}
-	p.capacityRequests = needs
+	p.plan.capacityRequests = needs
 	if !silent {
 		// Jobs that wait for the last silent machine have no needs yet, and will.
 		p.scaleIn()
@@ -90,7 +90,7 @@
 	now := p.core.now
 	var queue []*scheduling.Queued
 	for _, j := range p.sortedJobs {
-		j.estimate = 0
+		j.runtime.estimate = 0
 		if !p.startable(j, silent) {
 			continue
 		}
@@ -117,10 +117,10 @@
 
 // logFleet tells the operator what the queue's machines do, in CPU.
 func (p *partitionLeader) logFleet(services, arrays []rankedJob) {
-	if p.core.now-p.fleetLoggedAt < fleetLogInterval {
+	if p.core.now-p.plan.fleetLoggedAt < fleetLogInterval {
 		return
 	}
-	p.fleetLoggedAt = p.core.now
+	p.plan.fleetLoggedAt = p.core.now
 	waiting := 0
 	for _, list := range [][]rankedJob{services, arrays} {
 		for _, r := range list {
@@ -136,11 +136,11 @@
 			}
 			machines++
 			total += m.instanceType.Capacity.CPU
-			if m.epoch == 0 {
+			if m.agent.epoch == 0 {
 				booting++
 				boot += m.instanceType.Capacity.CPU
 			}
-			if m.drainReason != "" {
+			if m.drain.reason != notDraining {
 				leaving++
 			}
 			for _, a := range m.attempts {
@@ -188,17 +188,17 @@
 // by what the class shows, and by the job's own tasks, completed or running
 // longer than that. Exception to the design, which takes run times as known.
 func (p *partitionLeader) estimate(j *job) micros.Time {
-	if j.estimate > 0 && j.estimatedAt == p.lastPlanAt {
-		return j.estimate // once a plan
+	if j.runtime.estimate > 0 && j.runtime.estimatedAt == p.plan.lastRunAt {
+		return j.runtime.estimate // once a plan
 	}
 	estimate := p.core.runtimes.Estimate(j.Job)
-	estimate = (estimate*estimateWeight + j.runtimeTotal) / micros.Time(estimateWeight+j.runtimeSamples)
+	estimate = (estimate*estimateWeight + j.runtime.total) / micros.Time(estimateWeight+j.runtime.samples)
 	for _, a := range j.activeAttempts {
 		if a.state == Running && a.runningSince > 0 {
 			estimate = max(estimate, p.core.now-a.runningSince)
 		}
 	}
-	j.estimate, j.estimatedAt = estimate, p.lastPlanAt
+	j.runtime.estimate, j.runtime.estimatedAt = estimate, p.plan.lastRunAt
 	return estimate
 }
 
@@ -207,7 +207,7 @@
 	now := p.core.now
 	var out []*scheduling.Machine
 	for i, m := range p.machines {
-		if m.instanceType == nil || m.startsPausedUntil > now {
+		if m.instanceType == nil || m.lifecycle.startsPausedUntil > now {
 			continue
 		}
 		up := p.schedulable(m)
@@ -217,7 +217,7 @@
 		from := now
 		if !up {
 			// Boot times vary; one that is overdue is taken to be there soon.
-			from = max(now+2*micros.Second, m.addedAt+m.instanceType.Boot)
+			from = max(now+2*micros.Second, m.lifecycle.addedAt+m.instanceType.Boot)
 		}
 		pm := &scheduling.Machine{Index: i, Type: m.instanceType, Zone: m.record.Zone, Spot: m.record.Spot, Up: up, Slowness: m.slowness(),
 			Timeline: scheduling.NewTimeline(from, m.instanceType.Capacity), HasImage: m.hasImage}
@@ -240,27 +240,27 @@
 
 // expectedToBoot tells whether a machine that is not up can be counted on to boot.
 func (p *partitionLeader) expectedToBoot(m *machine) bool {
-	if m.drainReason != "" || m.preemptAt != 0 {
+	if m.drain.reason != notDraining || m.lifecycle.preemptAt != 0 {
 		return false
 	}
-	if m.epoch != 0 {
-		return m.reconciled && !m.leaseExpired && p.core.now-m.lastContact < p.suspicionTimeout() // about to be usable
+	if m.agent.epoch != 0 {
+		return m.agent.reconciled && !m.agent.leaseExpired && p.core.now-m.contact.lastContact < p.suspicionTimeout() // about to be usable
 	}
-	return !m.record.Used && !p.zoneUnreachable(m.record.Zone) && p.core.now-m.addedAt < m.instanceType.Boot*3/2
+	return !m.record.Used && !p.zoneUnreachable(m.record.Zone) && p.core.now-m.lifecycle.addedAt < m.instanceType.Boot*3/2
 }
 
 // justBooted tells whether a machine reported for the first time a moment ago, so that
 // nothing has reached it yet. The spare room for services counts it: missing for that
 // moment, it would be rented once more at every boot, and another be given back.
 func (p *partitionLeader) justBooted(m *machine) bool {
-	return m.drainReason == "" && m.preemptAt == 0 && m.reconciled && !m.leaseExpired && m.bootedAt != 0 && p.core.now-m.bootedAt < p.suspicionTimeout()
+	return m.drain.reason == notDraining && m.lifecycle.preemptAt == 0 && m.agent.reconciled && !m.agent.leaseExpired && m.agent.bootedAt != 0 && p.core.now-m.agent.bootedAt < p.suspicionTimeout()
 }
 
 // remaining is how much longer an attempt is expected to take its room.
 func (p *partitionLeader) remaining(a *attempt) micros.Time {
 	switch {
-	case a.stopping:
-		return a.gracePeriod + micros.Second/2
+	case a.stop.ordered:
+		return a.stop.gracePeriod + micros.Second/2
 	case a.job == nil:
 		return micros.Second
 	case a.job.Kind == workload.Service:
@@ -296,7 +296,7 @@
 	}
 	use := p.teamUsage[j.Team]
 	if t.LimitCPU >= 0 || t.LimitGPU >= 0 {
-		use = use.Add(p.unreconciledUsage)
+		use = use.Add(p.plan.unreconciledUsage)
 	}
 	free := workload.Resources{CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}
 	if t.LimitCPU >= 0 {
@@ -315,13 +315,13 @@
 		return false
 	}
 	p.attemptCounter++
-	a := &attempt{id: AttemptID{j.ID, t, p.fencingToken<<20 + p.attemptCounter}, machine: m, job: j, team: j.Team, resources: j.Resources,
+	a := &attempt{id: AttemptID{j.ID, t, p.lease.fencingToken<<20 + p.attemptCounter}, machine: m, job: j, team: j.Team, resources: j.Resources,
 		createdAt: p.core.now, plannedDuration: length, startedHere: true}
 	a.index()
 	j.activeAttempts[t] = a
 	j.pendingTasks.Remove(t)
 	p.reserve(a)
-	m.outbox = append(m.outbox, Command{Operation: Start, AttemptID: a.id})
+	m.commands.outbox = append(m.commands.outbox, Command{Operation: Start, AttemptID: a.id})
 	// Other tasks of the image need not wait for it as long.
 	m.useImage(j.Image, j.ImageGB)
 	return true
@@ -354,7 +354,7 @@
 		Service: j.Kind == workload.Service, Hold: micros.Time(p.core.config.Operator.IdleKeepS) * micros.Second}
 	if n.Service {
 		n.Hold *= 4
-		n.Replicas = p.serviceReplicas
+		n.Replicas = p.plan.serviceReplicas
 	}
 	return n
 }
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -30,14 +30,14 @@
 	// What found no room in this plan finds none again: many services alike wait.
 	shape := preemptionShape{j.Resources, j.Priority, j.Zone, j.Spot}
 	plain := len(j.InstanceTypes) == 0 && !j.OneZone && !j.Spread
-	if plain && p.preemptionFailed[shape] {
+	if plain && p.plan.preemptionFailed[shape] {
 		return false
 	}
 	var best *machine
 	var victims []*attempt
 	bestCost := 0.0
 	for _, m := range p.machines {
-		if m.instanceType == nil || !p.schedulable(m) || m.startsPausedUntil > now || !j.AllowsInstanceType(m.record.InstanceType) || (j.Zone != "" && j.Zone != m.record.Zone) ||
+		if m.instanceType == nil || !p.schedulable(m) || m.lifecycle.startsPausedUntil > now || !j.AllowsInstanceType(m.record.InstanceType) || (j.Zone != "" && j.Zone != m.record.Zone) ||
 			(m.record.Spot && !j.Spot) || !p.zoneAllows(j, m.record.Zone) {
 			continue
 		}
@@ -47,7 +47,7 @@
 	}
 	if best == nil {
 		if plain {
-			p.preemptionFailed[shape] = true
+			p.plan.preemptionFailed[shape] = true
 		}
 		return false
 	}
@@ -77,7 +77,7 @@
 			continue
 		}
 		free = free.Sub(a.resources)
-		if a.job != nil && a.job.Priority < j.Priority && !a.stopping {
+		if a.job != nil && a.job.Priority < j.Priority && !a.stop.ordered {
 			lower = append(lower, a)
 		}
 	}
@@ -158,7 +158,7 @@
 	arrays, services, capacity := p.cpuLoad()
 	var worst *machine
 	for _, m := range p.machines {
-		if m.instanceType == nil || m.record.Spot || !p.schedulable(m) || p.core.now-m.addedAt < minMachineAge {
+		if m.instanceType == nil || m.record.Spot || !p.schedulable(m) || p.core.now-m.lifecycle.addedAt < minMachineAge {
 			continue
 		}
 		replicas := 0
@@ -169,7 +169,7 @@
 				room -= a.resources.CPU
 			}
 		}
-		if max(arrays, p.recentArrayCPU) > (capacity-services-room)*8/10 {
+		if max(arrays, p.consolidation.recentArrayCPU) > (capacity-services-room)*8/10 {
 			continue
 		}
 		for _, t := range p.core.catalog {
@@ -345,4 +345,4 @@
 const packDivisor = 16
 
 // packLimit is how many replicas a machine takes before others are preferred.
-func (p *partitionLeader) packLimit() int { return p.serviceReplicas / packDivisor }
+func (p *partitionLeader) packLimit() int { return p.plan.serviceReplicas / packDivisor }
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -74,7 +74,7 @@
 					}
 					if r.callsInFlight--; r.callsInFlight == 0 {
 						r.completedAt = c.now
-						c.statusSoon = true
+						c.status.soon = true
 					}
 				})
 			}
@@ -160,17 +160,17 @@
 // at once may only be out of this controller's reach: its siblings are asked.
 func (p *partitionLeader) checkZones() {
 	now := p.core.now
-	if now-p.zonesCheckedAt < zoneCheckInterval {
+	if now-p.detector.zonesCheckedAt < zoneCheckInterval {
 		return
 	}
-	p.zonesCheckedAt = now
+	p.detector.zonesCheckedAt = now
 	seen := map[string][]micros.Time{}
 	for _, m := range p.machines {
-		if m.epoch != 0 || m.record.Used {
-			seen[m.record.Zone] = append(seen[m.record.Zone], m.lastContact)
+		if m.agent.epoch != 0 || m.record.Used {
+			seen[m.record.Zone] = append(seen[m.record.Zone], m.contact.lastContact)
 		}
 	}
-	for zone, v := range p.zones {
+	for zone, v := range p.detector.zones {
 		if seen[zone] == nil {
 			// All its machines were given up. A zone that was lost stays so until one
 			// that was rented to try it is heard.
@@ -178,10 +178,10 @@
 		}
 	}
 	for _, zone := range sortedKeys(seen) {
-		times, v := seen[zone], p.zones[zone]
+		times, v := seen[zone], p.detector.zones[zone]
 		if v == nil {
 			v = &zoneHealth{}
-			p.zones[zone] = v
+			p.detector.zones[zone] = v
 		}
 		slices.SortFunc(times, func(a, b micros.Time) int { return cmp.Compare(b, a) })
 		v.machines, v.lastQuorumContact = len(times), times[len(times)/4]
@@ -190,8 +190,8 @@
 			// Workers that wait for the answer of a holder that was cut off do not report
 			// for some seconds: only what does not answer either is not heard.
 			for i, m := range p.machines {
-				if i%2 == 0 && m.record.Zone == zone && (m.epoch != 0 || m.record.Used) && !m.callInFlight && m.address != "" && now-m.lastProbe > micros.Second {
-					p.probeQueue = append(p.probeQueue, m)
+				if i%2 == 0 && m.record.Zone == zone && (m.agent.epoch != 0 || m.record.Used) && !m.commands.callInFlight && m.address != "" && now-m.contact.lastProbe > micros.Second {
+					p.detector.probeQueue = append(p.detector.probeQueue, m)
 				}
 			}
 		}
@@ -200,7 +200,7 @@
 			v.unreachableSince = 0
 		case v.unreachableSince == 0 && v.machines > minZoneMachines:
 			v.unreachableSince = now
-			p.core.statusSoon = true
+			p.core.status.soon = true
 			p.core.log(levelInfo, "zone is not heard", "zone", zone, "machines", v.machines)
 		}
 	}
@@ -216,7 +216,7 @@
 		for _, q := range peer.status.Partitions {
 			for _, zone := range q.UnreachableZones {
 				if q.Partition == p.partition {
-					p.zones[zone] = &zoneHealth{unreachableSince: p.core.now}
+					p.detector.zones[zone] = &zoneHealth{unreachableSince: p.core.now}
 				}
 			}
 		}
@@ -225,19 +225,19 @@
 
 // zoneUnreachable tells whether a zone is not heard: what boots there cannot be counted on.
 func (p *partitionLeader) zoneUnreachable(zone string) bool {
-	return p.zones[zone] != nil && p.zones[zone].unreachableSince != 0
+	return p.detector.zones[zone] != nil && p.detector.zones[zone].unreachableSince != 0
 }
 
 // zoneSilence is how long a quarter of a zone's machines has not been heard.
 func (p *partitionLeader) zoneSilence(v *zoneHealth) micros.Time {
-	return p.core.now - max(v.lastQuorumContact, p.silenceCountsFrom)
+	return p.core.now - max(v.lastQuorumContact, p.detector.silenceCountsFrom)
 }
 
 // unreachableZones are the zones that this holder does not hear.
 func (p *partitionLeader) unreachableZones() []string {
 	var out []string
-	for _, zone := range sortedKeys(p.zones) {
-		if p.zones[zone].unreachableSince != 0 {
+	for _, zone := range sortedKeys(p.detector.zones) {
+		if p.detector.zones[zone].unreachableSince != 0 {
 			out = append(out, zone)
 		}
 	}
@@ -249,7 +249,7 @@
 // siblings that can be heard have said that they do not reach them either; while one
 // does, it is waited for a while longer that it takes the queue over.
 func (p *partitionLeader) zoneVerdictPending(zone string) bool {
-	v := p.zones[zone]
+	v := p.detector.zones[zone]
 	if v == nil || v.machines <= minZoneMachines || p.zoneSilence(v) < p.suspicionTimeout()*3/10 {
 		return false
 	}
--- a/internal/coordination/replication.go
+++ b/internal/coordination/replication.go
@@ -10,25 +10,34 @@
 // registration and its copy of the state.
 type replication struct {
 	cache       *storage.Cache
-	synced      bool // the replica is whole
+	synced      bool // the cache is whole
 	loading     *storage.Cache
 	loadRetryAt micros.Time
+	member      memberLease
+	election    campaignState
 
+	watchInFlight       bool
+	watchSentAt         micros.Time
+	watchRetryAt        micros.Time
+	term                leadership.Term
+	previousWatchSentAt micros.Time // when the watch before the last was sent
+}
+
+// memberLease is the lease that this process's registration and cluster leadership are
+// attached to.
+type memberLease struct {
 	leaseID           uint64
 	leaseCallInFlight bool
-	leaseRenewedAt    micros.Time // last grant or touch was sent
+	leaseRenewedAt    micros.Time // when the last grant or keepalive was sent
 	leaseRetryAt      micros.Time
 	registerInFlight  bool
 	registerRetryAt   micros.Time
+}
 
-	watchInFlight       bool
-	watchSentAt         micros.Time
-	watchRetryAt        micros.Time
-	term                leadership.Term
-	previousWatchSentAt micros.Time // when the news before the last were sent for
-
-	campaignInFlight bool
-	campaignRetryAt  micros.Time
+// campaignState paces the campaign for cluster leadership.
+type campaignState struct {
+	inFlight bool
+	retryAt  micros.Time
 }
 
 const storeTimeout = 2 * micros.Second
@@ -52,35 +61,35 @@
 }
 
 func (c *Core) renewMemberLease() {
-	if c.leaseCallInFlight || c.now < c.leaseRetryAt {
+	if c.member.leaseCallInFlight || c.now < c.member.leaseRetryAt {
 		return
 	}
-	if c.leaseID == 0 {
+	if c.member.leaseID == 0 {
 		sent := c.now
-		c.leaseCallInFlight = c.callStore(&storage.Request{Kind: storage.LeaseGrant, TTL: c.memberLeaseTTL()}, storage.Urgent, storeTimeout, func(r *storage.Reply) {
-			c.leaseCallInFlight = false
+		c.member.leaseCallInFlight = c.callStore(&storage.Request{Kind: storage.LeaseGrant, TTL: c.memberLeaseTTL()}, storage.Urgent, storeTimeout, func(r *storage.Reply) {
+			c.member.leaseCallInFlight = false
 			if r.Outcome == storage.OK && r.Lease != 0 {
-				c.leaseID, c.leaseRenewedAt = r.Lease, sent
+				c.member.leaseID, c.member.leaseRenewedAt = r.Lease, sent
 				return
 			}
-			c.leaseRetryAt = c.now + 200*micros.Millisecond
+			c.member.leaseRetryAt = c.now + 200*micros.Millisecond
 		})
 		return
 	}
-	if c.now-c.leaseRenewedAt < c.memberLeaseTTL()/4 {
+	if c.now-c.member.leaseRenewedAt < c.memberLeaseTTL()/4 {
 		return
 	}
-	sent, permit := c.now, c.leaseID
-	c.leaseCallInFlight = c.callStore(&storage.Request{Kind: storage.LeaseKeepAlive, Lease: permit}, storage.Urgent, c.memberLeaseTTL()/3, func(r *storage.Reply) {
-		c.leaseCallInFlight = false
+	sent, permit := c.now, c.member.leaseID
+	c.member.leaseCallInFlight = c.callStore(&storage.Request{Kind: storage.LeaseKeepAlive, Lease: permit}, storage.Urgent, c.memberLeaseTTL()/3, func(r *storage.Reply) {
+		c.member.leaseCallInFlight = false
 		switch r.Outcome {
 		case storage.OK:
-			c.leaseRenewedAt = sent
+			c.member.leaseRenewedAt = sent
 		case storage.NotFound, storage.LeaseNotFound:
-			c.leaseID = 0
+			c.member.leaseID = 0
 			c.log(levelWarn, "permit ended")
 		default:
-			c.leaseRetryAt = c.now + 100*micros.Millisecond
+			c.member.leaseRetryAt = c.now + 100*micros.Millisecond
 		}
 	})
 }
@@ -137,7 +146,7 @@
 	c.cache, c.synced = r, true
 	c.term.Invalidate()
 	for n, h := range c.partitions {
-		if v := r.Partitions[n]; v.ModRevision != h.fencingToken || v.Value.Leader != c.process {
+		if v := r.Partitions[n]; v.ModRevision != h.lease.fencingToken || v.Value.Leader != c.process {
 			delete(c.partitions, n)
 			continue
 		}
@@ -234,26 +243,26 @@
 }
 
 func (c *Core) registerMember() {
-	if !c.synced || c.leaseID == 0 || c.registerInFlight || c.now < c.registerRetryAt || c.cache.Live(c.process) {
+	if !c.synced || c.member.leaseID == 0 || c.member.registerInFlight || c.now < c.member.registerRetryAt || c.cache.Live(c.process) {
 		return
 	}
 	key := c.keys.Member(c.process.Member)
 	// The condition keeps a late copy of an older process's registration from
 	// replacing that of its successor.
-	c.registerInFlight = c.callStore(&storage.Request{Kind: storage.Txn,
+	c.member.registerInFlight = c.callStore(&storage.Request{Kind: storage.Txn,
 		Compares: []storage.Compare{{Key: key, ModRevision: c.cache.Members[c.process.Member].ModRevision}},
-		Puts:     []storage.Put{{Key: key, Value: storage.Encode(storage.Registration{Process: c.process, Format: storage.Format}), Lease: c.leaseID}},
+		Puts:     []storage.Put{{Key: key, Value: storage.Encode(storage.Registration{Process: c.process, Format: storage.Format}), Lease: c.member.leaseID}},
 	}, storage.Urgent, storeTimeout, func(r *storage.Reply) {
-		c.registerInFlight = false
-		c.registerRetryAt = c.now + 300*micros.Millisecond
+		c.member.registerInFlight = false
+		c.member.registerRetryAt = c.now + 300*micros.Millisecond
 		if r.Outcome == storage.LeaseNotFound {
-			c.leaseID = 0
+			c.member.leaseID = 0
 		}
 	})
 }
 
 func (c *Core) campaign() {
-	if !c.synced || c.leaseID == 0 || c.campaignInFlight || c.now < c.campaignRetryAt || !c.cache.Live(c.process) {
+	if !c.synced || c.member.leaseID == 0 || c.election.inFlight || c.now < c.election.retryAt || !c.cache.Live(c.process) {
 		return
 	}
 	// The key of a leader whose member runs a newer process stays until its permit
@@ -261,14 +270,14 @@
 	if l := c.cache.ClusterLeader; l.ModRevision != 0 && !c.cache.Dead(l.Value) {
 		return
 	}
-	c.campaignInFlight = c.callStore(&storage.Request{Kind: storage.Txn,
+	c.election.inFlight = c.callStore(&storage.Request{Kind: storage.Txn,
 		Compares: []storage.Compare{{Key: c.keys.ClusterLeader(), ModRevision: c.cache.ClusterLeader.ModRevision}},
-		Puts:     []storage.Put{{Key: c.keys.ClusterLeader(), Value: storage.Encode(c.process), Lease: c.leaseID}},
+		Puts:     []storage.Put{{Key: c.keys.ClusterLeader(), Value: storage.Encode(c.process), Lease: c.member.leaseID}},
 	}, storage.Urgent, storeTimeout, func(r *storage.Reply) {
-		c.campaignInFlight = false
-		c.campaignRetryAt = c.now + 300*micros.Millisecond
+		c.election.inFlight = false
+		c.election.retryAt = c.now + 300*micros.Millisecond
 		if r.Outcome == storage.LeaseNotFound {
-			c.leaseID = 0
+			c.member.leaseID = 0
 		}
 	})
 }
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -38,18 +38,18 @@
 	for _, name := range sortedKeys(c.cache.Blocks) {
 		if b := c.cache.Blocks[name]; b.Value.Requested > 0 {
 			open++
-			if _, out := l.requestsInFlight[name]; !out && c.now >= l.requestRetryAt[name] {
+			if _, out := l.scaling.requestsInFlight[name]; !out && c.now >= l.scaling.requestRetryAt[name] {
 				c.sendInstanceRequest(name, b.Value, b.ModRevision)
 			}
 		}
 	}
-	if open > 0 || len(l.requestsInFlight) > 0 || c.catalog == nil || c.now < l.nextScaleOutAt || c.now-l.acquiredAt < 500*micros.Millisecond {
+	if open > 0 || len(l.scaling.requestsInFlight) > 0 || c.catalog == nil || c.now < l.scaling.nextScaleOutAt || c.now-l.acquiredAt < 500*micros.Millisecond {
 		return
 	}
 	for _, p := range c.peers {
 		// Only of those whose needs are looked at: a former holder that is cut off says
 		// nothing new for minutes, and nothing would be rented as long.
-		if c.now-p.receivedAt <= statusLifetime && len(p.status.Partitions) > 0 && p.status.Revision < l.provisionedRevision {
+		if c.now-p.receivedAt <= statusLifetime && len(p.status.Partitions) > 0 && p.status.Revision < l.scaling.provisionedRevision {
 			return // its needs are from before the last round
 		}
 	}
@@ -69,9 +69,9 @@
 		}
 		most := func(o provisioning.InstanceKind) int {
 			if slices.Contains(q.UnreachableZones, o.Zone) {
-				return min(l.capacity.Limit(o, c.now), c.zoneProbeLimit(o.Zone))
+				return min(l.scaling.capacity.Limit(o, c.now), c.zoneProbeLimit(o.Zone))
 			}
-			return l.capacity.Limit(o, c.now)
+			return l.scaling.capacity.Limit(o, c.now)
 		}
 		for _, r := range provisioning.Choose(needs, c.catalog, most, c.maxScaleOutRound()/max(1, len(statuses))) {
 			for r.Count > 0 && c.takeCloudToken() {
@@ -82,7 +82,7 @@
 			}
 		}
 	}
-	l.nextScaleOutAt = c.now + scaleOutInterval
+	l.scaling.nextScaleOutAt = c.now + scaleOutInterval
 }
 
 // maxZoneProbes is how many machines of each offer are rented in a zone that is not heard,
@@ -104,12 +104,12 @@
 func (c *Core) takeCloudToken() bool {
 	l := &c.leader
 	rate := c.config.Settings.Cloud.RPS * 0.6
-	l.cloudTokens = min(rate, l.cloudTokens+rate*micros.Seconds(c.now-l.cloudTokensAt))
-	l.cloudTokensAt = c.now
-	if l.cloudTokens < 1 {
+	l.scaling.cloudTokens = min(rate, l.scaling.cloudTokens+rate*micros.Seconds(c.now-l.scaling.cloudTokensAt))
+	l.scaling.cloudTokensAt = c.now
+	if l.scaling.cloudTokens < 1 {
 		return false
 	}
-	l.cloudTokens--
+	l.scaling.cloudTokens--
 	return true
 }
 
@@ -125,13 +125,13 @@
 		Compares: []storage.Compare{c.leaderCompare(), {Key: key}},
 		Puts:     []storage.Put{{Key: key, Value: storage.Encode(rec)}},
 	}, storage.Urgent, storeTimeout, func(reply *storage.Reply) {
-		delete(l.requestsInFlight, name)
+		delete(l.scaling.requestsInFlight, name)
 		if reply.Outcome == storage.OK {
-			l.provisionedRevision = max(l.provisionedRevision, reply.Revision)
+			l.scaling.provisionedRevision = max(l.scaling.provisionedRevision, reply.Revision)
 			c.sendInstanceRequest(name, rec, reply.Revision)
 		}
 	}) {
-		l.requestsInFlight[name] = r.InstanceKind
+		l.scaling.requestsInFlight[name] = r.InstanceKind
 	}
 }
 
@@ -139,21 +139,21 @@
 func (c *Core) sendInstanceRequest(name string, rec storage.BlockRecord, version uint64) {
 	l := &c.leader
 	offer := provisioning.InstanceKind{InstanceType: rec.InstanceType, Zone: rec.Zone, Spot: rec.Spot}
-	l.requestsInFlight[name] = offer
+	l.scaling.requestsInFlight[name] = offer
 	c.callCloud(CloudCall{Operation: CloudRequestInstances, InstanceRequestID: name, InstanceRequest: provisioning.InstanceRequest{InstanceKind: offer, Count: rec.Requested}, Timeout: 4 * micros.Second}, func(r *CloudReply) {
-		delete(l.requestsInFlight, name)
+		delete(l.scaling.requestsInFlight, name)
 		switch r.Outcome {
 		case CloudOK, CloudInsufficientCapacity:
 			if len(r.Names) < rec.Requested {
-				l.capacity.Exhausted(offer, c.now)
-				l.nextScaleOutAt = c.now // what was missing may be had elsewhere
+				l.scaling.capacity.Exhausted(offer, c.now)
+				l.scaling.nextScaleOutAt = c.now // what was missing may be had elsewhere
 			} else {
-				l.capacity.Granted(offer, rec.Requested)
+				l.scaling.capacity.Granted(offer, rec.Requested)
 			}
 			c.log(levelInfo, "rented", "charter", name, "type", rec.InstanceType, "zone", rec.Zone, "spot", rec.Spot, "asked", rec.Requested, "got", len(r.Names))
 			c.closeInstanceRequest(name, rec, version, r.Names)
 		default:
-			l.requestRetryAt[name] = c.now + micros.Second
+			l.scaling.requestRetryAt[name] = c.now + micros.Second
 		}
 	})
 }
@@ -175,15 +175,15 @@
 	} else {
 		c.putBlock(r, name, rec)
 	}
-	l.requestsInFlight[name] = provisioning.InstanceKind{InstanceType: rec.InstanceType, Zone: rec.Zone, Spot: rec.Spot}
+	l.scaling.requestsInFlight[name] = provisioning.InstanceKind{InstanceType: rec.InstanceType, Zone: rec.Zone, Spot: rec.Spot}
 	again := func() {
-		delete(l.requestsInFlight, name)
-		l.requestRetryAt[name] = c.now + 200*micros.Millisecond // the same name gives the same answer
+		delete(l.scaling.requestsInFlight, name)
+		l.scaling.requestRetryAt[name] = c.now + 200*micros.Millisecond // the same name gives the same answer
 	}
 	if !c.callStore(r, storage.Urgent, storeTimeout, func(reply *storage.Reply) {
 		again()
 		if reply.Outcome == storage.OK {
-			l.provisionedRevision = max(l.provisionedRevision, reply.Revision)
+			l.scaling.provisionedRevision = max(l.scaling.provisionedRevision, reply.Revision)
 		}
 	}) {
 		again()
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -45,7 +45,7 @@
 	return false
 }
 
-// dependencyCancellations is when a user was first told that a job before this one, directly or
+// cancelled is when a user was first told that a job before this one, directly or
 // through others, is cancelled; 0: nobody was.
 func (u *users) cancelledBefore(j *userJob, seen map[string]bool) micros.Time {
 	first := micros.Time(0)
