--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -159,7 +159,7 @@
 		return
 	}
 	j.cancelRequested = true
-	p.core.log(levelInfo, "job called off", "job", j.ID, "tasks", len(j.activeAttempts))
+	p.core.log(levelInfo, "job cancellation received", "job", j.ID, "tasks", len(j.activeAttempts))
 	for _, t := range sortedKeys(j.activeAttempts) {
 		p.kill(j.activeAttempts[t])
 	}
--- a/internal/coordination/completion.go
+++ b/internal/coordination/completion.go
@@ -118,8 +118,8 @@
 	if whole {
 		clear(j.completion.dirtySegments)
 		took := p.core.wall - j.Submitted
-		p.core.log(levelInfo, "job done", "job", j.ID, "class", j.Class, "tasks", j.Tasks, "took_ms", took/micros.Millisecond,
-			"late_ms", (took-j.Deadline)/micros.Millisecond)
+		p.core.log(levelInfo, "job completed", "job", j.ID, "class", j.Class, "tasks", j.Tasks, "duration_ms", took/micros.Millisecond,
+			"tardiness_ms", (took-j.Deadline)/micros.Millisecond)
 	}
 }
 
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -38,7 +38,7 @@
 	}, storage.Urgent, storeTimeout, func(r *storage.Reply) {
 		l.formatUpgrade.inFlight = false
 		if r.Outcome == storage.OK {
-			c.log(levelInfo, "every member reads the new records", "format", storage.Format)
+			c.log(levelInfo, "record format upgraded", "format", storage.Format)
 		}
 	})
 }
@@ -253,7 +253,7 @@
 		}
 	}
 	p.plan.stale = true
-	p.core.log(levelDebug, "job may start", "job", j.ID)
+	p.core.log(levelDebug, "job dependencies satisfied", "job", j.ID)
 }
 
 const (
--- a/internal/coordination/fair_shares.go
+++ b/internal/coordination/fair_shares.go
@@ -105,7 +105,7 @@
 		if l.Lag.Beyond(s.bound) != (admission.Lag{}) {
 			level = levelInfo
 		}
-		p.core.log(level, "flow behind its fair share", "queue", p.partition, "team", l.Flow.Team, "class", l.Flow.Class,
+		p.core.log(level, "flow behind its fair share", "partition", p.partition, "team", l.Flow.Team, "class", l.Flow.Class,
 			"team_lag_ms", l.Lag.Team/micros.Millisecond, "class_lag_ms", l.Lag.Class/micros.Millisecond)
 	}
 }
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -251,8 +251,8 @@
 func (p *partitionLeader) logIgnoredHeartbeat(why string, m *machine, r *Heartbeat) {
 	if p.core.now-p.ignoredHeartbeatLoggedAt >= ignoredLogInterval || p.ignoredHeartbeatLoggedAt == 0 {
 		p.ignoredHeartbeatLoggedAt = p.core.now
-		p.core.log(levelInfo, "report not believed", "why", why, "machine", m.id, "session", r.AgentEpoch, "seq", r.Sequence, "known_session", m.agent.epoch,
-			"known_seq", m.agent.sequence)
+		p.core.log(levelInfo, "heartbeat ignored", "reason", why, "machine", m.id, "agent_epoch", r.AgentEpoch, "sequence", r.Sequence, "known_agent_epoch", m.agent.epoch,
+			"known_sequence", m.agent.sequence)
 	}
 }
 
@@ -302,7 +302,7 @@
 	}
 	if o := a.job.activeAttempts[t.Task]; o != nil {
 		// Must never happen. The task does not wait again before both have ended.
-		p.core.log(levelWarn, "task on two machines", "job", t.Job, "task", t.Task, "machine", m.id, "other", o.machine.id)
+		p.core.log(levelWarn, "duplicate task attempt", "job", t.Job, "task", t.Task, "machine", m.id, "other_machine", o.machine.id)
 		a.job.duplicateAttempts = append(a.job.duplicateAttempts, a)
 		a.persisted = true
 		p.stopAttempt(a, 0)
@@ -336,7 +336,7 @@
 			if a.job != nil {
 				a.machine.useImage(a.job.Image, a.job.ImageGB)
 				if a.job.Kind == workload.Service && a.startedHere {
-					p.core.log(levelDebug, "replica runs", "job", a.job.ID, "task", a.id.Task, "machine", a.machine.id,
+					p.core.log(levelDebug, "service replica running", "job", a.job.ID, "task", a.id.Task, "machine", a.machine.id,
 						"since_submitted_ms", (p.core.wall-a.job.Submitted)/micros.Millisecond, "since_start_ms", (p.core.now-a.createdAt)/micros.Millisecond)
 				}
 			}
@@ -374,7 +374,7 @@
 		}
 	case ExitInsufficientResources, ExitDuplicateTask:
 		a.machine.lifecycle.startsPausedUntil = p.core.now + micros.Second
-		p.core.log(levelInfo, "start refused", "job", j.ID, "task", a.id.Task, "machine", a.machine.id, "cause", t.ExitReason)
+		p.core.log(levelInfo, "task start refused", "job", j.ID, "task", a.id.Task, "machine", a.machine.id, "reason", t.ExitReason)
 	case ExitUnknownTask:
 		j.startsPausedUntil = p.core.now + 2*micros.Second
 	}
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -186,7 +186,7 @@
 	// successor may answer a machine that is silent here: only news from after the lease's end,
 	// that this is still the holder, show that nobody renewed it.
 	if up && !m.agent.leaseExpired && p.core.term.ConfirmedSince(p.lastPossibleRenewal(m)+p.core.config.AgentLeaseExpiry()) && quiet > p.suspicionTimeout() {
-		p.core.log(levelInfo, "machine's lease ran out", "machine", m.id)
+		p.core.log(levelInfo, "agent lease expired", "machine", m.id)
 		p.clearAttempts(m)
 		m.agent.leaseExpired = true
 	}
@@ -280,7 +280,7 @@
 	m.drain = drainState{reason: reason, since: p.core.now}
 	p.core.status.soon = true
 	p.plan.stale = true
-	p.core.log(levelInfo, "machine drains", "machine", m.id, "reason", reason, "attempts", len(m.attempts))
+	p.core.log(levelInfo, "machine draining", "machine", m.id, "reason", reason, "attempts", len(m.attempts))
 }
 
 const (
--- a/internal/coordination/planning.go
+++ b/internal/coordination/planning.go
@@ -55,7 +55,7 @@
 	}
 	if !silent && !p.plan.allReconciled {
 		p.plan.allReconciled = true
-		p.core.log(levelInfo, "all machines known", "queue", p.partition, "after_ms", (now-p.lease.acquiredAt)/micros.Millisecond)
+		p.core.log(levelInfo, "all machines reconciled", "partition", p.partition, "after_ms", (now-p.lease.acquiredAt)/micros.Millisecond)
 	}
 
 	p.advanceShares(silent)
@@ -155,7 +155,7 @@
 				}
 			}
 		}
-		p.core.log(levelDebug, "fleet", "queue", p.partition, "spot", spot, "machines", machines, "booting", booting, "leaving", leaving, "cpu", total/1000,
+		p.core.log(levelDebug, "fleet summary", "partition", p.partition, "spot", spot, "machines", machines, "booting", booting, "draining", leaving, "cpu", total/1000,
 			"cpu_booting", boot/1000, "cpu_services", services/1000, "cpu_running", running/1000, "cpu_starting", fetching/1000,
 			"tasks_waiting", waiting)
 	}
--- a/internal/scenario/admission_test.go
+++ b/internal/scenario/admission_test.go
@@ -38,7 +38,7 @@
 // hearLog holds what a controller logs of admission against the rule that no reference gets
 // two verdicts in one epoch, whichever nodes it asks.
 func (w *World) hearLog(l coordination.LogRecord) {
-	if l.Message != "verdict" && l.Message != "flow behind its fair share" {
+	if l.Message != "admission verdict" && l.Message != "flow behind its fair share" {
 		return
 	}
 	fields := map[string]any{}
--- a/internal/scenario/deployment_test.go
+++ b/internal/scenario/deployment_test.go
@@ -245,7 +245,7 @@
 	for node, p := range d.running {
 		p.mu.Lock()
 		for _, line := range strings.Split(p.log.String(), "\n") {
-			if strings.Contains(line, "queue taken") && line > at { // lines begin with their time
+			if (strings.Contains(line, "partition leadership acquired") || strings.Contains(line, "queue taken")) && line > at { // lines begin with their time
 				best, at = node, line
 			}
 		}
--- a/internal/scenario/loopback_test.go
+++ b/internal/scenario/loopback_test.go
@@ -419,7 +419,7 @@
 	first := f.process
 	f.stop()
 	f.start()
-	f.until("all machines are known again", func(*World) bool { return f.process.said("all machines known") })
+	f.until("all machines are known again", func(*World) bool { return f.process.said("all machines reconciled") })
 	f.until("the controller answers on", func(*World) bool { return f.oks >= before+3*f.size })
 	t.Logf("and anew: %v", f.process.most)
 	f.checkCounts(first)
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -250,9 +250,9 @@
 func (n *node) hear(l coordination.LogRecord) {
 	w := n.w
 	switch {
-	case l.Message == "task on two machines":
+	case l.Message == "duplicate task attempt":
 		w.breakRule("conflict", "%s: %v", n.name, l.Attributes)
-	case l.Message == "queue taken":
+	case l.Message == "partition leadership acquired":
 		w.taken++
 		kept := w.kept
 		w.kept = nil
@@ -261,7 +261,7 @@
 				w.after(w.rng.Int64N(300*micros.Millisecond), func() { o.copyOf(raw) })
 			}
 		}
-	case l.Message == "all machines known" && len(l.Attributes) == 4:
+	case l.Message == "all machines reconciled" && len(l.Attributes) == 4:
 		if ms, ok := l.Attributes[3].(micros.Time); ok {
 			w.unknown = max(w.unknown, ms*micros.Millisecond)
 		}
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -100,16 +100,16 @@
 		if r, err = protocol.DecodeStoreReply(call.Request.Kind, status, body); err == nil {
 			return r
 		}
-		c.log.Warn("state service", "err", err)
+		c.log.Warn("key-value store request failed", "err", err)
 		return r
 	}
 	if errors.Is(err, errTooLarge) && call.Request.Kind == storage.Watch {
 		// A watch brings all changes since the last, however many: after a standstill
 		// they may be more than is ever read, and asking again would bring even more.
-		c.log.Warn("state service: too many changes to follow, the state is read anew")
+		c.log.Warn("change stream response too large, loading a new snapshot")
 		return &storage.Reply{Outcome: storage.Compacted}
 	}
-	c.log.Debug("state service", "err", err)
+	c.log.Debug("key-value store request failed", "err", err)
 	return &storage.Reply{Outcome: storage.OutcomeUnknown}
 }
 
@@ -120,10 +120,10 @@
 		if r, err = protocol.DecodeCloudReply(call.Operation, status, body); err == nil {
 			return r
 		}
-		c.log.Warn("cloud", "err", err)
+		c.log.Warn("cloud request failed", "err", err)
 		return r
 	}
-	c.log.Debug("cloud", "err", err)
+	c.log.Debug("cloud request failed", "err", err)
 	return &coordination.CloudReply{Outcome: coordination.CloudOutcomeUnknown}
 }
 
@@ -134,7 +134,7 @@
 	}
 	status, body, err := c.do(ctx, c.workers, call.Address, r, call.Timeout, maxWorkerAnswer)
 	if err != nil {
-		c.log.Debug("worker", "machine", call.Machine, "err", err)
+		c.log.Debug("agent call failed", "machine", call.Machine, "err", err)
 		return &coordination.AgentReply{}
 	}
 	return protocol.DecodeAgent(status, body)
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -112,7 +112,7 @@
 			_, err = conn.Write(frame)
 		}
 		if err != nil {
-			s.log.Debug("sibling", "address", addr, "err", err)
+			s.log.Debug("peer connection failed", "address", addr, "err", err)
 			conn.Close()
 			conn = nil
 		}
@@ -125,7 +125,7 @@
 		status, err := readStatus(c)
 		if err != nil {
 			if !errors.Is(err, io.EOF) {
-				s.log.Debug("sibling", "remote", c.RemoteAddr().String(), "err", err)
+				s.log.Debug("peer connection failed", "remote", c.RemoteAddr().String(), "err", err)
 			}
 			return
 		}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -179,7 +179,7 @@
 	}
 	rep, err := protocol.ParseHeartbeat(b)
 	if err != nil {
-		d.badReports.Do(func() { d.log.Warn("bad report", "err", err, "remote", r.RemoteAddr) })
+		d.badReports.Do(func() { d.log.Warn("malformed heartbeat", "err", err, "remote", r.RemoteAddr) })
 		write(w, http.StatusBadRequest, protocol.EncodeError(err.Error()))
 		return
 	}
