--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -3,6 +3,8 @@
 import (
 	"errors"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/admission"
 	"pipitlatch/internal/config"
 	"pipitlatch/internal/micros"
@@ -85,7 +87,7 @@
 // that it was given to flows that are given less than they ask for. A known job is answered as known, first of all: one that another controller
 // just took, or that was moved away long ago, is looked up before it is refused. Without an
 // epoch in force nothing is refused here: what can't be stored is refused where it is.
-func (c *Core) admit(req RequestID, job *workload.Job, take func(storage.Urgency)) {
+func (c *Core) admit(req messages.RequestID, job *workload.Job, take func(storage.Urgency)) {
 	f := c.fair
 	if f == nil {
 		take(storage.Prompt)
@@ -112,7 +114,7 @@
 	}
 	c.respondStatusOr(req, job.ID, func() {
 		f.tracker.ComeBack(c.now, flow, job.ID, v.Turn)
-		c.respond(Response{Request: req, Kind: Overloaded, Text: "overload: it is not its turn yet", RetryAfter: v.Turn})
+		c.respond(messages.Response{Request: req, Kind: messages.Overloaded, Text: "overload: it is not its turn yet", RetryAfter: v.Turn})
 	})
 }
 
@@ -240,7 +242,7 @@
 }
 
 // receiveDemand takes what a sibling was asked for.
-func (c *Core) receiveDemand(s *PeerStatus) {
+func (c *Core) receiveDemand(s *messages.PeerStatus) {
 	if c.fair != nil && s.Demand != nil {
 		c.fair.peerDemands[s.From.Member] = peerDemand{c.now, s.Demand}
 	}
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -5,6 +5,8 @@
 	"slices"
 	"testing"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/admission"
 	"pipitlatch/internal/config"
 	"pipitlatch/internal/micros"
@@ -22,7 +24,7 @@
 	}
 	c := New(cfg, "1")
 	c.catalog = workload.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: workload.Resources{CPU: 8000, Mem: 32_000}}}
-	c.now, c.wall, c.output = micros.Second, micros.Second, &Output{}
+	c.now, c.wall, c.output = micros.Second, micros.Second, &messages.Output{}
 	r := storage.NewCache(c.keys)
 	r.Revision = 10
 	epoch := &admission.Epoch{Number: 3, Leader: 2, Written: micros.Second, Length: 4 * micros.Second, Validity: 12 * micros.Second,
@@ -40,14 +42,14 @@
 }
 
 // ask submits a job and completes the reads of the state service that follow.
-func ask(c *Core, at micros.Time, job *workload.Job, complete func(*storage.Request) *storage.Reply) []Response {
-	out := c.Step(at, at, &Submit{Request: 1, ID: job.ID, Job: job})
+func ask(c *Core, at micros.Time, job *workload.Job, complete func(*storage.Request) *storage.Reply) []messages.Response {
+	out := c.Step(at, at, &messages.Submit{Request: 1, ID: job.ID, Job: job})
 	answers := out.Responses
 	for calls := out.StoreCalls; len(calls) > 0; {
 		call := calls[0]
 		calls = calls[1:]
 		if r := complete(call.Request); r != nil {
-			out := c.Step(at, at, &StoreCompletion{Call: call.Call, Reply: r})
+			out := c.Step(at, at, &messages.StoreCompletion{Call: call.Call, Reply: r})
 			answers, calls = append(answers, out.Responses...), append(calls, out.StoreCalls...)
 		}
 	}
@@ -62,11 +64,11 @@
 	for name, c := range map[string]struct {
 		archived bool
 		barrier  storage.Outcome
-		want     ResponseKind
+		want     messages.ResponseKind
 	}{
-		"not known":       {want: Overloaded, barrier: storage.NotFound},
-		"in the archive":  {want: JobFound, barrier: storage.NotFound, archived: true},
-		"cannot be found": {want: ServiceUnavailable, barrier: storage.OutcomeUnknown},
+		"not known":       {want: messages.Overloaded, barrier: storage.NotFound},
+		"in the archive":  {want: messages.JobFound, barrier: storage.NotFound, archived: true},
+		"cannot be found": {want: messages.ServiceUnavailable, barrier: storage.OutcomeUnknown},
 	} {
 		core := newFair(t)
 		core.cache.Archived = true
@@ -87,7 +89,7 @@
 			t.Errorf("%s: %+v", name, answers)
 			continue
 		}
-		if a := answers[0]; a.Kind == Overloaded && (a.RetryAfter < micros.Second || a.RetryAfter > admission.MaxTurn) {
+		if a := answers[0]; a.Kind == messages.Overloaded && (a.RetryAfter < micros.Second || a.RetryAfter > admission.MaxTurn) {
 			t.Errorf("%s: come back after %d", name, a.RetryAfter)
 		}
 	}
@@ -120,7 +122,7 @@
 	if _, _, err := c.cache.Apply(storage.Item{Key: c.keys.Job(job.ID), Value: storage.Encode(job), ModRevision: 11}); err != nil {
 		t.Fatal(err)
 	}
-	out := c.Step(c.now, c.now, &Cancel{Request: 1, ID: job.ID})
+	out := c.Step(c.now, c.now, &messages.Cancel{Request: 1, ID: job.ID})
 	cancelled := false
 	for _, call := range out.StoreCalls {
 		cancelled = cancelled || (call.Request.Kind == storage.Txn && len(call.Request.Puts) > 0 && call.Request.Puts[0].Key == c.keys.Job(job.ID))
@@ -136,7 +138,7 @@
 	lines := 0
 	for i := range 100 {
 		c.now += 50 * micros.Millisecond
-		c.output = &Output{}
+		c.output = &messages.Output{}
 		item := storage.Item{Key: c.keys.Admission(), Value: []byte(`{"n":`), ModRevision: uint64(20 + i)}
 		if _, _, err := c.cache.Apply(item); err != nil {
 			t.Fatal(err)
@@ -167,7 +169,7 @@
 		c.fair.tracker.Asked(c.now, admission.Flow{Team: "alpha", Class: "c"}, fmt.Sprintf("wk-%06d", i))
 		c.fair.tracker.Refused(c.now)
 	}
-	c.output = &Output{}
+	c.output = &messages.Output{}
 	c.tickAdmission()
 	if len(c.output.StoreCalls) != 1 {
 		t.Fatalf("%d requests", len(c.output.StoreCalls))
@@ -181,7 +183,7 @@
 	if err != nil || e.Number != 4 || e.Leader != 4 {
 		t.Errorf("%+v, %v", e, err)
 	}
-	c.output = &Output{}
+	c.output = &messages.Output{}
 	c.tickAdmission()
 	if len(c.output.StoreCalls) != 0 {
 		t.Error("written again while the write is out")
@@ -191,7 +193,7 @@
 // TestLagsGoOnWithTheNextHolder: as long as what the last one told is not old.
 func TestLagsGoOnWithTheNextHolder(t *testing.T) {
 	flow := admission.Flow{Team: "alpha", Class: "low"}
-	told := &PeerStatus{From: storage.Process{Member: "n1", Incarnation: "x"}, Partitions: []PartitionStatus{{Partition: 0,
+	told := &messages.PeerStatus{From: storage.Process{Member: "n1", Incarnation: "x"}, Partitions: []messages.PartitionStatus{{Partition: 0,
 		Lags: []admission.FlowLag{{Flow: flow, Lag: admission.Lag{Team: 40 * micros.Second, Class: 50 * micros.Second}}}}}}
 	for age, want := range map[micros.Time]admission.Lag{
 		3 * micros.Second:      {Team: 40 * micros.Second, Class: 50 * micros.Second},
@@ -225,7 +227,7 @@
 			stored = stored || (r.Kind == storage.Txn && len(r.Puts) > 0 && r.Puts[0].Key == c.keys.Job("wk-000007"))
 			return nil
 		})
-		if stored != want || (!want && (len(answers) != 1 || answers[0].Kind != Overloaded)) {
+		if stored != want || (!want && (len(answers) != 1 || answers[0].Kind != messages.Overloaded)) {
 			t.Errorf("width %d: stored %v, %+v", width, stored, answers)
 		}
 	}
--- a/internal/coordination/agent_calls.go
+++ b/internal/coordination/agent_calls.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"slices"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/workload"
 )
@@ -18,7 +20,7 @@
 		case len(m.commands.outbox) == 0 || m.commands.callInFlight:
 		case m.contact.failedCalls > 0:
 			failing = append(failing, m)
-		case !slices.ContainsFunc(m.commands.outbox, func(c Command) bool { return c.Operation == Stop || p.isService(c.Job) }):
+		case !slices.ContainsFunc(m.commands.outbox, func(c messages.Command) bool { return c.Operation == messages.Stop || p.isService(c.Job) }):
 			rest = append(rest, m)
 		case p.core.availableAgentCalls(false) > 0:
 			p.sendOutbox(m)
@@ -76,7 +78,7 @@
 	m.commands.outbox = slices.Delete(m.commands.outbox, 0, n)
 	for i := range batch {
 		a := m.attempts[batch[i].AttemptID]
-		if a != nil && batch[i].Operation == Start {
+		if a != nil && batch[i].Operation == messages.Start {
 			a.start.inFlight++
 			a.start.sent = true
 		}
@@ -84,11 +86,11 @@
 	p.callMachine(m, batch, false)
 }
 
-func (p *partitionLeader) callMachine(m *machine, batch []Command, show bool) {
+func (p *partitionLeader) callMachine(m *machine, batch []messages.Command, show bool) {
 	m.commands.callInFlight = true
 	session, seq, token, sent := m.agent.epoch, m.agent.sequence, p.lease.fencingToken, p.core.now
-	p.core.callAgent(AgentCall{Machine: m.id, Address: m.address, FencingToken: token, AgentEpoch: session, Commands: batch, StatusOnly: show,
-		Timeout: micros.Second}, func(r *AgentReply) {
+	p.core.callAgent(messages.AgentCall{Machine: m.id, Address: m.address, FencingToken: token, AgentEpoch: session, Commands: batch, StatusOnly: show,
+		Timeout: micros.Second}, func(r *messages.AgentReply) {
 		m.commands.callInFlight = false
 		if p.core.partitions[p.partition] != p || p.machine(m.id) != m {
 			return
@@ -99,7 +101,7 @@
 		}
 		for _, cmd := range batch {
 			a := m.attempts[cmd.AttemptID]
-			if a == nil || cmd.Operation != Start {
+			if a == nil || cmd.Operation != messages.Start {
 				continue
 			}
 			a.start.inFlight--
@@ -133,11 +135,11 @@
 }
 
 // commandsToRetry are the commands of a lost batch that are worth sending again.
-func (p *partitionLeader) commandsToRetry(m *machine, batch []Command) []Command {
-	var out []Command
+func (p *partitionLeader) commandsToRetry(m *machine, batch []messages.Command) []messages.Command {
+	var out []messages.Command
 	for _, cmd := range batch {
 		a := m.attempts[cmd.AttemptID]
-		if a == nil || a.state == Exited || (cmd.Operation == Start && (a.stop.ordered || a.start.reported)) {
+		if a == nil || a.state == messages.Exited || (cmd.Operation == messages.Start && (a.stop.ordered || a.start.reported)) {
 			continue
 		}
 		out = append(out, cmd)
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -6,6 +6,8 @@
 	"strconv"
 	"testing"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/config"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
@@ -43,7 +45,7 @@
 
 // newLarge is a core that leads and holds a queue of a number of machines, each
 // with eight running tasks, and has a tenth as many waiting jobs.
-func newLarge(b testing.TB, size int) (*Core, []*Heartbeat) {
+func newLarge(b testing.TB, size int) (*Core, []*messages.Heartbeat) {
 	cfg, err := config.Parse([]byte(benchSettings), nil)
 	if err != nil {
 		b.Fatal(err)
@@ -68,16 +70,16 @@
 		put(c.keys.Job(job(i)), &workload.Job{ID: job(i), Class: "c", Team: "alpha", Tasks: 80, Resources: workload.Resources{CPU: 4000, Mem: 4000},
 			Estimate: 60 * micros.Second, Deadline: 160 * micros.Second, Spot: true, Image: "i"})
 	}
-	var reports []*Heartbeat
+	var reports []*messages.Heartbeat
 	for k := range size / 50 {
 		machines := map[string]storage.MachineRecord{}
 		for i := range 50 {
 			m := fmt.Sprintf("vm-%06d", k*50+i)
 			machines[m] = storage.MachineRecord{Address: "10.1.0.1:9000", Used: true}
-			rep := &Heartbeat{Machine: m, Address: "10.1.0.1:9000", InstanceType: "m", Zone: "a", AgentEpoch: 1, PreemptionNotice: -1}
+			rep := &messages.Heartbeat{Machine: m, Address: "10.1.0.1:9000", InstanceType: "m", Zone: "a", AgentEpoch: 1, PreemptionNotice: -1}
 			for t := range 8 {
 				n := (k*50+i)*8 + t
-				rep.Tasks = append(rep.Tasks, TaskStatus{AttemptID: AttemptID{Job: job(n / 80), Task: n % 80, Number: uint64(n + 1)}, State: Running})
+				rep.Tasks = append(rep.Tasks, messages.TaskStatus{AttemptID: messages.AttemptID{Job: job(n / 80), Task: n % 80, Number: uint64(n + 1)}, State: messages.Running})
 			}
 			reports = append(reports, rep)
 		}
@@ -88,7 +90,7 @@
 	put(c.keys.Partition(0), storage.PartitionRecord{Leader: c.process})
 	r.Revision = version
 	c.now = micros.Second
-	c.output = &Output{}
+	c.output = &messages.Output{}
 	c.installSnapshot(r, 0)
 	c.term.Confirm(c.now)
 	for _, rep := range reports {
@@ -104,7 +106,7 @@
 	for _, r := range reports {
 		r.Sequence++
 		c.lastTick = 2 * micros.Second
-		c.Step(2*micros.Second, 2*micros.Second, &HeartbeatRequest{Request: 1, Heartbeat: r})
+		c.Step(2*micros.Second, 2*micros.Second, &messages.HeartbeatRequest{Request: 1, Heartbeat: r})
 	}
 	told := map[string]int{}
 	for range 2 {
@@ -135,7 +137,7 @@
 		c.lastTick = now // reports alone, without the timers
 		for _, r := range reports {
 			r.Sequence++
-			c.Step(now, now, &HeartbeatRequest{Request: 1, Heartbeat: r})
+			c.Step(now, now, &messages.HeartbeatRequest{Request: 1, Heartbeat: r})
 		}
 	}
 	if n := len(c.partitions[0].machines[0].attempts); n != 8 {
@@ -157,7 +159,7 @@
 	for _, r := range reports {
 		r.Sequence++
 		c.lastTick = now
-		c.Step(now, now, &HeartbeatRequest{Request: 1, Heartbeat: r})
+		c.Step(now, now, &messages.HeartbeatRequest{Request: 1, Heartbeat: r})
 	}
 	h := c.partitions[0]
 	for _, m := range h.machines {
@@ -168,7 +170,7 @@
 		for _, m := range h.machines {
 			m.contact.lastContact = now
 		}
-		c.now, c.wall, c.output = now, now, &Output{}
+		c.now, c.wall, c.output = now, now, &messages.Output{}
 		h.plan.stale = true
 		h.schedule()
 	}
@@ -192,7 +194,7 @@
 		now += micros.Millisecond
 		c.term.Confirm(now)
 		c.lastTick = now
-		c.Step(now, now, &Lookup{Request: 1, ID: "wk-000001"})
+		c.Step(now, now, &messages.Lookup{Request: 1, ID: "wk-000001"})
 		for _, w := range c.waiting {
 			w.then(true)
 		}
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -3,8 +3,9 @@
 import (
 	"slices"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
-	"pipitlatch/internal/storage"
 )
 
 // All that reasons about cancellations beyond the conditional write itself is here.
@@ -36,13 +37,13 @@
 	notices      []cancellationNotice // oldest first
 	lastSequence uint64               // number of the newest
 	noticed      map[string]bool
-	acked        map[string]CancellationAck // by member: how far its notices came
-	requested    map[string]micros.Time     // jobs that a sibling knows to be cancelled: since when
+	acked        map[string]messages.CancellationAck // by member: how far its notices came
+	requested    map[string]micros.Time              // jobs that a sibling knows to be cancelled: since when
 	expiredAt    micros.Time
 }
 
 func newCancellations() cancellations {
-	return cancellations{noticed: map[string]bool{}, acked: map[string]CancellationAck{}, requested: map[string]micros.Time{}}
+	return cancellations{noticed: map[string]bool{}, acked: map[string]messages.CancellationAck{}, requested: map[string]micros.Time{}}
 }
 
 // cancellationNoticeTTL is how long a cancellation may matter to somebody who has not heard of it:
@@ -99,13 +100,13 @@
 // receiveCancellationNotices takes a sibling's notices. They are believed for stopping only: nobody is told
 // that a job is cancelled, and no term gets longer, before the stream shows it. So a
 // late or repeated notice does no harm.
-func (c *Core) receiveCancellationNotices(s *PeerStatus) {
+func (c *Core) receiveCancellationNotices(s *messages.PeerStatus) {
 	if len(s.Cancelled) == 0 || s.From == c.process {
 		return
 	}
 	mine := &c.cancellations
 	if h := mine.acked[s.From.Member]; h.From != s.From || h.UpTo < s.CancelledUpTo {
-		mine.acked[s.From.Member] = CancellationAck{s.From, s.CancelledUpTo}
+		mine.acked[s.From.Member] = messages.CancellationAck{From: s.From, UpTo: s.CancelledUpTo}
 		c.status.soon = true
 	}
 	for _, id := range s.Cancelled {
@@ -118,8 +119,8 @@
 }
 
 // cancellationAcks is what siblings are told of how far their notices came.
-func (c *Core) cancellationAcks() []CancellationAck {
-	var out []CancellationAck
+func (c *Core) cancellationAcks() []messages.CancellationAck {
+	var out []messages.CancellationAck
 	for _, m := range sortedKeys(c.cancellations.acked) {
 		out = append(out, c.cancellations.acked[m])
 	}
@@ -178,11 +179,11 @@
 // kill stops a task of a cancelled job. The cancellation came after the news before
 // this: it would have been in them. From there its clock is taken to run.
 func (p *partitionLeader) kill(a *attempt) {
-	if a.state == Exited {
+	if a.state == messages.Exited {
 		return
 	}
 	p.stopAttempt(a, 0)
-	if a.state == Exited || a.stop.killDeadline != 0 {
+	if a.state == messages.Exited || a.stop.killDeadline != 0 {
 		return // its start was not sent yet; or it is counted already
 	}
 	// A worker that has its last answer by then loses the task to its lease within
@@ -209,7 +210,7 @@
 // ends too. A kill is done when its task is gone, not when it was sent.
 func (p *partitionLeader) drainOverdueKills() {
 	p.pendingKills = slices.DeleteFunc(p.pendingKills, func(a *attempt) bool {
-		if a.state == Exited || p.machine(a.machine.id) != a.machine {
+		if a.state == messages.Exited || p.machine(a.machine.id) != a.machine {
 			return true
 		}
 		if p.core.now < a.stop.killDeadline || a.machine.decommissioned() {
@@ -219,9 +220,3 @@
 		return false
 	})
 }
-
-// CancellationAck is how far the notices of a process came.
-type CancellationAck struct {
-	From storage.Process
-	UpTo uint64
-}
--- a/internal/coordination/cluster_leader.go
+++ b/internal/coordination/cluster_leader.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"slices"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/coordination/leadership"
 	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/micros"
@@ -35,7 +37,7 @@
 
 // transferState holds the transfers of idle machines that partition leaders are asked for.
 type transferState struct {
-	pending map[string][]MachineTransfer // by member
+	pending map[string][]messages.MachineTransfer // by member
 	nextAt  micros.Time
 }
 
@@ -227,8 +229,8 @@
 }
 
 // partitionStatuses are what the present holders last said of their queues.
-func (c *Core) partitionStatuses() []PartitionStatus {
-	var out []PartitionStatus
+func (c *Core) partitionStatuses() []messages.PartitionStatus {
+	var out []messages.PartitionStatus
 	for _, m := range sortedKeys(c.peers) {
 		p := c.peers[m]
 		if c.now-p.receivedAt > statusLifetime {
@@ -274,10 +276,10 @@
 	}
 	l.termination.inFlight = true
 	version := l.revision
-	c.callCloud(CloudCall{Operation: CloudTerminate, Names: names, Timeout: 3 * micros.Second}, func(r *CloudReply) {
+	c.callCloud(messages.CloudCall{Operation: messages.CloudTerminate, Names: names, Timeout: 3 * micros.Second}, func(r *messages.CloudReply) {
 		l.termination.inFlight = false
 		l.termination.retryAt = c.now + 200*micros.Millisecond
-		if r.Outcome != CloudOK {
+		if r.Outcome != messages.CloudOK {
 			l.termination.retryAt = c.now + micros.Second
 			return
 		}
@@ -368,12 +370,12 @@
 func (c *Core) listInstancesPage(after string, seen map[string]bool) {
 	l := &c.leader
 	version := l.revision
-	c.callCloud(CloudCall{Operation: CloudList, After: after, Limit: listPageSize, Timeout: 3 * micros.Second}, func(r *CloudReply) {
+	c.callCloud(messages.CloudCall{Operation: messages.CloudList, After: after, Limit: listPageSize, Timeout: 3 * micros.Second}, func(r *messages.CloudReply) {
 		if version != l.revision {
 			return
 		}
 		l.listing.nextAt = c.now + c.listInterval()
-		if r.Outcome != CloudOK {
+		if r.Outcome != messages.CloudOK {
 			l.listing.inFlight = false
 			return
 		}
@@ -451,9 +453,9 @@
 				}
 				holder := c.cache.Partitions[q.Partition].Value.Leader.Member
 				if l.transfer.pending == nil {
-					l.transfer.pending = map[string][]MachineTransfer{}
+					l.transfer.pending = map[string][]messages.MachineTransfer{}
 				}
-				l.transfer.pending[holder] = append(l.transfer.pending[holder], MachineTransfer{Machine: m, ToPartition: needy.Partition})
+				l.transfer.pending[holder] = append(l.transfer.pending[holder], messages.MachineTransfer{Machine: m, ToPartition: needy.Partition})
 				c.status.soon = true
 				return
 			}
--- a/internal/coordination/completion.go
+++ b/internal/coordination/completion.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 	"pipitlatch/internal/workload"
@@ -102,7 +103,7 @@
 func (p *partitionLeader) completedPersisted(j *job, whole bool, written map[int]*workload.Bitmap) {
 	j.completion.nextWriteAt = p.core.now + completedWriteInterval
 	for a := range j.attempts {
-		if a.state == Exited && (whole || segmentWritten(written, a.id.Task)) {
+		if a.state == messages.Exited && (whole || segmentWritten(written, a.id.Task)) {
 			a.persisted = true
 		}
 	}
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"slices"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/workload"
@@ -91,7 +93,7 @@
 func replicasOn(m *machine) int {
 	n := 0
 	for _, a := range m.attempts {
-		if a.state != Exited && a.job != nil && a.job.Kind == workload.Service {
+		if a.state != messages.Exited && a.job != nil && a.job.Kind == workload.Service {
 			n++
 		}
 	}
@@ -110,7 +112,7 @@
 	bare := p.core.now-m.drain.since > imageWaitTimeout && m.instanceType.Price > 3*p.lowestPrice()
 	for _, id := range sortedAttempts(m) {
 		a := m.attempts[id]
-		if a.state != Running || a.stop.ordered || a.job == nil || a.job.Kind != workload.Service || (nowhere[a.job.ID] && !bare) {
+		if a.state != messages.Running || a.stop.ordered || a.job == nil || a.job.Kind != workload.Service || (nowhere[a.job.ID] && !bare) {
 			continue
 		}
 		for _, o := range p.machines {
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -5,6 +5,8 @@
 	"maps"
 	"slices"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/config"
 	"pipitlatch/internal/coordination/leadership"
 	"pipitlatch/internal/coordination/provisioning"
@@ -32,7 +34,7 @@
 	now, wall micros.Time
 	startedAt micros.Time
 	lastTick  micros.Time
-	output    *Output
+	output    *messages.Output
 
 	calls        callTable
 	storeLimiter *storage.RateLimiter
@@ -51,7 +53,7 @@
 	cancellations   cancellations
 	dependencyLists int                          // lists of dependencies that were stored in parts
 	archivedJobs    map[string]*storage.JobEntry // records read from the archive
-	progress        map[string]JobProgress
+	progress        map[string]messages.JobProgress
 	leader          clusterLeader
 	runtimes        *workload.RuntimeStats
 	faults          *provisioning.FaultTracker
@@ -101,7 +103,7 @@
 
 type peerState struct {
 	receivedAt micros.Time
-	status     *PeerStatus
+	status     *messages.PeerStatus
 }
 
 // New starts a controller's core; incarnation must be new with every process.
@@ -124,7 +126,7 @@
 		peers:         map[string]*peerState{},
 		cancellations: newCancellations(),
 		archivedJobs:  map[string]*storage.JobEntry{},
-		progress:      map[string]JobProgress{},
+		progress:      map[string]messages.JobProgress{},
 		runtimes:      workload.NewRuntimeStats(),
 		faults:        provisioning.NewFaultTracker(),
 		fair:          newFairAdmission(cfg),
@@ -137,12 +139,12 @@
 
 // Step takes inputs at a time: steady is a clock that never goes back, wall the
 // time of day.
-func (c *Core) Step(steady, wall micros.Time, inputs ...Input) *Output {
+func (c *Core) Step(steady, wall micros.Time, inputs ...messages.Input) *messages.Output {
 	c.now, c.wall = max(c.now, steady), wall
 	if c.startedAt == 0 {
 		c.startedAt = c.now
 	}
-	c.output = &Output{}
+	c.output = &messages.Output{}
 	for _, in := range inputs {
 		c.dispatch(in)
 	}
@@ -165,25 +167,25 @@
 	c.lastPlanned = nil
 }
 
-func (c *Core) dispatch(in Input) {
+func (c *Core) dispatch(in messages.Input) {
 	switch in := in.(type) {
-	case *Submit:
+	case *messages.Submit:
 		c.submit(in)
-	case *Lookup:
+	case *messages.Lookup:
 		c.lookup(in)
-	case *Cancel:
+	case *messages.Cancel:
 		c.cancel(in)
-	case *LoadShed:
+	case *messages.LoadShed:
 		c.countShed()
-	case *HeartbeatRequest:
+	case *messages.HeartbeatRequest:
 		c.handleHeartbeat(in)
-	case *StoreCompletion:
+	case *messages.StoreCompletion:
 		c.completeCall(in.Call, in.Reply)
-	case *CloudCompletion:
+	case *messages.CloudCompletion:
 		c.completeCall(in.Call, in.Reply)
-	case *AgentCompletion:
+	case *messages.AgentCompletion:
 		c.completeCall(in.Call, in.Reply)
-	case *PeerStatus:
+	case *messages.PeerStatus:
 		c.receiveStatus(in)
 	}
 }
@@ -212,21 +214,21 @@
 		c.txnBackoff.observe(r, reply.Outcome, c.now)
 		done(reply)
 	})
-	c.output.StoreCalls = append(c.output.StoreCalls, StoreCall{id, r, timeout})
+	c.output.StoreCalls = append(c.output.StoreCalls, messages.StoreCall{Call: id, Request: r, Timeout: timeout})
 	return true
 }
 
-func (c *Core) callCloud(call CloudCall, done func(*CloudReply)) {
-	call.Call = c.registerCall(func(v any) { done(v.(*CloudReply)) })
+func (c *Core) callCloud(call messages.CloudCall, done func(*messages.CloudReply)) {
+	call.Call = c.registerCall(func(v any) { done(v.(*messages.CloudReply)) })
 	c.output.CloudCalls = append(c.output.CloudCalls, call)
 }
 
 // callAgent sends a direct call; there must be room for it.
-func (c *Core) callAgent(call AgentCall, done func(*AgentReply)) {
+func (c *Core) callAgent(call messages.AgentCall, done func(*messages.AgentReply)) {
 	c.calls.agentCallsInFlight++
 	call.Call = c.registerCall(func(v any) {
 		c.calls.agentCallsInFlight--
-		done(v.(*AgentReply))
+		done(v.(*messages.AgentReply))
 	})
 	c.output.AgentCalls = append(c.output.AgentCalls, call)
 }
@@ -250,7 +252,7 @@
 )
 
 func (c *Core) log(level int, text string, args ...any) {
-	c.output.LogRecords = append(c.output.LogRecords, LogRecord{level, text, args})
+	c.output.LogRecords = append(c.output.LogRecords, messages.LogRecord{Level: level, Message: text, Attributes: args})
 }
 
 func (c *Core) tick() {
@@ -281,9 +283,9 @@
 		return
 	}
 	c.catalogSync.fetching, c.catalogSync.fetchedAt = true, c.now
-	c.callCloud(CloudCall{Operation: CloudCatalog, Timeout: 3 * micros.Second}, func(r *CloudReply) {
+	c.callCloud(messages.CloudCall{Operation: messages.CloudCatalog, Timeout: 3 * micros.Second}, func(r *messages.CloudReply) {
 		c.catalogSync.fetching = false
-		if r.Outcome == CloudOK && len(r.Catalog) > 0 {
+		if r.Outcome == messages.CloudOK && len(r.Catalog) > 0 {
 			c.catalog = r.Catalog
 			c.catalogSync.fromCloud = true
 			for _, h := range c.partitions {
@@ -309,7 +311,7 @@
 
 // anyPeerHeard tells whether any sibling that meets the condition has been heard
 // of late.
-func (c *Core) anyPeerHeard(d micros.Time, cond func(*PeerStatus) bool) bool {
+func (c *Core) anyPeerHeard(d micros.Time, cond func(*messages.PeerStatus) bool) bool {
 	for member, p := range c.peers {
 		if member != c.process.Member && c.now-p.receivedAt < d && cond(p.status) {
 			return true
@@ -332,7 +334,7 @@
 // late: then this controller's view may be outdated, whatever it says.
 func (c *Core) isolated() bool {
 	return c.term.SinceConfirmed(c.now) >= storeStaleAfter && c.now > c.startedAt+2*micros.Second &&
-		!c.anyPeerHeard(2*micros.Second, func(*PeerStatus) bool { return true })
+		!c.anyPeerHeard(2*micros.Second, func(*messages.PeerStatus) bool { return true })
 }
 
 // Healthy tells whether the controller should be sent users' requests: it is
@@ -348,9 +350,9 @@
 		return true
 	case c.now < c.startedAt+micros.Second:
 		return false // it may only be starting
-	case c.anyPeerHeard(2*micros.Second, func(s *PeerStatus) bool { return s.StoreReachable }):
+	case c.anyPeerHeard(2*micros.Second, func(s *messages.PeerStatus) bool { return s.StoreReachable }):
 		return false
-	case len(c.config.Peers) == 0 || c.anyPeerHeard(2*micros.Second, func(*PeerStatus) bool { return true }):
+	case len(c.config.Peers) == 0 || c.anyPeerHeard(2*micros.Second, func(*messages.PeerStatus) bool { return true }):
 		return true
 	}
 	return c.now-max(c.lastServedAt, c.startedAt) < isolationTimeout
@@ -366,7 +368,7 @@
 		return
 	}
 	c.status.sentAt, c.status.soon = c.now, false
-	s := &PeerStatus{From: c.process, Revision: c.cache.Revision, StoreReachable: c.storeReachable(), Usage: c.storeLimiter.RecentUsage(), Reachability: c.reachability.report(c.now)}
+	s := &messages.PeerStatus{From: c.process, Revision: c.cache.Revision, StoreReachable: c.storeReachable(), Usage: c.storeLimiter.RecentUsage(), Reachability: c.reachability.report(c.now)}
 	var others storage.Usage
 	for member, p := range c.peers {
 		if member == c.process.Member {
@@ -394,7 +396,7 @@
 		mine := *s
 		mine.Transfers = c.leader.transfer.pending[p.Member]
 		mine.Cancelled, mine.CancelledUpTo = c.cancellationNoticesFor(p.Member)
-		c.output.PeerMessages = append(c.output.PeerMessages, PeerMessage{p.Member, &mine})
+		c.output.PeerMessages = append(c.output.PeerMessages, messages.PeerMessage{To: p.Member, Status: &mine})
 	}
 	for _, sh := range c.leader.transfer.pending[c.process.Member] {
 		c.transferMachine(sh)
@@ -406,7 +408,7 @@
 // receiveStatus takes a status, our own included. Nothing in it is believed that the
 // stream of changes must tell, except that a machine is gone: that is a fact
 // which nothing makes untrue.
-func (c *Core) receiveStatus(s *PeerStatus) {
+func (c *Core) receiveStatus(s *messages.PeerStatus) {
 	c.peers[s.From.Member] = &peerState{c.now, s}
 	c.receiveCancellationNotices(s)
 	c.receiveDemand(s)
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -5,6 +5,8 @@
 	"maps"
 	"slices"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 	"pipitlatch/internal/workload"
@@ -62,7 +64,7 @@
 
 // checkDependencies looks the jobs up that a submission names, and calls then with what they
 // are, or says why it cannot be taken. The replica must be fresh.
-func (c *Core) checkDependencies(req RequestID, job *workload.Job, refs []string, n dependencyCheck, then func(dependencyCheck)) {
+func (c *Core) checkDependencies(req messages.RequestID, job *workload.Job, refs []string, n dependencyCheck, then func(dependencyCheck)) {
 	for i, ref := range refs {
 		if ref == job.ID {
 			c.rejectUnschedulable(req, job.ID, "it waits on itself")
@@ -101,7 +103,7 @@
 // acceptWithDependencies accepts a job that names others. Where all of them are in the replica it
 // need not be as new as the question: they were accepted, done and cancelled are final, and
 // what has become of them since makes the job wait, start or be cancelled all the same.
-func (c *Core) acceptWithDependencies(req RequestID, job *workload.Job) {
+func (c *Core) acceptWithDependencies(req messages.RequestID, job *workload.Job) {
 	for _, ref := range job.DependsOn {
 		if c.cache.Jobs[ref] == nil {
 			c.linearizableRead(func(ok bool) {
@@ -119,7 +121,7 @@
 
 // resolveSubmission accepts a job that names others as one that waits on those that are not done
 // yet, or as cancelled if one of them is, or says why it cannot be taken.
-func (c *Core) resolveSubmission(req RequestID, job *workload.Job) {
+func (c *Core) resolveSubmission(req messages.RequestID, job *workload.Job) {
 	if c.cache.Format < storage.Format || c.olderMemberRegistered() {
 		c.respondStatusOr(req, job.ID, func() { c.respondUnavailable(req, "an older version is still running") })
 		return
@@ -142,7 +144,7 @@
 
 // storeDependencies writes a list of needed jobs that the record has no room for, in parts, and
 // then the record. Parts count only with the record, which names them.
-func (c *Core) storeDependencies(req RequestID, job *workload.Job) {
+func (c *Core) storeDependencies(req messages.RequestID, job *workload.Job) {
 	most := c.config.Settings.MaxValue()
 	if len(storage.Encode(job)) <= most-acceptedRecordReserve {
 		c.accept(req, job, storage.Prompt)
@@ -172,7 +174,7 @@
 // the job's record; first is the revision of the list's first part, 0 before it is written.
 // The record requires that part: carried out minutes late, after the leader deleted the
 // parts that no job had, it would be a job that waits for ever.
-func (c *Core) storeDependencyParts(req RequestID, job *workload.Job, parts []storage.Put, first uint64) {
+func (c *Core) storeDependencyParts(req messages.RequestID, job *workload.Job, parts []storage.Put, first uint64) {
 	if len(parts) == 0 {
 		c.accept(req, job, storage.Prompt, storage.Compare{Key: c.keys.DependencyPart(job.ID, job.DependencyListName, 0), ModRevision: first})
 		return
@@ -192,7 +194,7 @@
 		}
 		c.storeDependencyParts(req, job, parts[n:], first)
 	}) {
-		c.respond(Response{Request: req, Kind: Overloaded, Text: "too many changes", RetryAfter: defaultRetryAfter})
+		c.respond(messages.Response{Request: req, Kind: messages.Overloaded, Text: "too many changes", RetryAfter: defaultRetryAfter})
 	}
 }
 
--- a/internal/coordination/fair_shares.go
+++ b/internal/coordination/fair_shares.go
@@ -2,6 +2,7 @@
 
 import (
 	"pipitlatch/internal/admission"
+	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/workload"
 )
@@ -28,7 +29,7 @@
 	}
 	bound := micros.Time(c.config.Operator.FairAdmission.LagS) * micros.Second
 	s := &fairShares{queue: admission.NewFairQueue(c.now, len(c.config.Settings.Teams), bound, &c.fair.settings), bound: bound}
-	var last *PartitionStatus
+	var last *messages.PartitionStatus
 	var lastAt micros.Time
 	for _, member := range sortedKeys(c.peers) {
 		p := c.peers[member]
@@ -60,7 +61,7 @@
 		}
 		l := admission.Load{Flow: flowOf(j.Job)}
 		for _, a := range j.activeAttempts {
-			if a.state != Exited {
+			if a.state != messages.Exited {
 				l.Use += a.resources.CPU
 			}
 		}
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -3,12 +3,14 @@
 import (
 	"slices"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/workload"
 )
 
 // handleHeartbeat answers a worker.
-func (c *Core) handleHeartbeat(in *HeartbeatRequest) {
+func (c *Core) handleHeartbeat(in *messages.HeartbeatRequest) {
 	r := in.Heartbeat
 	if !c.synced {
 		c.respondUnavailable(in.Request, "starting")
@@ -21,7 +23,7 @@
 			c.leader.heardFromUnmanaged(c, r)
 			c.respondUnavailable(in.Request, "unknown machine")
 		case l.ModRevision != 0 && l.Value.Member != c.process.Member && !c.isolated():
-			c.respond(Response{Request: in.Request, Kind: HeartbeatRedirected, RedirectTo: l.Value.Member})
+			c.respond(messages.Response{Request: in.Request, Kind: messages.HeartbeatRedirected, RedirectTo: l.Value.Member})
 		default:
 			c.respondUnavailable(in.Request, "no leader")
 		}
@@ -31,7 +33,7 @@
 	if h == nil {
 		q, ok := c.cache.Partitions[b.Value.Partition]
 		if ok && q.Value.Leader.Member != c.process.Member && c.cache.Live(q.Value.Leader) && !c.isolated() && !c.unreachableFromLeader(r, b.Value, q) {
-			c.respond(Response{Request: in.Request, Kind: HeartbeatRedirected, RedirectTo: q.Value.Leader.Member})
+			c.respond(messages.Response{Request: in.Request, Kind: messages.HeartbeatRedirected, RedirectTo: q.Value.Leader.Member})
 		} else {
 			c.respondUnavailable(in.Request, "no holder")
 		}
@@ -40,7 +42,7 @@
 	h.handleHeartbeat(in, h.machine(r.Machine))
 }
 
-func (p *partitionLeader) handleHeartbeat(in *HeartbeatRequest, m *machine) {
+func (p *partitionLeader) handleHeartbeat(in *messages.HeartbeatRequest, m *machine) {
 	r := in.Heartbeat
 	switch {
 	case m == nil:
@@ -50,12 +52,12 @@
 		// Silence past the term: a cancellation that is not seen here must end
 		// these tasks when the workers' leases run out. Nobody is named: what is
 		// known here of other holders is as old as the term.
-		p.core.respond(Response{Request: in.Request, Kind: HeartbeatRedirected})
+		p.core.respond(messages.Response{Request: in.Request, Kind: messages.HeartbeatRedirected})
 		return
 	case r.FencingToken > p.lease.fencingToken:
 		// The worker would drop a 200 and stay here until its tasks die.
 		p.supersededByToken()
-		p.core.respond(Response{Request: in.Request, Kind: HeartbeatRedirected})
+		p.core.respond(messages.Response{Request: in.Request, Kind: messages.HeartbeatRedirected})
 		return
 	}
 	newer := m.newer(r)
@@ -77,15 +79,15 @@
 		return
 	}
 	m.contact.lastRenewal, m.contact.lastReply = p.core.now, p.core.now
-	var cmds []Command
+	var cmds []messages.Command
 	if newer {
 		cmds = p.commandsFor(m)
 	}
-	p.core.respond(Response{Request: in.Request, Kind: HeartbeatAcknowledged, FencingToken: p.lease.fencingToken, Commands: cmds})
+	p.core.respond(messages.Response{Request: in.Request, Kind: messages.HeartbeatAcknowledged, FencingToken: p.lease.fencingToken, Commands: cmds})
 }
 
 // newer tells whether a report is newer than all that is known of the machine.
-func (m *machine) newer(r *Heartbeat) bool {
+func (m *machine) newer(r *messages.Heartbeat) bool {
 	return r.AgentEpoch > m.agent.epoch || (r.AgentEpoch == m.agent.epoch && r.Sequence > m.agent.sequence)
 }
 
@@ -100,7 +102,7 @@
 // report proves nothing about the way back: a machine that reports but cannot be
 // answered must neither count as sound nor have its lease renewed by answers that
 // never arrive.
-func (p *partitionLeader) observeReplyReceipt(m *machine, r *Heartbeat) {
+func (p *partitionLeader) observeReplyReceipt(m *machine, r *messages.Heartbeat) {
 	if m.contact.lastReply == 0 {
 		return
 	}
@@ -124,23 +126,23 @@
 
 // commandsFor are the commands in the answer to a report: they are not executed
 // late, since the worker drops late answers.
-func (p *partitionLeader) commandsFor(m *machine) []Command {
+func (p *partitionLeader) commandsFor(m *machine) []messages.Command {
 	if m.agent.ackedToken != p.lease.fencingToken {
 		return nil
 	}
-	var out []Command
+	var out []messages.Command
 	for id, a := range m.attempts {
 		switch {
-		case a.state == Exited:
+		case a.state == messages.Exited:
 			// A start that may still arrive would begin a forgotten attempt anew.
 			if a.start.reported && a.persisted && a.start.inFlight == 0 && a.start.unanswered == 0 {
-				out = append(out, Command{Operation: Forget, AttemptID: id})
+				out = append(out, messages.Command{Operation: messages.Forget, AttemptID: id})
 			}
 		case a.stop.ordered:
-			out = append(out, Command{Operation: Stop, AttemptID: id, GracePeriod: p.remainingGrace(a)})
+			out = append(out, messages.Command{Operation: messages.Stop, AttemptID: id, GracePeriod: p.remainingGrace(a)})
 		}
 	}
-	slices.SortFunc(out, func(a, b Command) int { return a.compare(b.AttemptID) })
+	slices.SortFunc(out, func(a, b messages.Command) int { return a.Compare(b.AttemptID) })
 	return out[:min(len(out), maxCommandsPerMessage)]
 }
 
@@ -153,7 +155,7 @@
 }
 
 // observeHeartbeat takes a worker's report, from whichever way it came.
-func (p *partitionLeader) observeHeartbeat(m *machine, r *Heartbeat) {
+func (p *partitionLeader) observeHeartbeat(m *machine, r *messages.Heartbeat) {
 	if !m.newer(r) {
 		return // older than what is known
 	}
@@ -216,8 +218,8 @@
 }
 
 // reconcileTasks takes a report's tasks for the truth about its machine.
-func (p *partitionLeader) reconcileTasks(m *machine, r *Heartbeat) {
-	shown := make(map[AttemptID]bool, len(r.Tasks))
+func (p *partitionLeader) reconcileTasks(m *machine, r *messages.Heartbeat) {
+	shown := make(map[messages.AttemptID]bool, len(r.Tasks))
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		shown[t.AttemptID] = true
@@ -248,7 +250,7 @@
 const ignoredLogInterval = 5 * micros.Second
 
 // logIgnoredHeartbeat tells the operator of a report that is not believed.
-func (p *partitionLeader) logIgnoredHeartbeat(why string, m *machine, r *Heartbeat) {
+func (p *partitionLeader) logIgnoredHeartbeat(why string, m *machine, r *messages.Heartbeat) {
 	if p.core.now-p.ignoredHeartbeatLoggedAt >= ignoredLogInterval || p.ignoredHeartbeatLoggedAt == 0 {
 		p.ignoredHeartbeatLoggedAt = p.core.now
 		p.core.log(levelInfo, "heartbeat ignored", "reason", why, "machine", m.id, "agent_epoch", r.AgentEpoch, "sequence", r.Sequence, "known_agent_epoch", m.agent.epoch,
@@ -266,7 +268,7 @@
 }
 
 // adoptAttempt takes an attempt that this holder did not start.
-func (p *partitionLeader) adoptAttempt(m *machine, t *TaskStatus) *attempt {
+func (p *partitionLeader) adoptAttempt(m *machine, t *messages.TaskStatus) *attempt {
 	a := &attempt{
 		id:        t.AttemptID,
 		machine:   m,
@@ -282,14 +284,14 @@
 		a.job = nil
 	}
 	a.index()
-	if t.State == Exited {
-		a.state = Fetching // so that update sees it exit
+	if t.State == messages.Exited {
+		a.state = messages.Fetching // so that update sees it exit
 	}
 	p.reserve(a)
 	if a.job == nil {
 		a.persisted = true
 		switch {
-		case t.State == Exited:
+		case t.State == messages.Exited:
 		case p.core.isCancelled(t.Job):
 			p.killAdopted(a)
 		default:
@@ -297,7 +299,7 @@
 		}
 		return a
 	}
-	if t.State == Exited {
+	if t.State == messages.Exited {
 		return a
 	}
 	if o := a.job.activeAttempts[t.Task]; o != nil {
@@ -310,7 +312,7 @@
 	}
 	a.job.activeAttempts[t.Task] = a
 	a.job.pendingTasks.Remove(t.Task)
-	if t.State == Running {
+	if t.State == messages.Running {
 		// The image is there, and the run is at least as old as this lease: without
 		// that, every takeover forgot where images are and when machines will be free.
 		a.runningSince = p.core.now
@@ -326,12 +328,12 @@
 	return a
 }
 
-func (p *partitionLeader) updateAttempt(a *attempt, t *TaskStatus) {
-	if a.state == Exited {
+func (p *partitionLeader) updateAttempt(a *attempt, t *messages.TaskStatus) {
+	if a.state == messages.Exited {
 		return
 	}
-	if t.State != Exited {
-		if t.State == Running && a.state != Running {
+	if t.State != messages.Exited {
+		if t.State == messages.Running && a.state != messages.Running {
 			a.runningSince = p.core.now
 			if a.job != nil {
 				a.machine.useImage(a.job.Image, a.job.ImageGB)
@@ -352,7 +354,7 @@
 	}
 	j := a.job
 	switch t.ExitReason {
-	case ExitCompleted:
+	case messages.ExitCompleted:
 		if a.startedHere && a.runningSince > 0 {
 			if j.runtime.samples >= 2 { // against its siblings: the owner's estimate says little
 				a.machine.runtime.ratioTotal += min(20, float64(p.core.now-a.runningSince)*float64(j.runtime.samples)/float64(max(1, j.runtime.total)))
@@ -365,17 +367,17 @@
 		p.core.faults.Succeeded(a.machine.id, j.ID)
 		p.completeTask(a)
 		return
-	case ExitFailed:
+	case messages.ExitFailed:
 		p.core.faults.Failed(a.machine.id, j.ID)
 		p.core.log(levelInfo, "task failed", "job", j.ID, "task", a.id.Task, "machine", a.machine.id)
 		if p.core.faults.JobAtFault(j.ID) {
 			// Failing everywhere: try less and less often, until its user cancels it.
 			j.startsPausedUntil = p.core.now + min(60*micros.Second, micros.Second<<min(6, p.core.faults.Failures(j.ID)))
 		}
-	case ExitInsufficientResources, ExitDuplicateTask:
+	case messages.ExitInsufficientResources, messages.ExitDuplicateTask:
 		a.machine.lifecycle.startsPausedUntil = p.core.now + micros.Second
 		p.core.log(levelInfo, "task start refused", "job", j.ID, "task", a.id.Task, "machine", a.machine.id, "reason", t.ExitReason)
-	case ExitUnknownTask:
+	case messages.ExitUnknownTask:
 		j.startsPausedUntil = p.core.now + 2*micros.Second
 	}
 	a.persisted = true
--- a/internal/coordination/large_bench_test.go
+++ b/internal/coordination/large_bench_test.go
@@ -5,6 +5,8 @@
 	"strconv"
 	"testing"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 )
@@ -19,15 +21,15 @@
 			now := 2 * micros.Second
 			for b.Loop() {
 				now += 10 * micros.Second
-				c.now, c.output = now, &Output{}
+				c.now, c.output = now, &messages.Output{}
 				c.term.Confirm(now)
 				c.partitions[0] = newPartitionLeader(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: c.cache.Partitions[0].ModRevision})
 				for _, r := range reports {
 					r.Sequence++
 					c.lastTick = now
-					c.Step(now, now, &HeartbeatRequest{Request: 1, Heartbeat: r})
+					c.Step(now, now, &messages.HeartbeatRequest{Request: 1, Heartbeat: r})
 				}
-				c.output = &Output{}
+				c.output = &messages.Output{}
 				c.partitions[0].schedule()
 			}
 			if h := c.partitions[0]; len(h.machines) != size || !h.machines[size-1].agent.reconciled {
@@ -46,10 +48,10 @@
 			for _, r := range reports {
 				r.Sequence++
 				c.lastTick = now
-				c.Step(now, now, &HeartbeatRequest{Request: 1, Heartbeat: r})
+				c.Step(now, now, &messages.HeartbeatRequest{Request: 1, Heartbeat: r})
 			}
 			h := c.partitions[0]
-			c.now, c.output = now+h.suspicionTimeout()+micros.Second, &Output{}
+			c.now, c.output = now+h.suspicionTimeout()+micros.Second, &messages.Output{}
 			b.ReportAllocs()
 			for b.Loop() {
 				c.now += 50 * micros.Millisecond
@@ -65,7 +67,7 @@
 					h.checkMachine(m)
 					m.drain.reason = notDraining
 				}
-				c.output = &Output{}
+				c.output = &messages.Output{}
 			}
 		})
 	}
@@ -81,7 +83,7 @@
 				r.Sequence++
 				r.Tasks = nil
 				c.lastTick = now
-				c.Step(now, now, &HeartbeatRequest{Request: 1, Heartbeat: r})
+				c.Step(now, now, &messages.HeartbeatRequest{Request: 1, Heartbeat: r})
 			}
 			h := c.partitions[0]
 			c.now = now + 100*micros.Second
@@ -89,7 +91,7 @@
 			for b.Loop() {
 				c.now += micros.Second
 				c.term.Confirm(c.now)
-				c.output = &Output{}
+				c.output = &messages.Output{}
 				h.plan.capacityRequests = nil
 				for _, m := range h.machines {
 					m.contact.lastContact, m.contact.lastRenewal, m.instanceType, m.drain.reason = c.now, c.now, c.catalog["m"], notDraining
@@ -111,7 +113,7 @@
 		for _, r := range reports {
 			r.Sequence++
 			c.lastTick = 2 * micros.Second
-			c.Step(2*micros.Second, 2*micros.Second, &HeartbeatRequest{Request: 1, Heartbeat: r})
+			c.Step(2*micros.Second, 2*micros.Second, &messages.HeartbeatRequest{Request: 1, Heartbeat: r})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"slices"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 	"pipitlatch/internal/workload"
@@ -23,7 +25,7 @@
 	drain     drainState
 	runtime   runtimeRatio
 
-	attempts map[AttemptID]*attempt
+	attempts map[messages.AttemptID]*attempt
 	images   []image // most recently used last
 	commands commandQueue
 }
@@ -87,7 +89,7 @@
 
 // commandQueue holds the commands that wait to be sent to the machine's agent.
 type commandQueue struct {
-	outbox              []Command
+	outbox              []messages.Command
 	callInFlight        bool
 	nextCallAt          micros.Time
 	hasUnansweredStarts bool // some start command got no reply
@@ -246,7 +248,7 @@
 	left := m.lifecycle.preemptAt - p.core.now
 	for _, id := range sortedAttempts(m) {
 		a := m.attempts[id]
-		if a.state == Exited || a.stop.ordered || a.job == nil || a.job.Kind == workload.Service || p.remaining(a) <= left {
+		if a.state == messages.Exited || a.stop.ordered || a.job == nil || a.job.Kind == workload.Service || p.remaining(a) <= left {
 			continue
 		}
 		grace := micros.Time(0)
@@ -346,7 +348,7 @@
 		return false
 	}
 	for _, a := range m.attempts {
-		if a.state != Exited || !a.persisted || a.start.inFlight > 0 {
+		if a.state != messages.Exited || !a.persisted || a.start.inFlight > 0 {
 			return false
 		}
 	}
--- a/internal/coordination/messages.go
+++ b/internal/coordination/messages/messages.go
@@ -1,9 +1,12 @@
-// Package coordination is the service's core: a deterministic state machine.
-// Inputs (requests, completions, timers) go in; answers, calls and messages to
-// siblings come out. There is no clock, goroutine, lock or I/O inside.
-package coordination
+// Package messages holds what goes into the core and what comes out of it: requests of users and
+// agents, completions of calls, messages between controllers, and the responses, calls and log
+// records that a step of the core asks for. The transport layer carries them, package protocol
+// maps them to the wire.
+package messages
 
 import (
+	"cmp"
+
 	"pipitlatch/internal/admission"
 	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/micros"
@@ -43,6 +46,11 @@
 	Number uint64
 }
 
+// Compare orders attempts by job, task and number.
+func (id AttemptID) Compare(o AttemptID) int {
+	return cmp.Or(cmp.Compare(id.Job, o.Job), cmp.Compare(id.Task, o.Task), cmp.Compare(id.Number, o.Number))
+}
+
 // TaskStatus is one line of a worker's report.
 type TaskStatus struct {
 	AttemptID
@@ -132,8 +140,19 @@
 	Reply *AgentReply
 }
 
-// Input is one of the types above, a *Status of a sibling, or nil for a timer.
-type Input any
+// Input is an input of the core: a request, the completion of a call, or a peer's status. That
+// time has passed is no input: a step may have none.
+type Input interface{ isInput() }
+
+func (*Submit) isInput()           {}
+func (*Lookup) isInput()           {}
+func (*Cancel) isInput()           {}
+func (*LoadShed) isInput()         {}
+func (*HeartbeatRequest) isInput() {}
+func (*StoreCompletion) isInput()  {}
+func (*CloudCompletion) isInput()  {}
+func (*AgentCompletion) isInput()  {}
+func (*PeerStatus) isInput()       {}
 
 // ResponseKind is the kind of an answer.
 type ResponseKind uint8
@@ -328,3 +347,9 @@
 	Message    string
 	Attributes []any
 }
+
+// CancellationAck is how far the notices of a process came.
+type CancellationAck struct {
+	From storage.Process
+	UpTo uint64
+}
--- a/internal/coordination/objective_preemption.go
+++ b/internal/coordination/objective_preemption.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"slices"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 )
 
@@ -106,7 +108,7 @@
 	}
 	// The least work lost first.
 	slices.SortFunc(own, func(x, y *attempt) int {
-		return cmp.Or(cmp.Compare(p.occupiedFor(x), p.occupiedFor(y)), x.id.compare(y.id))
+		return cmp.Or(cmp.Compare(p.occupiedFor(x), p.occupiedFor(y)), x.id.Compare(y.id))
 	})
 	free := p.freeResources(m)
 	had := int(j.Resources.Count(free))
@@ -132,7 +134,7 @@
 
 // preemptible tells whether an attempt may be stopped for a job.
 func (p *partitionLeader) preemptible(r rankedJob, a *attempt, borrowed map[string]int64, limited bool) bool {
-	if a.state == Exited || a.stop.ordered || !a.start.reported || a.start.inFlight+a.start.unanswered > 0 || a.job == nil || a.job == r.job || a.job.plannedWithinGuarantee || a.job.preemptedOnce.Has(a.id.Task) {
+	if a.state == messages.Exited || a.stop.ordered || !a.start.reported || a.start.inFlight+a.start.unanswered > 0 || a.job == nil || a.job == r.job || a.job.plannedWithinGuarantee || a.job.preemptedOnce.Has(a.id.Task) {
 		return false
 	}
 	if limited {
--- a/internal/coordination/orphans.go
+++ b/internal/coordination/orphans.go
@@ -6,6 +6,8 @@
 	"slices"
 	"strings"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
@@ -15,7 +17,7 @@
 // one whose answer was lost. The report may be a late copy from a machine that was
 // deleted under an earlier leader: as a machine that had no task it holds up no
 // planning, and as one that does not answer it is soon deleted again.
-func (l *clusterLeader) heardFromUnmanaged(c *Core, r *Heartbeat) {
+func (l *clusterLeader) heardFromUnmanaged(c *Core, r *messages.Heartbeat) {
 	c.addOrphan(r.Machine, r.Address, provisioning.InstanceKind{InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot})
 }
 
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -6,6 +6,8 @@
 	"maps"
 	"slices"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
@@ -147,12 +149,12 @@
 
 // attempt is one attempt at a task, on its machine.
 type attempt struct {
-	id              AttemptID
+	id              messages.AttemptID
 	machine         *machine
 	job             *job // nil: the job is over or unknown
 	team            string
 	resources       workload.Resources
-	state           TaskState
+	state           messages.TaskState
 	persisted       bool // nothing of it is left to be stored
 	startedHere     bool // started by this partition leader
 	createdAt       micros.Time
@@ -265,7 +267,7 @@
 			address:     v.Value.Address,
 			contact:     contactState{lastContact: p.core.now},
 			lifecycle:   machineLifecycle{addedAt: p.core.now, idleSince: p.core.now},
-			attempts:    map[AttemptID]*attempt{},
+			attempts:    map[messages.AttemptID]*attempt{},
 		}
 		// Nobody starts tasks on a machine before the record says so, and a block
 		// that came after the lease was never a predecessor's.
@@ -311,12 +313,12 @@
 	p.plan.stale = true
 }
 
-func sortedAttempts(m *machine) []AttemptID {
-	out := make([]AttemptID, 0, len(m.attempts))
+func sortedAttempts(m *machine) []messages.AttemptID {
+	out := make([]messages.AttemptID, 0, len(m.attempts))
 	for id := range m.attempts {
 		out = append(out, id)
 	}
-	slices.SortFunc(out, AttemptID.compare)
+	slices.SortFunc(out, messages.AttemptID.Compare)
 	return out
 }
 
@@ -324,7 +326,7 @@
 func (j *job) sortedAttempts() []*attempt {
 	out := slices.Collect(maps.Keys(j.attempts))
 	slices.SortFunc(out, func(a, b *attempt) int {
-		return cmp.Or(cmp.Compare(a.machine.id, b.machine.id), a.id.compare(b.id))
+		return cmp.Or(cmp.Compare(a.machine.id, b.machine.id), a.id.Compare(b.id))
 	})
 	return out
 }
@@ -346,10 +348,6 @@
 	}
 }
 
-func (id AttemptID) compare(o AttemptID) int {
-	return cmp.Or(cmp.Compare(id.Job, o.Job), cmp.Compare(id.Task, o.Task), cmp.Compare(id.Number, o.Number))
-}
-
 func (p *partitionLeader) jobChanged(id string) {
 	e := p.core.cache.Jobs[id]
 	j := p.jobs[id]
@@ -406,7 +404,7 @@
 	for _, a := range j.sortedAttempts() {
 		a.job, a.persisted = nil, true
 		switch {
-		case a.state == Exited:
+		case a.state == messages.Exited:
 		case cancelled:
 			p.kill(a)
 		default:
@@ -424,13 +422,13 @@
 }
 
 func (p *partitionLeader) release(a *attempt) {
-	if a.state == Exited {
+	if a.state == messages.Exited {
 		return
 	}
-	a.state = Exited
+	a.state = messages.Exited
 	p.teamUsage[a.team] = p.teamUsage[a.team].Sub(a.resources)
 	for _, o := range a.machine.attempts {
-		if o.state != Exited {
+		if o.state != messages.Exited {
 			return
 		}
 	}
@@ -445,7 +443,7 @@
 	delete(a.job.activeAttempts, a.id.Task)
 	p.plan.stale = true
 	for i, o := range a.job.duplicateAttempts {
-		if o.id.Task == a.id.Task && o.state != Exited {
+		if o.id.Task == a.id.Task && o.state != messages.Exited {
 			a.job.duplicateAttempts = slices.Delete(a.job.duplicateAttempts, i, i+1)
 			a.job.activeAttempts[a.id.Task] = o
 			return
@@ -458,7 +456,7 @@
 
 // stopAttempt orders an attempt to end.
 func (p *partitionLeader) stopAttempt(a *attempt, grace micros.Time) {
-	if a.state == Exited || (a.stop.ordered && a.stop.gracePeriod <= grace) {
+	if a.state == messages.Exited || (a.stop.ordered && a.stop.gracePeriod <= grace) {
 		return
 	}
 	if !a.start.sent {
@@ -469,7 +467,7 @@
 	if a.stop.orderedAt == 0 {
 		a.stop.orderedAt = p.core.now
 	}
-	a.machine.commands.outbox = append(a.machine.commands.outbox, Command{Operation: Stop, AttemptID: a.id, GracePeriod: grace})
+	a.machine.commands.outbox = append(a.machine.commands.outbox, messages.Command{Operation: messages.Stop, AttemptID: a.id, GracePeriod: grace})
 }
 
 // revoke takes back an attempt whose start was not sent yet.
@@ -477,12 +475,12 @@
 	p.release(a)
 	p.requeue(a)
 	a.unindex()
-	a.machine.commands.outbox = slices.DeleteFunc(a.machine.commands.outbox, func(c Command) bool { return c.AttemptID == a.id })
+	a.machine.commands.outbox = slices.DeleteFunc(a.machine.commands.outbox, func(c messages.Command) bool { return c.AttemptID == a.id })
 }
 
 // status is what the leader is told of the queue.
-func (p *partitionLeader) status() PartitionStatus {
-	s := PartitionStatus{Partition: p.partition, FencingToken: p.lease.fencingToken, CapacityRequests: p.plan.capacityRequests, UnreachableZones: p.unreachableZones()}
+func (p *partitionLeader) status() messages.PartitionStatus {
+	s := messages.PartitionStatus{Partition: p.partition, FencingToken: p.lease.fencingToken, CapacityRequests: p.plan.capacityRequests, UnreachableZones: p.unreachableZones()}
 	if !p.core.term.Valid(p.core.now) {
 		return s
 	}
@@ -518,22 +516,22 @@
 
 // jobProgress tells how far jobs are, for display elsewhere. With more jobs than one
 // message takes, the next goes on where the last ended, so that none is left out.
-func (p *partitionLeader) jobProgress() []JobProgress {
+func (p *partitionLeader) jobProgress() []messages.JobProgress {
 	from, _ := slices.BinarySearchFunc(p.sortedJobs, p.progressCursor, func(j *job, id string) int { return cmp.Compare(j.ID, id) })
-	var out []JobProgress
+	var out []messages.JobProgress
 	for k := range p.sortedJobs {
 		j := p.sortedJobs[(from+k)%len(p.sortedJobs)]
 		if len(out) == maxProgressPerMessage {
 			p.progressCursor = j.ID
 			break
 		}
-		entry := JobProgress{ID: j.ID, Done: j.completedCount()}
+		entry := messages.JobProgress{ID: j.ID, Done: j.completedCount()}
 		for _, a := range j.activeAttempts {
-			if a.state == Running || a.state == Checkpointing {
+			if a.state == messages.Running || a.state == messages.Checkpointing {
 				entry.Running++
 			}
 		}
-		if entry.Running > 0 || entry.Done > 0 || p.core.progress[j.ID] != (JobProgress{}) {
+		if entry.Running > 0 || entry.Done > 0 || p.core.progress[j.ID] != (messages.JobProgress{}) {
 			out = append(out, entry)
 		}
 	}
@@ -543,7 +541,7 @@
 // transferMachine moves an empty machine to another queue: this holder has let go, and
 // both queues get new tokens in the same transaction, so that the machine obeys
 // the new holder only, and that one only after the machine acknowledged it.
-func (c *Core) transferMachine(s MachineTransfer) {
+func (c *Core) transferMachine(s messages.MachineTransfer) {
 	b, ok := c.cache.Machines[s.Machine]
 	h := c.partitions[b.Value.Partition]
 	if !ok || h == nil || s.ToPartition == h.partition || !c.term.Valid(c.now) {
--- a/internal/coordination/planning.go
+++ b/internal/coordination/planning.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"slices"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/coordination/scheduling"
 	"pipitlatch/internal/micros"
@@ -145,10 +147,10 @@
 			}
 			for _, a := range m.attempts {
 				switch {
-				case a.state == Exited:
+				case a.state == messages.Exited:
 				case a.job != nil && a.job.Kind == workload.Service:
 					services += a.resources.CPU
-				case a.state == Fetching:
+				case a.state == messages.Fetching:
 					fetching += a.resources.CPU
 				default:
 					running += a.resources.CPU
@@ -194,7 +196,7 @@
 	estimate := p.core.runtimes.Estimate(j.Job)
 	estimate = (estimate*estimateWeight + j.runtime.total) / micros.Time(estimateWeight+j.runtime.samples)
 	for _, a := range j.activeAttempts {
-		if a.state == Running && a.runningSince > 0 {
+		if a.state == messages.Running && a.runningSince > 0 {
 			estimate = max(estimate, p.core.now-a.runningSince)
 		}
 	}
@@ -225,7 +227,7 @@
 			pm.LossRate = p.core.spot.rate()
 		}
 		for _, a := range m.attempts { // in any order: the sums are the same
-			if a.state == Exited {
+			if a.state == messages.Exited {
 				continue
 			}
 			if a.job != nil && a.job.Kind == workload.Service {
@@ -315,13 +317,13 @@
 		return false
 	}
 	p.attemptCounter++
-	a := &attempt{id: AttemptID{j.ID, t, p.lease.fencingToken<<20 + p.attemptCounter}, machine: m, job: j, team: j.Team, resources: j.Resources,
+	a := &attempt{id: messages.AttemptID{Job: j.ID, Task: t, Number: p.lease.fencingToken<<20 + p.attemptCounter}, machine: m, job: j, team: j.Team, resources: j.Resources,
 		createdAt: p.core.now, plannedDuration: length, startedHere: true}
 	a.index()
 	j.activeAttempts[t] = a
 	j.pendingTasks.Remove(t)
 	p.reserve(a)
-	m.commands.outbox = append(m.commands.outbox, Command{Operation: Start, AttemptID: a.id})
+	m.commands.outbox = append(m.commands.outbox, messages.Command{Operation: messages.Start, AttemptID: a.id})
 	// Other tasks of the image need not wait for it as long.
 	m.useImage(j.Image, j.ImageGB)
 	return true
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"slices"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/coordination/scheduling"
 	"pipitlatch/internal/micros"
@@ -73,7 +75,7 @@
 	var lower []*attempt
 	for _, id := range sortedAttempts(m) {
 		a := m.attempts[id]
-		if a.state == Exited {
+		if a.state == messages.Exited {
 			continue
 		}
 		free = free.Sub(a.resources)
@@ -164,7 +166,7 @@
 		replicas := 0
 		room := m.instanceType.Capacity.CPU
 		for _, a := range m.attempts {
-			if a.state != Exited && a.job != nil && a.job.Kind == workload.Service {
+			if a.state != messages.Exited && a.job != nil && a.job.Kind == workload.Service {
 				replicas++
 				room -= a.resources.CPU
 			}
@@ -207,7 +209,7 @@
 		capacity += m.instanceType.Capacity.CPU
 		for _, a := range m.attempts {
 			switch {
-			case a.state == Exited:
+			case a.state == messages.Exited:
 			case a.job != nil && a.job.Kind == workload.Service:
 				services += a.resources.CPU
 			default:
@@ -270,7 +272,7 @@
 	}
 	free := m.instanceType.Capacity
 	for _, a := range m.attempts {
-		if a.state != Exited && (a.job == nil || a.job.Priority >= kind.Priority) {
+		if a.state != messages.Exited && (a.job == nil || a.job.Priority >= kind.Priority) {
 			free = free.Sub(a.resources)
 		}
 	}
@@ -332,7 +334,7 @@
 func (p *partitionLeader) freeResources(m *machine) workload.Resources {
 	free := m.instanceType.Capacity
 	for _, a := range m.attempts {
-		if a.state != Exited {
+		if a.state != messages.Exited {
 			free = free.Sub(a.resources)
 		}
 	}
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"slices"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 )
@@ -12,7 +14,7 @@
 // hear: whether they answer here. Nobody else can tell whether the machines are gone
 // or only out of that holder's reach.
 type reachabilityProbe struct {
-	results       []ZoneReachability
+	results       []messages.ZoneReachability
 	callsInFlight int // still out
 	sentAt        micros.Time
 	completedAt   micros.Time
@@ -28,7 +30,7 @@
 )
 
 // report is what siblings are told.
-func (r *reachabilityProbe) report(now micros.Time) []ZoneReachability {
+func (r *reachabilityProbe) report(now micros.Time) []messages.ZoneReachability {
 	if r.callsInFlight > 0 || r.completedAt == 0 || now-r.completedAt > probeResultTTL {
 		return nil
 	}
@@ -63,12 +65,12 @@
 		for _, zone := range sortedKeys(byZone) {
 			ids := byZone[zone]
 			k := min(len(ids), probeSample)
-			r.results = append(r.results, ZoneReachability{Partition: n, Zone: zone, Probed: k})
+			r.results = append(r.results, messages.ZoneReachability{Partition: n, Zone: zone, Probed: k})
 			at := len(r.results) - 1
 			for i := range k {
 				id := ids[i*len(ids)/k]
 				r.callsInFlight++
-				c.callAgent(AgentCall{Machine: id, Address: c.cache.Machines[id].Value.Address, StatusOnly: true, Timeout: micros.Second}, func(reply *AgentReply) {
+				c.callAgent(messages.AgentCall{Machine: id, Address: c.cache.Machines[id].Value.Address, StatusOnly: true, Timeout: micros.Second}, func(reply *messages.AgentReply) {
 					if reply.Heartbeat != nil && reply.Heartbeat.Machine == id {
 						r.results[at].Answered++
 					}
@@ -89,7 +91,7 @@
 	if p == nil || p.status.From != h || c.now-p.receivedAt > 2*micros.Second {
 		return c.now > c.startedAt+2*micros.Second
 	}
-	return slices.ContainsFunc(p.status.Partitions, func(q PartitionStatus) bool { return q.Partition == queue && len(q.UnreachableZones) > 0 })
+	return slices.ContainsFunc(p.status.Partitions, func(q messages.PartitionStatus) bool { return q.Partition == queue && len(q.UnreachableZones) > 0 })
 }
 
 // machinesInUse is how many machines of a queue are in use, by zone.
@@ -113,10 +115,12 @@
 	n := 0
 	for zone, machines := range c.machinesInUse(queue) {
 		if c.cache.Partitions[queue].Value.Leader == p {
-			if !slices.ContainsFunc(v.status.Partitions, func(q PartitionStatus) bool { return q.Partition == queue && slices.Contains(q.UnreachableZones, zone) }) {
+			if !slices.ContainsFunc(v.status.Partitions, func(q messages.PartitionStatus) bool {
+				return q.Partition == queue && slices.Contains(q.UnreachableZones, zone)
+			}) {
 				n += machines
 			}
-		} else if slices.ContainsFunc(v.status.Reachability, func(z ZoneReachability) bool {
+		} else if slices.ContainsFunc(v.status.Reachability, func(z messages.ZoneReachability) bool {
 			return z.Partition == queue && z.Zone == zone && z.Answered*2 >= z.Probed
 		}) {
 			n += machines
@@ -129,12 +133,12 @@
 // does not hear it: it would lose the time in which another could take over before its
 // lease ends. Either the holder said so, or it is not heard here and the worker, which
 // shows the holder's token, has left it.
-func (c *Core) unreachableFromLeader(r *Heartbeat, m storage.Machine, q storage.Versioned[storage.PartitionRecord]) bool {
+func (c *Core) unreachableFromLeader(r *messages.Heartbeat, m storage.Machine, q storage.Versioned[storage.PartitionRecord]) bool {
 	p := c.peers[q.Value.Leader.Member]
 	if p == nil || p.status.From != q.Value.Leader || c.now-p.receivedAt > 2*micros.Second {
 		return r.FencingToken == q.ModRevision
 	}
-	return slices.ContainsFunc(p.status.Partitions, func(s PartitionStatus) bool {
+	return slices.ContainsFunc(p.status.Partitions, func(s messages.PartitionStatus) bool {
 		return s.Partition == m.Partition && slices.Contains(s.UnreachableZones, m.Zone)
 	})
 }
@@ -261,7 +265,7 @@
 		if member == p.core.process.Member || p.core.now-peer.receivedAt > 2*micros.Second {
 			continue
 		}
-		i := slices.IndexFunc(peer.status.Reachability, func(z ZoneReachability) bool { return z.Partition == p.partition && z.Zone == zone })
+		i := slices.IndexFunc(peer.status.Reachability, func(z messages.ZoneReachability) bool { return z.Partition == p.partition && z.Zone == zone })
 		if i < 0 {
 			asked++
 		} else if z := peer.status.Reachability[i]; z.Answered*2 >= z.Probed {
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"slices"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
@@ -54,7 +56,7 @@
 		}
 	}
 	statuses := c.partitionStatuses()
-	slices.SortStableFunc(statuses, func(a, b PartitionStatus) int { return cmp.Compare(a.Partition, b.Partition) })
+	slices.SortStableFunc(statuses, func(a, b messages.PartitionStatus) int { return cmp.Compare(a.Partition, b.Partition) })
 	for _, q := range statuses {
 		var needs []provisioning.CapacityRequest
 		for _, service := range []bool{true, false} {
@@ -140,10 +142,10 @@
 	l := &c.leader
 	offer := provisioning.InstanceKind{InstanceType: rec.InstanceType, Zone: rec.Zone, Spot: rec.Spot}
 	l.scaling.requestsInFlight[name] = offer
-	c.callCloud(CloudCall{Operation: CloudRequestInstances, InstanceRequestID: name, InstanceRequest: provisioning.InstanceRequest{InstanceKind: offer, Count: rec.Requested}, Timeout: 4 * micros.Second}, func(r *CloudReply) {
+	c.callCloud(messages.CloudCall{Operation: messages.CloudRequestInstances, InstanceRequestID: name, InstanceRequest: provisioning.InstanceRequest{InstanceKind: offer, Count: rec.Requested}, Timeout: 4 * micros.Second}, func(r *messages.CloudReply) {
 		delete(l.scaling.requestsInFlight, name)
 		switch r.Outcome {
-		case CloudOK, CloudInsufficientCapacity:
+		case messages.CloudOK, messages.CloudInsufficientCapacity:
 			if len(r.Names) < rec.Requested {
 				l.scaling.capacity.Exhausted(offer, c.now)
 				l.scaling.nextScaleOutAt = c.now // what was missing may be had elsewhere
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 	"pipitlatch/internal/workload"
@@ -11,24 +13,24 @@
 // defaultRetryAfter is when a refused user may try again.
 const defaultRetryAfter = micros.Second
 
-func (c *Core) respond(a Response) { c.output.Responses = append(c.output.Responses, a) }
+func (c *Core) respond(a messages.Response) { c.output.Responses = append(c.output.Responses, a) }
 
-func (c *Core) respondUnavailable(id RequestID, why string) {
-	c.respond(Response{Request: id, Kind: ServiceUnavailable, Text: why, RetryAfter: defaultRetryAfter})
+func (c *Core) respondUnavailable(id messages.RequestID, why string) {
+	c.respond(messages.Response{Request: id, Kind: messages.ServiceUnavailable, Text: why, RetryAfter: defaultRetryAfter})
 }
 
 // respondIfFinal answers from what can never change, if it is known.
-func (c *Core) respondIfFinal(req RequestID, id string) bool {
+func (c *Core) respondIfFinal(req messages.RequestID, id string) bool {
 	e := c.cache.Jobs[id]
 	if e == nil || (e.Job.Phase == workload.Active && !e.CancelledByDependency) {
 		return false
 	}
-	c.respond(Response{Request: req, Kind: JobFound, Job: c.jobStatus(e)})
+	c.respond(messages.Response{Request: req, Kind: messages.JobFound, Job: c.jobStatus(e)})
 	return true
 }
 
-func (c *Core) jobStatus(e *storage.JobEntry) JobStatus {
-	v := JobStatus{ID: e.Job.ID, Phase: e.Job.Phase}
+func (c *Core) jobStatus(e *storage.JobEntry) messages.JobStatus {
+	v := messages.JobStatus{ID: e.Job.ID, Phase: e.Job.Phase}
 	if e.CancelledByDependency {
 		v.Phase = workload.Cancelled
 	}
@@ -47,7 +49,7 @@
 
 // respondStatusOr answers with the job's state as it is now, or calls missing if there
 // is no such job.
-func (c *Core) respondStatusOr(req RequestID, id string, missing func()) {
+func (c *Core) respondStatusOr(req messages.RequestID, id string, missing func()) {
 	if c.respondIfFinal(req, id) {
 		return
 	}
@@ -62,7 +64,7 @@
 					c.respondUnavailable(req, "the state service does not answer")
 					return
 				}
-				c.respond(Response{Request: req, Kind: JobFound, Job: c.jobStatus(e)})
+				c.respond(messages.Response{Request: req, Kind: messages.JobFound, Job: c.jobStatus(e)})
 			})
 		default:
 			c.lookupArchived(id, func(e *storage.JobEntry, ok bool) {
@@ -70,7 +72,7 @@
 				case !ok:
 					c.respondUnavailable(req, "the state service does not answer")
 				case e != nil:
-					c.respond(Response{Request: req, Kind: JobFound, Job: c.jobStatus(e)})
+					c.respond(messages.Response{Request: req, Kind: messages.JobFound, Job: c.jobStatus(e)})
 				default:
 					missing()
 				}
@@ -79,14 +81,14 @@
 	})
 }
 
-func (c *Core) lookup(in *Lookup) {
-	c.respondStatusOr(in.Request, in.ID, func() { c.respond(Response{Request: in.Request, Kind: JobNotFound}) })
+func (c *Core) lookup(in *messages.Lookup) {
+	c.respondStatusOr(in.Request, in.ID, func() { c.respond(messages.Response{Request: in.Request, Kind: messages.JobNotFound}) })
 }
 
-func (c *Core) submit(in *Submit) {
+func (c *Core) submit(in *messages.Submit) {
 	req, id := in.Request, in.ID
 	if id == "" {
-		c.respond(Response{Request: req, Kind: RequestMalformed, Text: in.Fault})
+		c.respond(messages.Response{Request: req, Kind: messages.RequestMalformed, Text: in.Fault})
 		return
 	}
 	if c.cache.Jobs[id] != nil {
@@ -96,7 +98,7 @@
 	// A job that is known already gets 200 whatever its repetition looks like, so
 	// faults are told only after the record was looked up.
 	if in.Job == nil {
-		c.respondStatusOr(req, id, func() { c.respond(Response{Request: req, Kind: RequestMalformed, Text: in.Fault}) })
+		c.respondStatusOr(req, id, func() { c.respond(messages.Response{Request: req, Kind: messages.RequestMalformed, Text: in.Fault}) })
 		return
 	}
 	if !c.storeReachable() {
@@ -131,12 +133,12 @@
 
 // rejectUnschedulable refuses a job that can never run, unless it is known: then its user is told
 // of it, whatever the repeated submission looks like.
-func (c *Core) rejectUnschedulable(req RequestID, id, why string) {
-	c.respondStatusOr(req, id, func() { c.respond(Response{Request: req, Kind: JobUnschedulable, Text: why}) })
+func (c *Core) rejectUnschedulable(req messages.RequestID, id, why string) {
+	c.respondStatusOr(req, id, func() { c.respond(messages.Response{Request: req, Kind: messages.JobUnschedulable, Text: why}) })
 }
 
 // accept writes a job's record, by which it is accepted, under further conditions.
-func (c *Core) accept(req RequestID, job *workload.Job, urgency storage.Urgency, conditions ...storage.Compare) {
+func (c *Core) accept(req messages.RequestID, job *workload.Job, urgency storage.Urgency, conditions ...storage.Compare) {
 	id := job.ID
 	key, value := c.keys.Job(id), storage.Encode(job)
 	if len(value) > c.config.Settings.MaxValue() {
@@ -150,7 +152,7 @@
 		switch r.Outcome {
 		case storage.OK:
 			c.countAccepted(job)
-			c.respond(Response{Request: req, Kind: JobAccepted, Job: JobStatus{ID: id, Phase: job.Phase}})
+			c.respond(messages.Response{Request: req, Kind: messages.JobAccepted, Job: messages.JobStatus{ID: id, Phase: job.Phase}})
 		case storage.Conflict:
 			c.respondStatusOr(req, id, func() { c.respondUnavailable(req, "try again") })
 		case storage.Unavailable:
@@ -162,7 +164,7 @@
 	})
 	if !sent {
 		c.countShed()
-		c.respond(Response{Request: req, Kind: Overloaded, Text: "too many changes", RetryAfter: defaultRetryAfter})
+		c.respond(messages.Response{Request: req, Kind: messages.Overloaded, Text: "too many changes", RetryAfter: defaultRetryAfter})
 	}
 }
 
@@ -180,9 +182,9 @@
 	return ""
 }
 
-func (c *Core) cancel(in *Cancel) { c.tryCancel(in, 3) }
+func (c *Core) cancel(in *messages.Cancel) { c.tryCancel(in, 3) }
 
-func (c *Core) tryCancel(in *Cancel, tries int) {
+func (c *Core) tryCancel(in *messages.Cancel, tries int) {
 	if c.respondIfFinal(in.Request, in.ID) {
 		return
 	}
@@ -193,7 +195,7 @@
 			case !ok || tries <= 0:
 				c.respondUnavailable(in.Request, "the state service does not answer")
 			case c.cache.Jobs[in.ID] == nil:
-				c.respondStatusOr(in.Request, in.ID, func() { c.respond(Response{Request: in.Request, Kind: JobNotFound}) })
+				c.respondStatusOr(in.Request, in.ID, func() { c.respond(messages.Response{Request: in.Request, Kind: messages.JobNotFound}) })
 			default:
 				c.tryCancel(in, tries-1)
 			}
@@ -217,7 +219,7 @@
 		switch {
 		case r.Outcome == storage.OK:
 			c.noteCancellation(in.ID, r.Revision, true)
-			c.respond(Response{Request: in.Request, Kind: JobFound, Job: JobStatus{ID: in.ID, Phase: workload.Cancelled}})
+			c.respond(messages.Response{Request: in.Request, Kind: messages.JobFound, Job: messages.JobStatus{ID: in.ID, Phase: workload.Cancelled}})
 		case r.Outcome == storage.Conflict && tries > 0:
 			c.linearizableRead(func(ok bool) {
 				if !ok {
@@ -231,6 +233,6 @@
 		}
 	})
 	if !sent {
-		c.respond(Response{Request: in.Request, Kind: Overloaded, Text: "too many changes", RetryAfter: defaultRetryAfter})
+		c.respond(messages.Response{Request: in.Request, Kind: messages.Overloaded, Text: "too many changes", RetryAfter: defaultRetryAfter})
 	}
 }
--- a/internal/protocol/agents.go
+++ b/internal/protocol/agents.go
@@ -5,7 +5,8 @@
 	"errors"
 	"fmt"
 
-	"pipitlatch/internal/coordination"
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 )
 
@@ -29,18 +30,18 @@
 }
 
 var (
-	taskStates = map[string]coordination.TaskState{
-		"fetching": coordination.Fetching, "running": coordination.Running, "saving": coordination.Checkpointing, "exited": coordination.Exited,
+	taskStates = map[string]messages.TaskState{
+		"fetching": messages.Fetching, "running": messages.Running, "saving": messages.Checkpointing, "exited": messages.Exited,
 	}
-	causes = map[string]coordination.ExitReason{
-		"done": coordination.ExitCompleted, "stopped": coordination.ExitStopped, "error": coordination.ExitFailed,
-		"no_room": coordination.ExitInsufficientResources, "busy": coordination.ExitDuplicateTask, "unknown": coordination.ExitUnknownTask,
+	causes = map[string]messages.ExitReason{
+		"done": messages.ExitCompleted, "stopped": messages.ExitStopped, "error": messages.ExitFailed,
+		"no_room": messages.ExitInsufficientResources, "busy": messages.ExitDuplicateTask, "unknown": messages.ExitUnknownTask,
 	}
-	verbs = map[coordination.Operation]string{coordination.Start: "run", coordination.Stop: "kill", coordination.Forget: "forget"}
+	verbs = map[messages.Operation]string{messages.Start: "run", messages.Stop: "kill", messages.Forget: "forget"}
 )
 
 // ParseHeartbeat reads a worker's report.
-func ParseHeartbeat(body []byte) (*coordination.Heartbeat, error) {
+func ParseHeartbeat(body []byte) (*messages.Heartbeat, error) {
 	var r report
 	if err := json.Unmarshal(body, &r); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
@@ -48,7 +49,7 @@
 	if r.Host == "" || len(r.Host) > 150 || r.Tenure == 0 {
 		return nil, errors.New("report: host or tenure is missing")
 	}
-	out := &coordination.Heartbeat{Machine: r.Host, Address: r.Endpoint, InstanceType: r.Hull, Zone: r.Berth, Spot: r.Loaners,
+	out := &messages.Heartbeat{Machine: r.Host, Address: r.Endpoint, InstanceType: r.Hull, Zone: r.Berth, Spot: r.Loaners,
 		AgentEpoch: r.Tenure, Sequence: r.Tick, FencingToken: r.Warrant, PreemptionNotice: -1}
 	if r.RecallS != nil {
 		out.PreemptionNotice = max(0, micros.FromSeconds(*r.RecallS))
@@ -62,11 +63,11 @@
 		if !ok {
 			return nil, fmt.Errorf("report: task %s in an unknown state %q", s.Shard, s.Phase)
 		}
-		t := coordination.TaskStatus{AttemptID: coordination.AttemptID{Job: job, Task: task, Number: s.Try}, State: state, Checkpointed: s.Stored}
-		if state == coordination.Exited {
+		t := messages.TaskStatus{AttemptID: messages.AttemptID{Job: job, Task: task, Number: s.Try}, State: state, Checkpointed: s.Stored}
+		if state == messages.Exited {
 			// A cause that is not known here counts as a stop: nothing is believed done.
 			if t.ExitReason, ok = causes[s.Cause]; !ok {
-				t.ExitReason = coordination.ExitStopped
+				t.ExitReason = messages.ExitStopped
 			}
 		}
 		out.Tasks = append(out.Tasks, t)
@@ -81,11 +82,11 @@
 	WindDownS *float64 `json:"wind_down_s,omitempty"`
 }
 
-func commandMessages(cmds []coordination.Command) []order {
+func commandMessages(cmds []messages.Command) []order {
 	out := make([]order, 0, len(cmds))
 	for _, c := range cmds {
 		o := order{Verb: verbs[c.Operation], Shard: taskID(c.Job, c.Task), Try: c.Number}
-		if c.Operation == coordination.Stop {
+		if c.Operation == messages.Stop {
 			s := micros.Seconds(c.GracePeriod)
 			o.WindDownS = &s
 		}
@@ -95,7 +96,7 @@
 }
 
 // EncodeHeartbeatReply writes the answer to a report.
-func EncodeHeartbeatReply(token uint64, cmds []coordination.Command) []byte {
+func EncodeHeartbeatReply(token uint64, cmds []messages.Command) []byte {
 	return mustJSON(struct {
 		Warrant uint64  `json:"warrant"`
 		Orders  []order `json:"orders"`
@@ -110,7 +111,7 @@
 }
 
 // EncodeCommands writes commands that go straight to a worker.
-func EncodeCommands(c *coordination.AgentCall) []byte {
+func EncodeCommands(c *messages.AgentCall) []byte {
 	return mustJSON(struct {
 		Warrant uint64  `json:"warrant"`
 		Tenure  uint64  `json:"tenure"`
@@ -119,13 +120,13 @@
 }
 
 // DecodeAgent reads a worker's answer; anything but a report counts as none.
-func DecodeAgent(status int, body []byte) *coordination.AgentReply {
+func DecodeAgent(status int, body []byte) *messages.AgentReply {
 	if status != 200 && status != 409 {
-		return &coordination.AgentReply{}
+		return &messages.AgentReply{}
 	}
 	r, err := ParseHeartbeat(body)
 	if err != nil {
-		return &coordination.AgentReply{}
+		return &messages.AgentReply{}
 	}
-	return &coordination.AgentReply{Executed: status == 200, Heartbeat: r}
+	return &messages.AgentReply{Executed: status == 200, Heartbeat: r}
 }
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -6,7 +6,8 @@
 	"net/url"
 	"strconv"
 
-	"pipitlatch/internal/coordination"
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/workload"
 )
@@ -19,9 +20,9 @@
 }
 
 // EncodeCloudRequest writes a request to the cloud.
-func EncodeCloudRequest(c *coordination.CloudCall) HTTPRequest {
+func EncodeCloudRequest(c *messages.CloudCall) HTTPRequest {
 	switch c.Operation {
-	case coordination.CloudRequestInstances:
+	case messages.CloudRequestInstances:
 		return HTTPRequest{"POST", "/machines", mustJSON(struct {
 			Charter string `json:"charter"`
 			Hull    string `json:"hull"`
@@ -29,11 +30,11 @@
 			Loaners bool   `json:"loaners"`
 			Count   int    `json:"count"`
 		}{c.InstanceRequestID, c.InstanceRequest.InstanceType, c.InstanceRequest.Zone, c.InstanceRequest.Spot, c.InstanceRequest.Count})}
-	case coordination.CloudTerminate:
+	case messages.CloudTerminate:
 		return HTTPRequest{"POST", "/machines/delete", mustJSON(struct {
 			Hosts []string `json:"hosts"`
 		}{c.Names})}
-	case coordination.CloudList:
+	case messages.CloudList:
 		q := url.Values{"page": {strconv.Itoa(c.Limit)}}
 		if c.After != "" {
 			q.Set("after", c.After)
@@ -59,31 +60,31 @@
 
 // DecodeCloudReply reads the cloud's answer. One that cannot be read counts as lost:
 // what it was about may have happened.
-func DecodeCloudReply(kind coordination.CloudOperation, status int, body []byte) (*coordination.CloudReply, error) {
-	lost := &coordination.CloudReply{Outcome: coordination.CloudOutcomeUnknown}
+func DecodeCloudReply(kind messages.CloudOperation, status int, body []byte) (*messages.CloudReply, error) {
+	lost := &messages.CloudReply{Outcome: messages.CloudOutcomeUnknown}
 	switch status {
 	case 200:
 	case 429:
-		return &coordination.CloudReply{Outcome: coordination.CloudRejected}, nil
+		return &messages.CloudReply{Outcome: messages.CloudRejected}, nil
 	case 503:
 		var e struct {
 			Error string `json:"error"`
 		}
-		if err := json.Unmarshal(body, &e); err == nil && e.Error == "no capacity" && kind == coordination.CloudRequestInstances {
-			return &coordination.CloudReply{Outcome: coordination.CloudInsufficientCapacity}, nil
+		if err := json.Unmarshal(body, &e); err == nil && e.Error == "no capacity" && kind == messages.CloudRequestInstances {
+			return &messages.CloudReply{Outcome: messages.CloudInsufficientCapacity}, nil
 		}
-		return &coordination.CloudReply{Outcome: coordination.CloudRejected}, nil
+		return &messages.CloudReply{Outcome: messages.CloudRejected}, nil
 	default:
 		return lost, fmt.Errorf("cloud: status %d", status)
 	}
-	out := &coordination.CloudReply{Outcome: coordination.CloudOK}
+	out := &messages.CloudReply{Outcome: messages.CloudOK}
 	var err error
 	switch kind {
-	case coordination.CloudCatalog:
+	case messages.CloudCatalog:
 		out.Catalog, err = decodeCatalog(body)
-	case coordination.CloudRequestInstances:
+	case messages.CloudRequestInstances:
 		out.Names, err = decodeInstanceRequest(body)
-	case coordination.CloudList:
+	case messages.CloudList:
 		out.Instances, out.More, err = decodeInstances(body)
 	}
 	if err != nil {
@@ -129,7 +130,7 @@
 	return h.Hosts, nil
 }
 
-func decodeInstances(body []byte) (machines []coordination.Instance, more bool, err error) {
+func decodeInstances(body []byte) (machines []messages.Instance, more bool, err error) {
 	var l struct {
 		Hosts []struct {
 			Ref      string  `json:"ref"`
@@ -149,7 +150,7 @@
 		if h.Ref == "" || len(h.Ref) > maxMachineName {
 			continue
 		}
-		machines = append(machines, coordination.Instance{Machine: h.Ref, Address: h.Endpoint, InstanceType: h.Hull, Zone: h.Berth,
+		machines = append(machines, messages.Instance{Machine: h.Ref, Address: h.Endpoint, InstanceType: h.Hull, Zone: h.Berth,
 			Spot: h.Loaners, Running: h.Phase == "running", Failed: h.Phase == "failed", Age: micros.FromSeconds(h.HeldS)})
 	}
 	return machines, l.HasNext, nil
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -3,10 +3,11 @@
 import (
 	"fmt"
 
+	"pipitlatch/internal/coordination/messages"
+
 	flatbuffers "github.com/google/flatbuffers/go"
 
 	"pipitlatch/internal/admission"
-	"pipitlatch/internal/coordination"
 	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/protocol/wire"
 	"pipitlatch/internal/storage"
@@ -35,7 +36,7 @@
 }
 
 // EncodePeerStatus writes a message to a sibling.
-func EncodePeerStatus(s *coordination.PeerStatus) []byte {
+func EncodePeerStatus(s *messages.PeerStatus) []byte {
 	b := flatbuffers.NewBuilder(1024)
 	queues, shifts, progress := encodePartitions(b, s.Partitions), encodeTransfers(b, s.Transfers), encodeProgress(b, s.Progress)
 	reach, heard := encodeReachability(b, s.Reachability), encodeCancellationAcks(b, s.CancellationAcks)
@@ -64,7 +65,7 @@
 	return b.FinishedBytes()
 }
 
-func encodePartitions(b *flatbuffers.Builder, list []coordination.PartitionStatus) flatbuffers.UOffsetT {
+func encodePartitions(b *flatbuffers.Builder, list []messages.PartitionStatus) flatbuffers.UOffsetT {
 	var queues []flatbuffers.UOffsetT
 	for _, q := range list {
 		needs, release, idle, lost := encodeCapacityRequests(b, q.CapacityRequests), strings(b, q.Terminate), strings(b, q.Idle), strings(b, q.UnreachableZones)
@@ -103,7 +104,7 @@
 	return vector(b, needs)
 }
 
-func encodeTransfers(b *flatbuffers.Builder, list []coordination.MachineTransfer) flatbuffers.UOffsetT {
+func encodeTransfers(b *flatbuffers.Builder, list []messages.MachineTransfer) flatbuffers.UOffsetT {
 	var shifts []flatbuffers.UOffsetT
 	for _, sh := range list {
 		m := b.CreateString(sh.Machine)
@@ -115,7 +116,7 @@
 	return vector(b, shifts)
 }
 
-func encodeProgress(b *flatbuffers.Builder, list []coordination.JobProgress) flatbuffers.UOffsetT {
+func encodeProgress(b *flatbuffers.Builder, list []messages.JobProgress) flatbuffers.UOffsetT {
 	var progress []flatbuffers.UOffsetT
 	for _, p := range list {
 		id := b.CreateString(p.ID)
@@ -128,7 +129,7 @@
 	return vector(b, progress)
 }
 
-func encodeReachability(b *flatbuffers.Builder, list []coordination.ZoneReachability) flatbuffers.UOffsetT {
+func encodeReachability(b *flatbuffers.Builder, list []messages.ZoneReachability) flatbuffers.UOffsetT {
 	var reach []flatbuffers.UOffsetT
 	for _, z := range list {
 		zone := b.CreateString(z.Zone)
@@ -142,7 +143,7 @@
 	return vector(b, reach)
 }
 
-func encodeCancellationAcks(b *flatbuffers.Builder, list []coordination.CancellationAck) flatbuffers.UOffsetT {
+func encodeCancellationAcks(b *flatbuffers.Builder, list []messages.CancellationAck) flatbuffers.UOffsetT {
 	var heard []flatbuffers.UOffsetT
 	for _, h := range list {
 		member, incarnation := b.CreateString(h.From.Member), b.CreateString(h.From.Incarnation)
@@ -229,7 +230,7 @@
 
 // DecodePeerStatus reads a message from a sibling. FlatBuffers are not verified when
 // they are read, so a damaged one ends in a panic, which becomes an error here.
-func DecodePeerStatus(raw []byte) (s *coordination.PeerStatus, err error) {
+func DecodePeerStatus(raw []byte) (s *messages.PeerStatus, err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			s, err = nil, fmt.Errorf("damaged status: %v", r)
@@ -239,20 +240,20 @@
 		return nil, fmt.Errorf("damaged status: %d bytes", len(raw))
 	}
 	w := wire.GetRootAsStatus(raw, 0)
-	s = &coordination.PeerStatus{From: storage.Process{Member: string(w.Member()), Incarnation: string(w.Incarnation())},
+	s = &messages.PeerStatus{From: storage.Process{Member: string(w.Member()), Incarnation: string(w.Incarnation())},
 		Revision: w.Revision(), StoreReachable: w.StateOk(), TerminatedMachines: stringList(w.GoneLength(), w.Gone),
 		Usage:     storage.Usage{Requests: w.Requests(), Writes: w.Writes()},
 		Cancelled: stringList(w.CancelledLength(), w.Cancelled), CancelledUpTo: w.CancelledUpTo()}
 	for i := range w.CancelsHeardLength() {
 		var h wire.CancelsHeard
 		w.CancelsHeard(&h, i)
-		s.CancellationAcks = append(s.CancellationAcks, coordination.CancellationAck{
+		s.CancellationAcks = append(s.CancellationAcks, messages.CancellationAck{
 			From: storage.Process{Member: string(h.Member()), Incarnation: string(h.Incarnation())}, UpTo: h.UpTo()})
 	}
 	for i := range w.ReachLength() {
 		var z wire.ZoneReach
 		w.Reach(&z, i)
-		s.Reachability = append(s.Reachability, coordination.ZoneReachability{Partition: int(z.Queue()), Zone: string(z.Zone()), Probed: int(z.Asked()), Answered: int(z.Answered())})
+		s.Reachability = append(s.Reachability, messages.ZoneReachability{Partition: int(z.Queue()), Zone: string(z.Zone()), Probed: int(z.Asked()), Answered: int(z.Answered())})
 	}
 	for i := range w.QueuesLength() {
 		var q wire.QueueStatus
@@ -262,12 +263,12 @@
 	for i := range w.ShiftsLength() {
 		var sh wire.Shift
 		w.Shifts(&sh, i)
-		s.Transfers = append(s.Transfers, coordination.MachineTransfer{Machine: string(sh.Machine()), ToPartition: int(sh.To())})
+		s.Transfers = append(s.Transfers, messages.MachineTransfer{Machine: string(sh.Machine()), ToPartition: int(sh.To())})
 	}
 	for i := range w.ProgressLength() {
 		var p wire.Progress
 		w.Progress(&p, i)
-		s.Progress = append(s.Progress, coordination.JobProgress{ID: string(p.Job()), Done: int(p.Done()), Running: int(p.Running())})
+		s.Progress = append(s.Progress, messages.JobProgress{ID: string(p.Job()), Done: int(p.Done()), Running: int(p.Running())})
 	}
 	if demand := w.Demand(nil); demand != nil {
 		// What is wrong with it must not lose what else the message tells.
@@ -281,8 +282,8 @@
 	return s, nil
 }
 
-func decodePartition(q *wire.QueueStatus) coordination.PartitionStatus {
-	out := coordination.PartitionStatus{Partition: int(q.Queue()), FencingToken: q.Token(),
+func decodePartition(q *wire.QueueStatus) messages.PartitionStatus {
+	out := messages.PartitionStatus{Partition: int(q.Queue()), FencingToken: q.Token(),
 		Terminate: stringList(q.ReleaseLength(), q.Release), Idle: stringList(q.IdleLength(), q.Idle), UnreachableZones: stringList(q.LostLength(), q.Lost)}
 	for k := range q.LagsLength() {
 		var l wire.FlowLag
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -6,10 +6,11 @@
 	gostrings "strings"
 	"testing"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pgregory.net/rapid"
 
 	"pipitlatch/internal/admission"
-	"pipitlatch/internal/coordination"
 	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/storage"
 	"pipitlatch/internal/workload"
@@ -56,15 +57,15 @@
 }
 
 func TestStatusRoundTrip(t *testing.T) {
-	s := &coordination.PeerStatus{From: storage.Process{Member: "a", Incarnation: "x"}, Revision: 77, StoreReachable: true,
-		Partitions: []coordination.PartitionStatus{{Partition: 1, FencingToken: 9, UnreachableZones: []string{"a", "b"}, Terminate: []string{"vm-1"}, Idle: []string{"vm-2", "vm-3"},
+	s := &messages.PeerStatus{From: storage.Process{Member: "a", Incarnation: "x"}, Revision: 77, StoreReachable: true,
+		Partitions: []messages.PartitionStatus{{Partition: 1, FencingToken: 9, UnreachableZones: []string{"a", "b"}, Terminate: []string{"vm-1"}, Idle: []string{"vm-2", "vm-3"},
 			CapacityRequests: []provisioning.CapacityRequest{{Resources: workload.Resources{CPU: 1, GPU: 2, Mem: 3}, Count: 4, Spot: true, InstanceTypes: []string{"t"}, Zone: "z",
 				Service: true, Replicas: 5, Urgent: true, Hold: 6}}}},
-		TerminatedMachines: []string{"vm-9"}, Transfers: []coordination.MachineTransfer{{Machine: "vm-4", ToPartition: 1}},
-		Progress: []coordination.JobProgress{{ID: "wk-1", Done: 2, Running: 3}},
-		Usage:    storage.Usage{Requests: 1500, Writes: 2500}, Reachability: []coordination.ZoneReachability{{Partition: 1, Zone: "a", Probed: 8, Answered: 5}},
+		TerminatedMachines: []string{"vm-9"}, Transfers: []messages.MachineTransfer{{Machine: "vm-4", ToPartition: 1}},
+		Progress: []messages.JobProgress{{ID: "wk-1", Done: 2, Running: 3}},
+		Usage:    storage.Usage{Requests: 1500, Writes: 2500}, Reachability: []messages.ZoneReachability{{Partition: 1, Zone: "a", Probed: 8, Answered: 5}},
 		Cancelled: []string{"wk-7", "wk-8"}, CancelledUpTo: 12,
-		CancellationAcks: []coordination.CancellationAck{{From: storage.Process{Member: "b", Incarnation: "y"}, UpTo: 3}}}
+		CancellationAcks: []messages.CancellationAck{{From: storage.Process{Member: "b", Incarnation: "y"}, UpTo: 3}}}
 	got, err := DecodePeerStatus(EncodePeerStatus(s))
 	if err != nil || !reflect.DeepEqual(got, s) {
 		t.Errorf("got %+v, %v", got, err)
@@ -73,7 +74,7 @@
 
 // TestDamagedInput feeds noise to every decoder: none may panic.
 func TestDamagedInput(t *testing.T) {
-	raw := EncodePeerStatus(&coordination.PeerStatus{From: storage.Process{Member: "a"}, TerminatedMachines: []string{"vm-1", "vm-2"}})
+	raw := EncodePeerStatus(&messages.PeerStatus{From: storage.Process{Member: "a"}, TerminatedMachines: []string{"vm-1", "vm-2"}})
 	rapid.Check(t, func(t *rapid.T) {
 		b := append([]byte(nil), raw...)
 		for range rapid.IntRange(1, 8).Draw(t, "damage") {
@@ -88,7 +89,7 @@
 				if r, _ := DecodeStoreReply(storage.Watch, status, body); r == nil {
 					t.Fatal("no reply")
 				}
-				if r, _ := DecodeCloudReply(coordination.CloudList, status, body); r == nil {
+				if r, _ := DecodeCloudReply(messages.CloudList, status, body); r == nil {
 					t.Fatal("no reply")
 				}
 				if DecodeAgent(status, body) == nil {
@@ -103,7 +104,7 @@
 	if r, err := DecodeStoreReply(storage.Txn, 200, []byte("<html>")); r.Outcome != storage.OutcomeUnknown || err == nil {
 		t.Errorf("state: %v %v", r.Outcome, err)
 	}
-	if r, err := DecodeCloudReply(coordination.CloudRequestInstances, 200, []byte(`{"hosts":[""]}`)); r.Outcome != coordination.CloudOutcomeUnknown || err == nil {
+	if r, err := DecodeCloudReply(messages.CloudRequestInstances, 200, []byte(`{"hosts":[""]}`)); r.Outcome != messages.CloudOutcomeUnknown || err == nil {
 		t.Errorf("cloud: %v %v", r.Outcome, err)
 	}
 	if r := DecodeAgent(200, []byte(`{"host":"vm-1","tenure":1,"shards":[{"shard":"wk-1/0","try":1,"phase":"dreaming"}]}`)); r.Heartbeat != nil {
@@ -134,7 +135,7 @@
 	tracker.Admitted(1, flow)
 	tracker.Refused(1)
 	demand := tracker.Demand(2)
-	s := &coordination.PeerStatus{From: storage.Process{Member: "a", Incarnation: "x"}, Demand: &demand, Partitions: []coordination.PartitionStatus{{
+	s := &messages.PeerStatus{From: storage.Process{Member: "a", Incarnation: "x"}, Demand: &demand, Partitions: []messages.PartitionStatus{{
 		Partition: 1, FencingToken: 9, Lags: []admission.FlowLag{{Flow: flow, Lag: admission.Lag{Team: 5, Class: -7}}}}}}
 	raw := EncodePeerStatus(s)
 	got, err := DecodePeerStatus(raw)
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -11,7 +11,8 @@
 	"strconv"
 	gostrings "strings"
 
-	"pipitlatch/internal/coordination"
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/workload"
 )
@@ -185,7 +186,7 @@
 }
 
 // EncodeJobStatus writes a job's state.
-func EncodeJobStatus(v coordination.JobStatus) []byte {
+func EncodeJobStatus(v messages.JobStatus) []byte {
 	s := JobState{v.ID, "queued", v.Done, v.Running}
 	switch {
 	case v.Phase == workload.Done:
--- a/internal/scenario/admission_test.go
+++ b/internal/scenario/admission_test.go
@@ -4,7 +4,8 @@
 	"fmt"
 	"strings"
 
-	"pipitlatch/internal/coordination"
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 )
 
@@ -37,7 +38,7 @@
 
 // hearLog holds what a controller logs of admission against the rule that no reference gets
 // two verdicts in one epoch, whichever nodes it asks.
-func (w *World) hearLog(l coordination.LogRecord) {
+func (w *World) hearLog(l messages.LogRecord) {
 	if l.Message != "admission verdict" && l.Message != "flow behind its fair share" {
 		return
 	}
--- a/internal/scenario/checks_test.go
+++ b/internal/scenario/checks_test.go
@@ -5,7 +5,8 @@
 	"strings"
 	"testing"
 
-	"pipitlatch/internal/coordination"
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/protocol"
 )
@@ -79,7 +80,7 @@
 	},
 	"two_verdicts": func(w checkWorld) {
 		for _, admit := range []bool{true, false} {
-			w.hearLog(coordination.LogRecord{Message: "admission verdict", Attributes: []any{"job", "wk-000001", "epoch", uint64(2), "leader", uint64(1), "admit", admit}})
+			w.hearLog(messages.LogRecord{Message: "admission verdict", Attributes: []any{"job", "wk-000001", "epoch", uint64(2), "leader", uint64(1), "admit", admit}})
 		}
 	},
 	"accepted_twice": func(w checkWorld) {
--- a/internal/scenario/digest_test.go
+++ b/internal/scenario/digest_test.go
@@ -15,7 +15,8 @@
 	"strconv"
 	"strings"
 
-	"pipitlatch/internal/coordination"
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/protocol"
 )
@@ -130,7 +131,7 @@
 }
 
 // command records a call to a worker.
-func (d *digest) command(n *node, c *coordination.AgentCall, body []byte) {
+func (d *digest) command(n *node, c *messages.AgentCall, body []byte) {
 	kind := "worker:commands"
 	if c.StatusOnly {
 		kind = "worker:show"
@@ -141,7 +142,7 @@
 // status records a message to a sibling. The bytes of a sketch depend on the order in which
 // Go goes through a map, though its contents do not: they are brought into one order first,
 // in a copy.
-func (d *digest) status(n *node, p coordination.PeerMessage, raw []byte) {
+func (d *digest) status(n *node, p messages.PeerMessage, raw []byte) {
 	if d == nil {
 		return
 	}
@@ -161,29 +162,29 @@
 
 // answer records an answer to a user or a worker. Users get a job's state as JSON, or a
 // text; workers get commands, or another node's name.
-func (d *digest) answer(n *node, a *coordination.Response) {
+func (d *digest) answer(n *node, a *messages.Response) {
 	if d == nil {
 		return
 	}
 	kind, body := "", []byte(nil)
 	switch a.Kind {
-	case coordination.JobAccepted:
+	case messages.JobAccepted:
 		kind, body = "accepted", protocol.EncodeJobStatus(a.Job)
-	case coordination.JobFound:
+	case messages.JobFound:
 		kind, body = "job", protocol.EncodeJobStatus(a.Job)
-	case coordination.RequestMalformed:
+	case messages.RequestMalformed:
 		kind = "malformed"
-	case coordination.JobUnschedulable:
+	case messages.JobUnschedulable:
 		kind = "impossible"
-	case coordination.JobNotFound:
+	case messages.JobNotFound:
 		kind = "missing"
-	case coordination.ServiceUnavailable:
+	case messages.ServiceUnavailable:
 		kind = "unavailable"
-	case coordination.Overloaded:
+	case messages.Overloaded:
 		kind = "overloaded"
-	case coordination.HeartbeatAcknowledged:
+	case messages.HeartbeatAcknowledged:
 		kind, body = "commands", protocol.EncodeHeartbeatReply(a.FencingToken, a.Commands)
-	case coordination.HeartbeatRedirected:
+	case messages.HeartbeatRedirected:
 		kind, body = "elsewhere", protocol.EncodeRedirect(a.RedirectTo)
 	default:
 		panic("an answer of unknown kind")
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -6,7 +6,8 @@
 	"strconv"
 	"strings"
 
-	"pipitlatch/internal/coordination"
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/protocol"
 	"pipitlatch/internal/workload"
@@ -94,9 +95,9 @@
 }
 
 // askNode asks one node, whatever the balancer thinks.
-func (u *users) askNode(n *node, input func(coordination.RequestID) coordination.Input, then func(coordination.Response)) {
+func (u *users) askNode(n *node, input func(messages.RequestID) messages.Input, then func(messages.Response)) {
 	u.w.send("users", n.name, func() {
-		n.ask(input, func(a coordination.Response) { u.w.send(n.name, "users", func() { then(a) }) })
+		n.ask(input, func(a messages.Response) { u.w.send(n.name, "users", func() { then(a) }) })
 	})
 }
 
@@ -108,33 +109,33 @@
 		return
 	}
 	done, cancelled := j.toldDone, j.cancelled != 0
-	check := func(n *node, what string, a coordination.Response) {
+	check := func(n *node, what string, a messages.Response) {
 		switch a.Kind {
-		case coordination.JobAccepted, coordination.JobFound:
+		case messages.JobAccepted, messages.JobFound:
 			u.hear(j, protocol.EncodeJobStatus(a.Job))
 			if (done && a.Job.Phase != workload.Done) || (cancelled && a.Job.Phase != workload.Cancelled) {
 				u.w.breakRule("went_back", "%s: %s at %s is answered with something older", j.ref, what, n.name)
 			}
-		case coordination.JobNotFound, coordination.RequestMalformed, coordination.JobUnschedulable:
+		case messages.JobNotFound, messages.RequestMalformed, messages.JobUnschedulable:
 			u.w.breakRule("forgotten", "%s: %s at %s answers %v", j.ref, what, n.name, a.Kind)
 		}
 	}
 	for _, n := range u.w.nodes {
 		for range 3 {
 			u.w.after(u.w.rng.Int64N(8*micros.Millisecond), func() {
-				u.askNode(n, func(id coordination.RequestID) coordination.Input {
-					return &coordination.Lookup{Request: id, ID: j.ref}
-				}, func(a coordination.Response) { check(n, "a question", a) })
+				u.askNode(n, func(id messages.RequestID) messages.Input {
+					return &messages.Lookup{Request: id, ID: j.ref}
+				}, func(a messages.Response) { check(n, "a question", a) })
 			})
 		}
 		u.w.after(u.w.rng.Int64N(8*micros.Millisecond), func() {
-			u.askNode(n, func(id coordination.RequestID) coordination.Input {
+			u.askNode(n, func(id messages.RequestID) messages.Input {
 				ref, job, err := protocol.ParseSubmission(j.body)
 				if err != nil {
 					u.w.breakRule("bench", "%v", err)
 				}
-				return &coordination.Submit{Request: id, ID: ref, Job: job}
-			}, func(a coordination.Response) { check(n, "a repeated submission", a) })
+				return &messages.Submit{Request: id, ID: ref, Job: job}
+			}, func(a messages.Response) { check(n, "a repeated submission", a) })
 		})
 	}
 }
--- a/internal/scenario/users_test.go
+++ b/internal/scenario/users_test.go
@@ -6,7 +6,8 @@
 	"strconv"
 	"strings"
 
-	"pipitlatch/internal/coordination"
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/protocol"
 )
@@ -153,7 +154,7 @@
 
 // ask sends a request on the job's connection and calls then with the status; 0:
 // none.
-func (u *users) ask(j *userJob, patience micros.Time, input func(coordination.RequestID) coordination.Input, then func(status int, body []byte)) {
+func (u *users) ask(j *userJob, patience micros.Time, input func(messages.RequestID) messages.Input, then func(status int, body []byte)) {
 	w := u.w
 	b := u.connect(j)
 	if b == nil {
@@ -173,20 +174,20 @@
 	}
 	w.after(patience, func() { end(0, nil) })
 	w.send("users", n.name, func() {
-		n.ask(input, func(a coordination.Response) {
+		n.ask(input, func(a messages.Response) {
 			status, body := 503, []byte(nil)
 			switch a.Kind {
-			case coordination.JobAccepted:
+			case messages.JobAccepted:
 				status, body = 201, protocol.EncodeJobStatus(a.Job)
-			case coordination.JobFound:
+			case messages.JobFound:
 				status, body = 200, protocol.EncodeJobStatus(a.Job)
-			case coordination.RequestMalformed:
+			case messages.RequestMalformed:
 				status = 400
-			case coordination.JobUnschedulable:
+			case messages.JobUnschedulable:
 				status = 422
-			case coordination.JobNotFound:
+			case messages.JobNotFound:
 				status = 404
-			case coordination.Overloaded:
+			case messages.Overloaded:
 				status = 429
 			}
 			w.send(n.name, "users", func() {
@@ -200,14 +201,14 @@
 }
 
 // askElsewhere sends a submission to all nodes but the one that its user is connected to.
-func (u *users) askElsewhere(j *userJob, input func(coordination.RequestID) coordination.Input) {
+func (u *users) askElsewhere(j *userJob, input func(messages.RequestID) messages.Input) {
 	for _, b := range u.balance {
 		if j.conn == b || !b.n.up() {
 			continue
 		}
 		u.w.send("users", b.n.name, func() {
-			b.n.ask(input, func(a coordination.Response) {
-				if a.Kind == coordination.JobAccepted {
+			b.n.ask(input, func(a messages.Response) {
+				if a.Kind == messages.JobAccepted {
 					u.accepted(j, 201)
 				}
 			})
@@ -248,9 +249,9 @@
 	}
 	j.sent = true
 	body := j.body
-	input := func(id coordination.RequestID) coordination.Input {
+	input := func(id messages.RequestID) messages.Input {
 		ref, job, err := protocol.ParseSubmission(body)
-		s := &coordination.Submit{Request: id, ID: ref, Job: job}
+		s := &messages.Submit{Request: id, ID: ref, Job: job}
 		if err != nil {
 			s.Job, s.Fault = nil, err.Error()
 		}
@@ -286,8 +287,8 @@
 	if j.asked == 0 {
 		j.asked = u.w.now
 	}
-	u.ask(j, 2*micros.Second, func(id coordination.RequestID) coordination.Input {
-		return &coordination.Lookup{Request: id, ID: j.ref}
+	u.ask(j, 2*micros.Second, func(id messages.RequestID) messages.Input {
+		return &messages.Lookup{Request: id, ID: j.ref}
 	}, func(status int, body []byte) {
 		switch status {
 		case 200:
@@ -303,8 +304,8 @@
 
 func (u *users) cancel(j *userJob) {
 	j.wantCancel = true
-	u.ask(j, 5*micros.Second, func(id coordination.RequestID) coordination.Input {
-		return &coordination.Cancel{Request: id, ID: j.ref}
+	u.ask(j, 5*micros.Second, func(id messages.RequestID) messages.Input {
+		return &messages.Cancel{Request: id, ID: j.ref}
 	}, func(status int, body []byte) {
 		if status == 200 {
 			u.hear(j, body)
@@ -319,8 +320,8 @@
 
 // stranger polls for a job that nobody submitted.
 func (u *users) stranger(ref string) {
-	u.ask(nil, 2*micros.Second, func(id coordination.RequestID) coordination.Input {
-		return &coordination.Lookup{Request: id, ID: ref}
+	u.ask(nil, 2*micros.Second, func(id messages.RequestID) messages.Input {
+		return &messages.Lookup{Request: id, ID: ref}
 	}, func(status int, _ []byte) { u.strangerTold(ref, status) })
 }
 
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -7,7 +7,8 @@
 	"strconv"
 	"strings"
 
-	"pipitlatch/internal/coordination"
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/protocol"
 )
@@ -262,14 +263,14 @@
 			w.breakRule("bench", "a report cannot be read: %v", err)
 			return
 		}
-		n.ask(func(id coordination.RequestID) coordination.Input {
-			return &coordination.HeartbeatRequest{Request: id, Heartbeat: rep}
-		}, func(a coordination.Response) {
+		n.ask(func(id messages.RequestID) messages.Input {
+			return &messages.HeartbeatRequest{Request: id, Heartbeat: rep}
+		}, func(a messages.Response) {
 			status, body := 503, []byte(nil)
 			switch a.Kind {
-			case coordination.HeartbeatAcknowledged:
+			case messages.HeartbeatAcknowledged:
 				status, body = 200, protocol.EncodeHeartbeatReply(a.FencingToken, a.Commands)
-			case coordination.HeartbeatRedirected:
+			case messages.HeartbeatRedirected:
 				status, body = 421, protocol.EncodeRedirect(a.RedirectTo)
 			}
 			w.send(n.name, m.name, func() { end(status, body) })
@@ -280,9 +281,9 @@
 // copyOf hands in a copy of a report: nobody waits for the answer.
 func (n *node) copyOf(raw []byte) {
 	if rep, err := protocol.ParseHeartbeat(raw); err == nil && n.up() {
-		n.ask(func(id coordination.RequestID) coordination.Input {
-			return &coordination.HeartbeatRequest{Request: id, Heartbeat: rep}
-		}, func(coordination.Response) {})
+		n.ask(func(id messages.RequestID) messages.Input {
+			return &messages.HeartbeatRequest{Request: id, Heartbeat: rep}
+		}, func(messages.Response) {})
 	}
 }
 
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -6,6 +6,8 @@
 	"math/rand/v2"
 	"strings"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/config"
 	"pipitlatch/internal/coordination"
 	"pipitlatch/internal/micros"
@@ -176,13 +178,13 @@
 	core    *coordination.Core
 	life    int // counts processes
 	paused  bool
-	inbox   []coordination.Input // while paused
+	inbox   []messages.Input // while paused
 	wakeSeq int
 	drift   float64
 	skew    micros.Time
 	calling int // direct calls to workers that are out
-	nextReq coordination.RequestID
-	waiting map[coordination.RequestID]func(coordination.Response)
+	nextReq messages.RequestID
+	waiting map[messages.RequestID]func(messages.Response)
 }
 
 func (n *node) up() bool { return n.core != nil }
@@ -193,7 +195,7 @@
 	}
 	n.life++
 	n.core = coordination.New(n.conf, fmt.Sprintf("%s.%d", n.name, n.life))
-	n.waiting = map[coordination.RequestID]func(coordination.Response){}
+	n.waiting = map[messages.RequestID]func(messages.Response){}
 	n.paused, n.inbox, n.calling = false, nil, 0
 	n.step()
 }
@@ -204,7 +206,7 @@
 }
 
 // step hands inputs to the core and carries out what it asks for.
-func (n *node) step(in ...coordination.Input) {
+func (n *node) step(in ...messages.Input) {
 	if n.core == nil {
 		return
 	}
@@ -247,7 +249,7 @@
 }
 
 // hear takes what a controller logs: some of it is held against the rules, or counted.
-func (n *node) hear(l coordination.LogRecord) {
+func (n *node) hear(l messages.LogRecord) {
 	w := n.w
 	switch {
 	case l.Message == "duplicate task attempt":
@@ -270,29 +272,29 @@
 	w.logf("%10.3f %s %s %v", micros.Seconds(w.now), n.name, l.Message, l.Attributes)
 }
 
-func (n *node) callState(c coordination.StoreCall) {
+func (n *node) callState(c messages.StoreCall) {
 	req := protocol.EncodeStoreRequest(c.Request)
 	n.w.digest.request(n, "state", req, c.Timeout)
 	n.call("state", c.Timeout, func(reply func(int, []byte)) {
 		n.w.state.handle(n.name, req, reply)
 	}, func(status int, body []byte) {
 		r, _ := protocol.DecodeStoreReply(c.Request.Kind, status, body)
-		n.step(&coordination.StoreCompletion{Call: c.Call, Reply: r})
+		n.step(&messages.StoreCompletion{Call: c.Call, Reply: r})
 	})
 }
 
-func (n *node) callCloud(c coordination.CloudCall) {
+func (n *node) callCloud(c messages.CloudCall) {
 	req := protocol.EncodeCloudRequest(&c)
 	n.w.digest.request(n, "cloud", req, c.Timeout)
 	n.call("cloud", c.Timeout, func(reply func(int, []byte)) {
 		n.w.cloud.handle(req, reply)
 	}, func(status int, body []byte) {
 		r, _ := protocol.DecodeCloudReply(c.Operation, status, body)
-		n.step(&coordination.CloudCompletion{Call: c.Call, Reply: r})
+		n.step(&messages.CloudCompletion{Call: c.Call, Reply: r})
 	})
 }
 
-func (n *node) callWorker(c coordination.AgentCall) {
+func (n *node) callWorker(c messages.AgentCall) {
 	w := n.w
 	body := protocol.EncodeCommands(&c)
 	w.digest.command(n, &c, body)
@@ -303,7 +305,7 @@
 	}
 	if w.cutBetween(n.name, target) != nil {
 		for _, cmd := range c.Commands {
-			if cmd.Operation == coordination.Start {
+			if cmd.Operation == messages.Start {
 				w.vain++
 			}
 		}
@@ -322,12 +324,12 @@
 		}
 	}, func(status int, body []byte) {
 		n.calling--
-		n.step(&coordination.AgentCompletion{Call: c.Call, Reply: protocol.DecodeAgent(status, body)})
+		n.step(&messages.AgentCompletion{Call: c.Call, Reply: protocol.DecodeAgent(status, body)})
 	})
 }
 
 // tell sends a message to a sibling, over the wire's form.
-func (n *node) tell(p coordination.PeerMessage) {
+func (n *node) tell(p messages.PeerMessage) {
 	raw := protocol.EncodePeerStatus(p.Status)
 	n.w.digest.status(n, p, raw)
 	o := n.w.node(p.To)
@@ -359,7 +361,7 @@
 }
 
 // ask hands a request in and calls then with the answer.
-func (n *node) ask(input func(coordination.RequestID) coordination.Input, then func(coordination.Response)) {
+func (n *node) ask(input func(messages.RequestID) messages.Input, then func(messages.Response)) {
 	if n.core == nil {
 		return
 	}
--- a/internal/transport/bounds_test.go
+++ b/internal/transport/bounds_test.go
@@ -12,10 +12,11 @@
 	"testing"
 	"time"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"golang.org/x/time/rate"
 
 	"pipitlatch/internal/config"
-	"pipitlatch/internal/coordination"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 )
@@ -32,7 +33,7 @@
 	cfg.Settings.MachineLimits.MaxConnections = 100
 	c := newClients(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	call := func(kind storage.RequestKind) storage.Outcome {
-		return c.callStore(context.Background(), &coordination.StoreCall{Request: &storage.Request{Kind: kind, Key: "pl/"}, Timeout: 10 * micros.Second}).Outcome
+		return c.callStore(context.Background(), &messages.StoreCall{Request: &storage.Request{Kind: kind, Key: "pl/"}, Timeout: 10 * micros.Second}).Outcome
 	}
 	if got := call(storage.Watch); got != storage.Compacted {
 		t.Errorf("a watch: %v", got)
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -11,8 +11,9 @@
 	"net/http"
 	"time"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/config"
-	"pipitlatch/internal/coordination"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/protocol"
 	"pipitlatch/internal/storage"
@@ -93,7 +94,7 @@
 	return resp.StatusCode, b, nil
 }
 
-func (c *clients) callStore(ctx context.Context, call *coordination.StoreCall) *storage.Reply {
+func (c *clients) callStore(ctx context.Context, call *messages.StoreCall) *storage.Reply {
 	status, body, err := c.do(ctx, c.service, c.cfg.Services.State, protocol.EncodeStoreRequest(call.Request), call.Timeout, maxStateAnswer)
 	if err == nil {
 		var r *storage.Reply
@@ -113,10 +114,10 @@
 	return &storage.Reply{Outcome: storage.OutcomeUnknown}
 }
 
-func (c *clients) callCloud(ctx context.Context, call *coordination.CloudCall) *coordination.CloudReply {
+func (c *clients) callCloud(ctx context.Context, call *messages.CloudCall) *messages.CloudReply {
 	status, body, err := c.do(ctx, c.service, c.cfg.Services.Cloud, protocol.EncodeCloudRequest(call), call.Timeout, maxCloudAnswer)
 	if err == nil {
-		var r *coordination.CloudReply
+		var r *messages.CloudReply
 		if r, err = protocol.DecodeCloudReply(call.Operation, status, body); err == nil {
 			return r
 		}
@@ -124,10 +125,10 @@
 		return r
 	}
 	c.log.Debug("cloud request failed", "err", err)
-	return &coordination.CloudReply{Outcome: coordination.CloudOutcomeUnknown}
+	return &messages.CloudReply{Outcome: messages.CloudOutcomeUnknown}
 }
 
-func (c *clients) callAgent(ctx context.Context, call *coordination.AgentCall) *coordination.AgentReply {
+func (c *clients) callAgent(ctx context.Context, call *messages.AgentCall) *messages.AgentReply {
 	r := protocol.HTTPRequest{Method: "GET", Path: "/show"}
 	if !call.StatusOnly {
 		r = protocol.HTTPRequest{Method: "POST", Path: "/commands", Body: protocol.EncodeCommands(call)}
@@ -135,7 +136,7 @@
 	status, body, err := c.do(ctx, c.workers, call.Address, r, call.Timeout, maxWorkerAnswer)
 	if err != nil {
 		c.log.Debug("agent call failed", "machine", call.Machine, "err", err)
-		return &coordination.AgentReply{}
+		return &messages.AgentReply{}
 	}
 	return protocol.DecodeAgent(status, body)
 }
--- a/internal/transport/driver.go
+++ b/internal/transport/driver.go
@@ -14,6 +14,8 @@
 	"sync/atomic"
 	"time"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"golang.org/x/time/rate"
 
 	"pipitlatch/internal/config"
@@ -36,13 +38,13 @@
 	log     *slog.Logger
 	core    *coordination.Core
 	start   time.Time
-	inputs  chan coordination.Input
+	inputs  chan messages.Input
 	healthy atomic.Bool
 	stepped atomic.Int64 // when the loop last went round, in microseconds since start
 
 	mu      sync.Mutex
-	nextReq coordination.RequestID
-	waiting map[coordination.RequestID]chan coordination.Response
+	nextReq messages.RequestID
+	waiting map[messages.RequestID]chan messages.Response
 
 	clients  *clients
 	siblings *peerLinks
@@ -52,8 +54,8 @@
 
 // Run serves until ctx ends.
 func Run(ctx context.Context, cfg *config.Config, log *slog.Logger) error {
-	d := &Driver{cfg: cfg, log: log, start: time.Now(), inputs: make(chan coordination.Input, inputQueueSize(cfg)),
-		waiting:    map[coordination.RequestID]chan coordination.Response{},
+	d := &Driver{cfg: cfg, log: log, start: time.Now(), inputs: make(chan messages.Input, inputQueueSize(cfg)),
+		waiting:    map[messages.RequestID]chan messages.Response{},
 		badReports: rate.Sometimes{First: 3, Interval: 5 * time.Second}}
 	incarnation := rand.Text()
 	d.core = coordination.New(cfg, incarnation)
@@ -106,7 +108,7 @@
 func (d *Driver) loop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	batch := make([]coordination.Input, 0, 64)
+	batch := make([]messages.Input, 0, 64)
 	for {
 		batch = batch[:0]
 		select {
@@ -136,7 +138,7 @@
 	}
 }
 
-func (d *Driver) execute(ctx context.Context, out *coordination.Output) {
+func (d *Driver) execute(ctx context.Context, out *messages.Output) {
 	for _, l := range out.LogRecords {
 		d.log.Log(ctx, slog.Level(l.Level), l.Message, l.Attributes...)
 	}
@@ -146,19 +148,19 @@
 	for i := range out.StoreCalls {
 		c := &out.StoreCalls[i]
 		go func() {
-			d.enqueue(ctx, &coordination.StoreCompletion{Call: c.Call, Reply: d.clients.callStore(ctx, c)})
+			d.enqueue(ctx, &messages.StoreCompletion{Call: c.Call, Reply: d.clients.callStore(ctx, c)})
 		}()
 	}
 	for i := range out.CloudCalls {
 		c := &out.CloudCalls[i]
 		go func() {
-			d.enqueue(ctx, &coordination.CloudCompletion{Call: c.Call, Reply: d.clients.callCloud(ctx, c)})
+			d.enqueue(ctx, &messages.CloudCompletion{Call: c.Call, Reply: d.clients.callCloud(ctx, c)})
 		}()
 	}
 	for i := range out.AgentCalls {
 		c := &out.AgentCalls[i]
 		go func() {
-			d.enqueue(ctx, &coordination.AgentCompletion{Call: c.Call, Reply: d.clients.callAgent(ctx, c)})
+			d.enqueue(ctx, &messages.AgentCompletion{Call: c.Call, Reply: d.clients.callAgent(ctx, c)})
 		}()
 	}
 	for _, p := range out.PeerMessages {
@@ -167,14 +169,14 @@
 }
 
 // enqueue hands in a completion; those must not get lost.
-func (d *Driver) enqueue(ctx context.Context, in coordination.Input) {
+func (d *Driver) enqueue(ctx context.Context, in messages.Input) {
 	select {
 	case d.inputs <- in:
 	case <-ctx.Done():
 	}
 }
 
-func (d *Driver) reply(a coordination.Response) {
+func (d *Driver) reply(a messages.Response) {
 	d.mu.Lock()
 	ch := d.waiting[a.Request]
 	delete(d.waiting, a.Request)
@@ -186,7 +188,7 @@
 
 // request hands a request to the core and waits for the answer; none in time, or no
 // room for it, is the false return.
-func (d *Driver) request(ctx context.Context, patience time.Duration, input func(coordination.RequestID) coordination.Input) (coordination.Response, bool) {
+func (d *Driver) request(ctx context.Context, patience time.Duration, input func(messages.RequestID) messages.Input) (messages.Response, bool) {
 	ch := d.expect()
 	d.mu.Lock()
 	d.nextReq++
@@ -202,7 +204,7 @@
 	case d.inputs <- input(id):
 	default:
 		forget()
-		return coordination.Response{}, false
+		return messages.Response{}, false
 	}
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
@@ -213,7 +215,7 @@
 	case <-ctx.Done():
 	}
 	forget()
-	return coordination.Response{}, false
+	return messages.Response{}, false
 }
 
-func (d *Driver) expect() chan coordination.Response { return make(chan coordination.Response, 1) }
+func (d *Driver) expect() chan messages.Response { return make(chan messages.Response, 1) }
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -10,8 +10,9 @@
 	"net"
 	"time"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"pipitlatch/internal/config"
-	"pipitlatch/internal/coordination"
 	"pipitlatch/internal/protocol"
 )
 
@@ -20,12 +21,12 @@
 // it is a hint that the next message replaces, so nothing is ever resent.
 type peerLinks struct {
 	log    *slog.Logger
-	inputs chan<- coordination.Input
+	inputs chan<- messages.Input
 	out    map[string]chan []byte
 	cfg    *config.Config
 }
 
-func newPeerLinks(cfg *config.Config, log *slog.Logger, inputs chan<- coordination.Input) *peerLinks {
+func newPeerLinks(cfg *config.Config, log *slog.Logger, inputs chan<- messages.Input) *peerLinks {
 	s := &peerLinks{log: log, inputs: inputs, cfg: cfg, out: map[string]chan []byte{}}
 	for _, p := range cfg.Peers {
 		s.out[p.Member] = make(chan []byte, 4)
@@ -62,7 +63,7 @@
 }
 
 // send queues a message; a sibling that does not take them misses the oldest.
-func (s *peerLinks) send(to string, status *coordination.PeerStatus) {
+func (s *peerLinks) send(to string, status *messages.PeerStatus) {
 	ch := s.out[to]
 	if ch == nil {
 		return
@@ -136,7 +137,7 @@
 	}
 }
 
-func readStatus(c net.Conn) (*coordination.PeerStatus, error) {
+func readStatus(c net.Conn) (*messages.PeerStatus, error) {
 	if err := c.SetReadDeadline(time.Now().Add(15 * time.Second)); err != nil {
 		return nil, err
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -7,10 +7,11 @@
 	"strconv"
 	"time"
 
+	"pipitlatch/internal/coordination/messages"
+
 	"github.com/failsafe-go/failsafe-go/adaptivelimiter"
 	"github.com/go-chi/chi/v5"
 
-	"pipitlatch/internal/coordination"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/protocol"
 )
@@ -66,7 +67,7 @@
 // matter: then there are many.
 func (d *Driver) reportShed() {
 	select {
-	case d.inputs <- &coordination.LoadShed{}:
+	case d.inputs <- &messages.LoadShed{}:
 	default:
 	}
 }
@@ -107,24 +108,24 @@
 }
 
 // serveUser asks the core and writes its answer to a user.
-func (d *Driver) serveUser(w http.ResponseWriter, r *http.Request, input func(coordination.RequestID) coordination.Input) {
+func (d *Driver) serveUser(w http.ResponseWriter, r *http.Request, input func(messages.RequestID) messages.Input) {
 	a, ok := d.request(r.Context(), requestTimeout, input)
 	if !ok {
 		refuse(w, http.StatusServiceUnavailable, "no answer in time", micros.Second)
 		return
 	}
 	switch a.Kind {
-	case coordination.JobAccepted:
+	case messages.JobAccepted:
 		write(w, http.StatusCreated, protocol.EncodeJobStatus(a.Job))
-	case coordination.JobFound:
+	case messages.JobFound:
 		write(w, http.StatusOK, protocol.EncodeJobStatus(a.Job))
-	case coordination.RequestMalformed:
+	case messages.RequestMalformed:
 		write(w, http.StatusBadRequest, protocol.EncodeError(a.Text))
-	case coordination.JobUnschedulable:
+	case messages.JobUnschedulable:
 		write(w, http.StatusUnprocessableEntity, protocol.EncodeError(a.Text))
-	case coordination.JobNotFound:
+	case messages.JobNotFound:
 		write(w, http.StatusNotFound, protocol.EncodeError("no such job"))
-	case coordination.Overloaded:
+	case messages.Overloaded:
 		refuse(w, http.StatusTooManyRequests, a.Text, a.RetryAfter)
 	default:
 		refuse(w, http.StatusServiceUnavailable, a.Text, a.RetryAfter)
@@ -141,8 +142,8 @@
 	if err != nil {
 		fault, job = err.Error(), nil
 	}
-	d.serveUser(w, r, func(req coordination.RequestID) coordination.Input {
-		return &coordination.Submit{Request: req, ID: id, Job: job, Fault: fault}
+	d.serveUser(w, r, func(req messages.RequestID) messages.Input {
+		return &messages.Submit{Request: req, ID: id, Job: job, Fault: fault}
 	})
 }
 
@@ -152,8 +153,8 @@
 		write(w, http.StatusNotFound, protocol.EncodeError("no such job"))
 		return
 	}
-	d.serveUser(w, r, func(req coordination.RequestID) coordination.Input {
-		return &coordination.Lookup{Request: req, ID: id}
+	d.serveUser(w, r, func(req messages.RequestID) messages.Input {
+		return &messages.Lookup{Request: req, ID: id}
 	})
 }
 
@@ -163,8 +164,8 @@
 		write(w, http.StatusNotFound, protocol.EncodeError("no such job"))
 		return
 	}
-	d.serveUser(w, r, func(req coordination.RequestID) coordination.Input {
-		return &coordination.Cancel{Request: req, ID: id}
+	d.serveUser(w, r, func(req messages.RequestID) messages.Input {
+		return &messages.Cancel{Request: req, ID: id}
 	})
 }
 
@@ -183,13 +184,13 @@
 		write(w, http.StatusBadRequest, protocol.EncodeError(err.Error()))
 		return
 	}
-	a, ok := d.request(r.Context(), 2*time.Second, func(req coordination.RequestID) coordination.Input {
-		return &coordination.HeartbeatRequest{Request: req, Heartbeat: rep}
+	a, ok := d.request(r.Context(), 2*time.Second, func(req messages.RequestID) messages.Input {
+		return &messages.HeartbeatRequest{Request: req, Heartbeat: rep}
 	})
 	switch {
-	case ok && a.Kind == coordination.HeartbeatAcknowledged:
+	case ok && a.Kind == messages.HeartbeatAcknowledged:
 		write(w, http.StatusOK, protocol.EncodeHeartbeatReply(a.FencingToken, a.Commands))
-	case ok && a.Kind == coordination.HeartbeatRedirected:
+	case ok && a.Kind == messages.HeartbeatRedirected:
 		write(w, http.StatusMisdirectedRequest, protocol.EncodeRedirect(a.RedirectTo))
 	default:
 		refuse(w, http.StatusServiceUnavailable, "cannot answer reports now", micros.Second)
