--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -97,7 +97,7 @@
 	f.tracker.Asked(c.now, flow, job.ID)
 	v := f.view.Verdict(c.now, flow, job.ID)
 	if v.Epoch != 0 {
-		c.log(levelDebug, "admission verdict", "job", job.ID, "epoch", v.Epoch, "leader", v.Leader, "admit", v.Admit, "turn_ms", v.Turn/micros.Millisecond)
+		c.log(messages.LevelDebug, "admission verdict", "job", job.ID, "epoch", v.Epoch, "leader", v.Leader, "admit", v.Admit, "turn_ms", v.Turn/micros.Millisecond)
 	}
 	switch {
 	case v.Epoch == 0:
@@ -143,12 +143,12 @@
 	switch {
 	case err == nil:
 		if e := f.view.Current(c.now); e != nil {
-			c.log(levelDebug, "admission epoch observed", "epoch", e.Number, "leader", e.Leader, "flows", len(e.Windows))
+			c.log(messages.LevelDebug, "admission epoch observed", "epoch", e.Number, "leader", e.Leader, "flows", len(e.Windows))
 		}
 	case errors.Is(err, admission.ErrStale) || c.now-f.ignoredLoggedAt < ignoredLogInterval:
 	default:
 		f.ignoredLoggedAt = c.now
-		c.log(levelWarn, "admission epoch ignored", "mod_revision", stored.ModRevision, "err", err)
+		c.log(messages.LevelWarn, "admission epoch ignored", "mod_revision", stored.ModRevision, "err", err)
 	}
 }
 
@@ -185,7 +185,7 @@
 			f.planner.Failed()
 			return
 		}
-		c.log(levelInfo, "admission epoch written", "epoch", e.Number, "flows", len(e.Windows), "rest_ppm", int64(e.Rest.Width)*1_000_000/admission.Points,
+		c.log(messages.LevelInfo, "admission epoch written", "epoch", e.Number, "flows", len(e.Windows), "rest_ppm", int64(e.Rest.Width)*1_000_000/admission.Points,
 			"refused", demand.Refused, "admitted", demand.Admitted, "capacity_milli", capacity)
 	})
 	if f.epochWriteInFlight {
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -145,7 +145,7 @@
 		}
 		c.admissionChanged(c.now)
 		for _, l := range c.output.LogRecords {
-			if l.Level >= levelWarn {
+			if l.Level >= messages.LevelWarn {
 				lines++
 			}
 		}
--- a/internal/coordination/archiver.go
+++ b/internal/coordination/archiver.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"slices"
 
+	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 	"pipitlatch/internal/workload"
@@ -112,7 +113,7 @@
 		case r.Outcome == storage.OK && len(r.Items) == 1:
 			e, err := storage.DecodeJob(r.Items[0])
 			if err != nil {
-				c.log(levelWarn, "undecodable record", "err", err)
+				c.log(messages.LevelWarn, "undecodable record", "err", err)
 			} else {
 				if len(c.archivedJobs) >= maxArchivedCache {
 					clear(c.archivedJobs)
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -160,7 +160,7 @@
 		return
 	}
 	j.cancelRequested = true
-	p.core.log(levelInfo, "job cancellation received", "job", j.ID, "tasks", len(j.activeAttempts))
+	p.core.log(messages.LevelInfo, "job cancellation received", "job", j.ID, "tasks", len(j.activeAttempts))
 	for _, t := range sortedKeys(j.activeAttempts) {
 		p.kill(j.activeAttempts[t])
 	}
--- a/internal/coordination/cluster_leader.go
+++ b/internal/coordination/cluster_leader.go
@@ -95,7 +95,7 @@
 	l.nameCounter, l.adoption.key = 0, ""
 	l.archiver = archiver{}
 	l.formatUpgrade.inFlight = false
-	c.log(levelInfo, "cluster leadership acquired", "fencing_token", l.revision)
+	c.log(messages.LevelInfo, "cluster leadership acquired", "fencing_token", l.revision)
 }
 
 // recentlyTerminated are machines that are surely gone, told for a while, the latest first where
@@ -212,7 +212,7 @@
 			most += n
 		}
 		if theirs >= mine+max(minReachabilityGain, most/8) {
-			c.log(levelInfo, "partition leader isolated from machines", "leader", p.Member, "partition", q.Partition, "zones", q.UnreachableZones, "reachable", mine, "reachable_by_peer", theirs)
+			c.log(messages.LevelInfo, "partition leader isolated from machines", "leader", p.Member, "partition", q.Partition, "zones", q.UnreachableZones, "reachable", mine, "reachable_by_peer", theirs)
 			l.assignment.isolatedLeaders[p] = c.now
 			return true
 		}
@@ -389,7 +389,7 @@
 			case m.Failed:
 				if !l.termination.requested[m.Machine] {
 					l.termination.requested[m.Machine] = true
-					c.log(levelInfo, "instance failed", "machine", m.Machine)
+					c.log(messages.LevelInfo, "instance failed", "machine", m.Machine)
 				}
 			case !known && c.now-l.acquiredAt > micros.Second && m.Age > 2*micros.Second:
 				c.addOrphan(m.Machine, m.Address, provisioning.InstanceKind{InstanceType: m.InstanceType, Zone: m.Zone, Spot: m.Spot})
--- a/internal/coordination/completion.go
+++ b/internal/coordination/completion.go
@@ -119,7 +119,7 @@
 	if whole {
 		clear(j.completion.dirtySegments)
 		took := p.core.wall - j.Submitted
-		p.core.log(levelInfo, "job completed", "job", j.ID, "class", j.Class, "tasks", j.Tasks, "duration_ms", took/micros.Millisecond,
+		p.core.log(messages.LevelInfo, "job completed", "job", j.ID, "class", j.Class, "tasks", j.Tasks, "duration_ms", took/micros.Millisecond,
 			"tardiness_ms", (took-j.Deadline)/micros.Millisecond)
 	}
 }
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -244,13 +244,6 @@
 	return most - c.calls.agentCallsInFlight
 }
 
-// Log levels, as in log/slog.
-const (
-	levelDebug = -4
-	levelInfo  = 0
-	levelWarn  = 4
-)
-
 func (c *Core) log(level int, text string, args ...any) {
 	c.output.LogRecords = append(c.output.LogRecords, messages.LogRecord{Level: level, Message: text, Attributes: args})
 }
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -40,7 +40,7 @@
 	}, storage.Urgent, storeTimeout, func(r *storage.Reply) {
 		l.formatUpgrade.inFlight = false
 		if r.Outcome == storage.OK {
-			c.log(levelInfo, "record format upgraded", "format", storage.Format)
+			c.log(messages.LevelInfo, "record format upgraded", "format", storage.Format)
 		}
 	})
 }
@@ -255,7 +255,7 @@
 		}
 	}
 	p.plan.stale = true
-	p.core.log(levelDebug, "job dependencies satisfied", "job", j.ID)
+	p.core.log(messages.LevelDebug, "job dependencies satisfied", "job", j.ID)
 }
 
 const (
--- /dev/null
+++ b/internal/coordination/environment.go
@@ -0,0 +1,45 @@
+package coordination
+
+import (
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/storage"
+)
+
+// environment is what the components of the core, in packages below this one, may ask of it:
+// the time, calls, and the log. Each component declares the interface that it needs of it.
+type environment struct{ core *Core }
+
+// Now is the steady time of this step.
+func (e environment) Now() micros.Time { return e.core.now }
+
+// WallClock is the time of day of this step.
+func (e environment) WallClock() micros.Time { return e.core.wall }
+
+// Log adds a record to the log; attributes are keys and values in turn.
+func (e environment) Log(level int, message string, attributes ...any) {
+	e.core.log(level, message, attributes...)
+}
+
+// CallStore sends a request to the key-value store. It returns false, and done is never
+// called, if the request budget does not allow it now.
+func (e environment) CallStore(
+	r *storage.Request, urgency storage.Urgency, timeout micros.Time, done func(*storage.Reply),
+) bool {
+	return e.core.callStore(r, urgency, timeout, done)
+}
+
+// CallCloud sends a request to the cloud.
+func (e environment) CallCloud(call messages.CloudCall, done func(*messages.CloudReply)) {
+	e.core.callCloud(call, done)
+}
+
+// CallAgent sends a request to a machine's agent.
+func (e environment) CallAgent(call messages.AgentCall, done func(*messages.AgentReply)) {
+	e.core.callAgent(call, done)
+}
+
+// AvailableAgentCalls is how many calls to agents may be sent now, as probes or as commands.
+func (e environment) AvailableAgentCalls(probe bool) int {
+	return e.core.availableAgentCalls(probe)
+}
--- a/internal/coordination/fair_shares.go
+++ b/internal/coordination/fair_shares.go
@@ -102,9 +102,9 @@
 	}
 	s.loggedAt = p.core.now
 	for _, l := range s.queue.Lags() {
-		level := levelDebug
+		level := messages.LevelDebug
 		if l.Lag.Beyond(s.bound) != (admission.Lag{}) {
-			level = levelInfo
+			level = messages.LevelInfo
 		}
 		p.core.log(level, "flow behind its fair share", "partition", p.partition, "team", l.Flow.Team, "class", l.Flow.Class,
 			"team_lag_ms", l.Lag.Team/micros.Millisecond, "class_lag_ms", l.Lag.Class/micros.Millisecond)
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -253,7 +253,7 @@
 func (p *partitionLeader) logIgnoredHeartbeat(why string, m *machine, r *messages.Heartbeat) {
 	if p.core.now-p.ignoredHeartbeatLoggedAt >= ignoredLogInterval || p.ignoredHeartbeatLoggedAt == 0 {
 		p.ignoredHeartbeatLoggedAt = p.core.now
-		p.core.log(levelInfo, "heartbeat ignored", "reason", why, "machine", m.id, "agent_epoch", r.AgentEpoch, "sequence", r.Sequence, "known_agent_epoch", m.agent.epoch,
+		p.core.log(messages.LevelInfo, "heartbeat ignored", "reason", why, "machine", m.id, "agent_epoch", r.AgentEpoch, "sequence", r.Sequence, "known_agent_epoch", m.agent.epoch,
 			"known_sequence", m.agent.sequence)
 	}
 }
@@ -304,7 +304,7 @@
 	}
 	if o := a.job.activeAttempts[t.Task]; o != nil {
 		// Must never happen. The task does not wait again before both have ended.
-		p.core.log(levelWarn, "duplicate task attempt", "job", t.Job, "task", t.Task, "machine", m.id, "other_machine", o.machine.id)
+		p.core.log(messages.LevelWarn, "duplicate task attempt", "job", t.Job, "task", t.Task, "machine", m.id, "other_machine", o.machine.id)
 		a.job.duplicateAttempts = append(a.job.duplicateAttempts, a)
 		a.persisted = true
 		p.stopAttempt(a, 0)
@@ -338,7 +338,7 @@
 			if a.job != nil {
 				a.machine.useImage(a.job.Image, a.job.ImageGB)
 				if a.job.Kind == workload.Service && a.startedHere {
-					p.core.log(levelDebug, "service replica running", "job", a.job.ID, "task", a.id.Task, "machine", a.machine.id,
+					p.core.log(messages.LevelDebug, "service replica running", "job", a.job.ID, "task", a.id.Task, "machine", a.machine.id,
 						"since_submitted_ms", (p.core.wall-a.job.Submitted)/micros.Millisecond, "since_start_ms", (p.core.now-a.createdAt)/micros.Millisecond)
 				}
 			}
@@ -369,14 +369,14 @@
 		return
 	case messages.ExitFailed:
 		p.core.faults.Failed(a.machine.id, j.ID)
-		p.core.log(levelInfo, "task failed", "job", j.ID, "task", a.id.Task, "machine", a.machine.id)
+		p.core.log(messages.LevelInfo, "task failed", "job", j.ID, "task", a.id.Task, "machine", a.machine.id)
 		if p.core.faults.JobAtFault(j.ID) {
 			// Failing everywhere: try less and less often, until its user cancels it.
 			j.startsPausedUntil = p.core.now + min(60*micros.Second, micros.Second<<min(6, p.core.faults.Failures(j.ID)))
 		}
 	case messages.ExitInsufficientResources, messages.ExitDuplicateTask:
 		a.machine.lifecycle.startsPausedUntil = p.core.now + micros.Second
-		p.core.log(levelInfo, "task start refused", "job", j.ID, "task", a.id.Task, "machine", a.machine.id, "reason", t.ExitReason)
+		p.core.log(messages.LevelInfo, "task start refused", "job", j.ID, "task", a.id.Task, "machine", a.machine.id, "reason", t.ExitReason)
 	case messages.ExitUnknownTask:
 		j.startsPausedUntil = p.core.now + 2*micros.Second
 	}
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -188,7 +188,7 @@
 	// successor may answer a machine that is silent here: only news from after the lease's end,
 	// that this is still the holder, show that nobody renewed it.
 	if up && !m.agent.leaseExpired && p.core.term.ConfirmedSince(p.lastPossibleRenewal(m)+p.core.config.AgentLeaseExpiry()) && quiet > p.suspicionTimeout() {
-		p.core.log(levelInfo, "agent lease expired", "machine", m.id)
+		p.core.log(messages.LevelInfo, "agent lease expired", "machine", m.id)
 		p.clearAttempts(m)
 		m.agent.leaseExpired = true
 	}
@@ -282,7 +282,7 @@
 	m.drain = drainState{reason: reason, since: p.core.now}
 	p.core.status.soon = true
 	p.plan.stale = true
-	p.core.log(levelInfo, "machine draining", "machine", m.id, "reason", reason, "attempts", len(m.attempts))
+	p.core.log(messages.LevelInfo, "machine draining", "machine", m.id, "reason", reason, "attempts", len(m.attempts))
 }
 
 const (
--- a/internal/coordination/messages/messages.go
+++ b/internal/coordination/messages/messages.go
@@ -341,6 +341,13 @@
 	NextTick     micros.Time // when the next timer is due
 }
 
+// The levels of log records, as in log/slog.
+const (
+	LevelDebug = -4
+	LevelInfo  = 0
+	LevelWarn  = 4
+)
+
 // LogRecord is something worth telling the operator.
 type LogRecord struct {
 	Level      int // as in log/slog
--- a/internal/coordination/orphans.go
+++ b/internal/coordination/orphans.go
@@ -109,7 +109,7 @@
 	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.leaderCompare(), {Key: key}}}
 	c.putBlock(r, strings.TrimPrefix(key, c.keys.Block("")), b)
 	l.adoption.nextAt = c.now + storeTimeout + micros.Second
-	c.log(levelInfo, "unmanaged instances adopted", "instance_type", b.InstanceType, "zone", b.Zone, "spot", b.Spot, "count", len(b.Machines), "partition", b.Partition)
+	c.log(messages.LevelInfo, "unmanaged instances adopted", "instance_type", b.InstanceType, "zone", b.Zone, "spot", b.Spot, "count", len(b.Machines), "partition", b.Partition)
 	if !c.callStore(r, storage.Urgent, storeTimeout, func(reply *storage.Reply) {
 		l.adoption.nextAt = c.now + adoptionInterval
 		if reply.Outcome == storage.OK || reply.Outcome == storage.Conflict {
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -293,7 +293,7 @@
 	p.machines = slices.DeleteFunc(p.machines, func(o *machine) bool { return o == m })
 	p.core.faults.ForgetMachine(id)
 	p.plan.stale = true
-	p.core.log(levelInfo, "machine terminated", "machine", id, "reason", m.drain.reason)
+	p.core.log(messages.LevelInfo, "machine terminated", "machine", id, "reason", m.drain.reason)
 }
 
 // clearAttempts notes that the machine surely has none of the tasks known so far.
@@ -392,7 +392,7 @@
 	j.cancelRequested = j.cancelRequested || p.core.cancellations.noticed[id]
 	p.updateDependencies(j)
 	p.plan.stale = true
-	p.core.log(levelDebug, "job queued", "job", id, "class", j.Class, "tasks", j.Tasks, "cpu", j.Resources.CPU, "estimate_ms", j.Estimate/micros.Millisecond,
+	p.core.log(messages.LevelDebug, "job queued", "job", id, "class", j.Class, "tasks", j.Tasks, "cpu", j.Resources.CPU, "estimate_ms", j.Estimate/micros.Millisecond,
 		"due_ms", j.Deadline/micros.Millisecond)
 }
 
--- a/internal/coordination/planning.go
+++ b/internal/coordination/planning.go
@@ -57,7 +57,7 @@
 	}
 	if !silent && !p.plan.allReconciled {
 		p.plan.allReconciled = true
-		p.core.log(levelInfo, "all machines reconciled", "partition", p.partition, "after_ms", (now-p.lease.acquiredAt)/micros.Millisecond)
+		p.core.log(messages.LevelInfo, "all machines reconciled", "partition", p.partition, "after_ms", (now-p.lease.acquiredAt)/micros.Millisecond)
 	}
 
 	p.advanceShares(silent)
@@ -157,7 +157,7 @@
 				}
 			}
 		}
-		p.core.log(levelDebug, "fleet summary", "partition", p.partition, "spot", spot, "machines", machines, "booting", booting, "draining", leaving, "cpu", total/1000,
+		p.core.log(messages.LevelDebug, "fleet summary", "partition", p.partition, "spot", spot, "machines", machines, "booting", booting, "draining", leaving, "cpu", total/1000,
 			"cpu_booting", boot/1000, "cpu_services", services/1000, "cpu_running", running/1000, "cpu_starting", fetching/1000,
 			"tasks_waiting", waiting)
 	}
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -205,7 +205,7 @@
 		case v.unreachableSince == 0 && v.machines > minZoneMachines:
 			v.unreachableSince = now
 			p.core.status.soon = true
-			p.core.log(levelInfo, "zone unreachable", "zone", zone, "machines", v.machines)
+			p.core.log(messages.LevelInfo, "zone unreachable", "zone", zone, "machines", v.machines)
 		}
 	}
 }
--- a/internal/coordination/replication.go
+++ b/internal/coordination/replication.go
@@ -2,6 +2,7 @@
 
 import (
 	"pipitlatch/internal/coordination/leadership"
+	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 )
@@ -87,7 +88,7 @@
 			c.member.leaseRenewedAt = sent
 		case storage.NotFound, storage.LeaseNotFound:
 			c.member.leaseID = 0
-			c.log(levelWarn, "member lease expired")
+			c.log(messages.LevelWarn, "member lease expired")
 		default:
 			c.member.leaseRetryAt = c.now + 100*micros.Millisecond
 		}
@@ -119,7 +120,7 @@
 		}
 		for _, it := range r.Items {
 			if _, _, err := into.Apply(it); err != nil {
-				c.log(levelWarn, "undecodable record", "err", err)
+				c.log(messages.LevelWarn, "undecodable record", "err", err)
 			}
 			if into.Archived {
 				break // what follows is read when somebody asks for it
@@ -158,7 +159,7 @@
 	c.recordDeadProcesses()
 	c.admissionChanged(sent)
 	r.TakeAffected() // everything was looked at
-	c.log(levelInfo, "snapshot loaded", "revision", r.Revision, "jobs", len(r.Jobs))
+	c.log(messages.LevelInfo, "snapshot loaded", "revision", r.Revision, "jobs", len(r.Jobs))
 }
 
 func (c *Core) watchChanges() {
@@ -200,7 +201,7 @@
 func (c *Core) applyChange(it storage.Item) {
 	ch, changed, err := c.cache.Apply(it)
 	if err != nil {
-		c.log(levelWarn, "undecodable record", "err", err)
+		c.log(messages.LevelWarn, "undecodable record", "err", err)
 		return
 	}
 	if !changed {
@@ -299,7 +300,7 @@
 	h := c.partitions[n]
 	if !ok || v.Value.Leader != c.process {
 		if h != nil {
-			c.log(levelWarn, "partition leadership lost", "partition", n, "leader", v.Value.Leader.Member)
+			c.log(messages.LevelWarn, "partition leadership lost", "partition", n, "leader", v.Value.Leader.Member)
 			delete(c.partitions, n)
 		}
 		return
@@ -307,7 +308,7 @@
 	c.recordDeadProcesses()
 	if h == nil {
 		c.partitions[n] = newPartitionLeader(c, n, v)
-		c.log(levelInfo, "partition leadership acquired", "partition", n, "fencing_token", v.ModRevision, "machines", len(c.partitions[n].machines), "jobs", len(c.partitions[n].jobs))
+		c.log(messages.LevelInfo, "partition leadership acquired", "partition", n, "fencing_token", v.ModRevision, "machines", len(c.partitions[n].machines), "jobs", len(c.partitions[n].jobs))
 		return
 	}
 	h.renewToken(v.ModRevision)
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -67,7 +67,7 @@
 			}
 		}
 		for _, n := range needs {
-			c.log(levelDebug, "capacity request", "partition", q.Partition, "count", n.Count, "cpu", n.Resources.CPU, "service", n.Service, "urgent", n.Urgent)
+			c.log(messages.LevelDebug, "capacity request", "partition", q.Partition, "count", n.Count, "cpu", n.Resources.CPU, "service", n.Service, "urgent", n.Urgent)
 		}
 		most := func(o provisioning.InstanceKind) int {
 			if slices.Contains(q.UnreachableZones, o.Zone) {
@@ -152,7 +152,7 @@
 			} else {
 				l.scaling.capacity.Granted(offer, rec.Requested)
 			}
-			c.log(levelInfo, "instances requested", "request_id", name, "instance_type", rec.InstanceType, "zone", rec.Zone, "spot", rec.Spot, "requested", rec.Requested, "granted", len(r.Names))
+			c.log(messages.LevelInfo, "instances requested", "request_id", name, "instance_type", rec.InstanceType, "zone", rec.Zone, "spot", rec.Spot, "requested", rec.Requested, "granted", len(r.Names))
 			c.closeInstanceRequest(name, rec, version, r.Names)
 		default:
 			l.scaling.requestRetryAt[name] = c.now + micros.Second
