--- a/internal/coordination/archiver.go
+++ b/internal/coordination/archiver.go
@@ -70,7 +70,10 @@
 	if most <= 0 {
 		return
 	}
-	slices.SortFunc(over, func(x, y *storage.JobEntry) int { return cmp.Compare(x.ModRevision, y.ModRevision) })
+	// Jobs that one transaction ended have the same revision: without the id, map order would decide.
+	slices.SortFunc(over, func(x, y *storage.JobEntry) int {
+		return cmp.Or(cmp.Compare(x.ModRevision, y.ModRevision), cmp.Compare(x.Job.ID, y.Job.ID))
+	})
 	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.leaderCompare()}}
 	for _, e := range over[:most] {
 		if e.ModRevision > a.revisionTimes[0].revision {
--- a/internal/scenario/users_test.go
+++ b/internal/scenario/users_test.go
@@ -230,7 +230,7 @@
 	}
 }
 
-// defaultRetryAfter is when a user submits again that was refused.
+// comeBack is when a user submits again that was refused.
 func (u *users) comeBack(j *userJob) micros.Time {
 	wait := micros.Second
 	if !j.ignores {
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// leaderIsolated tells whether one host is on the one side of a cut and the other on the other.
+// cutOff tells whether one host is on the one side of a cut and the other on the other.
 func (w *World) cutOff(c *cut, one, other string) bool {
 	if c.b == "" {
 		return w.at(c.a, one) && !w.at(c.a, other)
