--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -5,11 +5,11 @@
 	"maps"
 	"slices"
 
-	"pipitlatch/internal/coordination/messages"
-
 	"pipitlatch/internal/config"
 	"pipitlatch/internal/coordination/leadership"
+	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/coordination/provisioning"
+	"pipitlatch/internal/coordination/txnbackoff"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 	"pipitlatch/internal/workload"
@@ -38,7 +38,7 @@
 
 	calls        callTable
 	storeLimiter *storage.RateLimiter
-	txnBackoff   txnBackoff // transactions that the key-value store calls invalid
+	txnBackoff   *txnbackoff.Backoff
 	replication
 	readBarrier
 
@@ -120,7 +120,7 @@
 			maxAgentCalls: max(1, cfg.Sockets().Calls/2), // the other half are idle connections
 		},
 		storeLimiter:  storage.NewRateLimiter(limits.RPS, limits.WriteRPS, cfg.Settings.Nodes),
-		txnBackoff:    txnBackoff{},
+		txnBackoff:    txnbackoff.New(),
 		partitions:    map[int]*partitionLeader{},
 		deathTimes:    map[storage.Process]micros.Time{},
 		peers:         map[string]*peerState{},
@@ -206,12 +206,12 @@
 
 // callStore sends a request to the state service if the budget allows.
 func (c *Core) callStore(r *storage.Request, urgency storage.Urgency, timeout micros.Time, done func(*storage.Reply)) bool {
-	if c.txnBackoff.blocked(r, c.now) || !c.storeLimiter.Allow(c.now, r.Writes(), urgency) {
+	if c.txnBackoff.Blocked(r, c.now) || !c.storeLimiter.Allow(c.now, r.Writes(), urgency) {
 		return false
 	}
 	id := c.registerCall(func(v any) {
 		reply := v.(*storage.Reply)
-		c.txnBackoff.observe(r, reply.Outcome, c.now)
+		c.txnBackoff.Observe(r, reply.Outcome, c.now)
 		done(reply)
 	})
 	c.output.StoreCalls = append(c.output.StoreCalls, messages.StoreCall{Call: id, Request: r, Timeout: timeout})
