--- a/internal/coordination/agent_calls.go
+++ b/internal/coordination/agent_calls.go
@@ -62,7 +62,7 @@
 			continue
 		}
 		m.contact.lastProbe = p.core.now
-		p.callMachine(m, nil, m.agent.epoch == 0)
+		p.callMachine(m, nil, !m.agent.HeardFrom())
 	}
 	clear(p.detector.probeQueue)
 	p.detector.probeQueue = p.detector.probeQueue[:0]
@@ -70,7 +70,7 @@
 
 // sendOutbox sends what waits for a machine.
 func (p *partitionLeader) sendOutbox(m *machine) {
-	if m.commands.callInFlight || len(m.commands.outbox) == 0 || m.agent.ackedToken != p.lease.fencingToken || m.agent.epoch == 0 || m.address == "" || p.core.now < m.commands.nextCallAt {
+	if m.commands.callInFlight || len(m.commands.outbox) == 0 || !m.agent.Acknowledged(p.lease.fencingToken) || !m.agent.HeardFrom() || m.address == "" || p.core.now < m.commands.nextCallAt {
 		return
 	}
 	n := min(len(m.commands.outbox), maxCommandsPerMessage)
@@ -88,8 +88,8 @@
 
 func (p *partitionLeader) callMachine(m *machine, batch []messages.Command, show bool) {
 	m.commands.callInFlight = true
-	session, seq, token, sent := m.agent.epoch, m.agent.sequence, p.lease.fencingToken, p.core.now
-	p.core.callAgent(messages.AgentCall{Machine: m.id, Address: m.address, FencingToken: token, AgentEpoch: session, Commands: batch, StatusOnly: show,
+	position, sentAt := m.agent.Position(), p.core.now
+	p.core.callAgent(messages.AgentCall{Machine: m.id, Address: m.address, FencingToken: p.lease.fencingToken, AgentEpoch: position.Epoch, Commands: batch, StatusOnly: show,
 		Timeout: micros.Second}, func(r *messages.AgentReply) {
 		m.commands.callInFlight = false
 		if p.core.partitions[p.partition] != p || p.machine(m.id) != m {
@@ -105,23 +105,23 @@
 				continue
 			}
 			a.start.inFlight--
-			if r.Heartbeat == nil && m.agent.epoch == session {
+			if r.Heartbeat == nil && m.agent.Epoch() == position.Epoch {
 				a.start.unanswered++ // it may still be executed, even minutes later
 				m.commands.hasUnansweredStarts = true
 			}
 		}
 		if r.Heartbeat == nil {
 			if m.contact.failedCalls++; m.contact.failedCalls == 1 {
-				m.contact.firstFailedCallAt = sent
+				m.contact.firstFailedCallAt = sentAt
 			}
 			m.commands.nextCallAt = p.core.now + 300*micros.Millisecond<<min(m.contact.failedCalls-1, 3)
-			if m.agent.epoch == session {
+			if m.agent.Epoch() == position.Epoch {
 				// The same attempts again: repeating them is safe.
 				m.commands.outbox = append(p.commandsToRetry(m, batch), m.commands.outbox...)
 			}
 			return
 		}
-		if rep := r.Heartbeat; rep.AgentEpoch < session || (rep.AgentEpoch == session && rep.Sequence <= seq) {
+		if !position.Before(r.Heartbeat) {
 			// Its answer, given after the call, is older than what was known before it.
 			p.drainRestarted(m)
 			return
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -104,7 +104,7 @@
 // place in this pass is not looked for again: the whole fleet was asked for it.
 func (p *partitionLeader) evictNextReplica(m *machine, nowhere map[string]bool) {
 	pace := replicaMoveInterval / 2 / micros.Time(max(1, p.packLimit()))
-	if p.core.now-p.consolidation.replicaMovedAt < pace || m.agent.ackedToken != p.lease.fencingToken {
+	if p.core.now-p.consolidation.replicaMovedAt < pace || !m.agent.Acknowledged(p.lease.fencingToken) {
 		return
 	}
 	// A replica is away for as long as its image takes to arrive: a dear machine is
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -32,7 +32,7 @@
 // cannotReport tells whether a machine that answers calls has reached no controller for a lease,
 // while most others do: it is empty by now, and would stay so.
 func (p *partitionLeader) cannotReport(m *machine) bool {
-	if m.agent.epoch == 0 || p.sinceLastRenewal(m) <= p.core.config.AgentLeaseExpiry() {
+	if !m.agent.HeardFrom() || p.sinceLastRenewal(m) <= p.core.config.AgentLeaseExpiry() {
 		return false
 	}
 	census := p.fleetHealth()
@@ -78,7 +78,7 @@
 	var silent, up int
 	shares := map[share][2]int{}
 	for _, m := range p.machines {
-		if m.agent.epoch == 0 && !m.record.Used {
+		if !m.agent.HeardFrom() && !m.record.Used {
 			continue
 		}
 		k := share{m.record.Zone, m.record.Spot}
@@ -133,11 +133,11 @@
 	for _, m := range p.machines {
 		if m.record.Used {
 			n.mayHaveTasks++
-			if m.agent.reconciled {
+			if m.agent.Reconciled() {
 				n.reconciled++
 			}
 		}
-		if m.agent.epoch == 0 && !m.record.Used {
+		if !m.agent.HeardFrom() && !m.record.Used {
 			continue
 		}
 		n.inUse++
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
+	"pipitlatch/internal/coordination/agents"
 	"pipitlatch/internal/coordination/messages"
-
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/workload"
 )
@@ -60,8 +60,8 @@
 		p.core.respond(messages.Response{Request: in.Request, Kind: messages.HeartbeatRedirected})
 		return
 	}
-	newer := m.newer(r)
-	if !newer && (r.AgentEpoch < m.agent.epoch || r.Sequence <= m.agent.settledSequence || p.core.now-m.agent.lastHeartbeatAt > replyTimeout || r.FencingToken < m.agent.highestToken) {
+	newer := m.agent.IsNewer(r)
+	if m.agent.IsStaleCopy(r, p.core.now) {
 		// A copy of an old report, whose answer reaches nobody, or a worker that
 		// began anew: an answer must neither count nor renew a lease.
 		p.logIgnoredHeartbeat("old report", m, r)
@@ -86,18 +86,10 @@
 	p.core.respond(messages.Response{Request: in.Request, Kind: messages.HeartbeatAcknowledged, FencingToken: p.lease.fencingToken, Commands: cmds})
 }
 
-// newer tells whether a report is newer than all that is known of the machine.
-func (m *machine) newer(r *messages.Heartbeat) bool {
-	return r.AgentEpoch > m.agent.epoch || (r.AgentEpoch == m.agent.epoch && r.Sequence > m.agent.sequence)
-}
-
 // maxUnackedReplies is how many answers in a row may be shown as not received before a
 // machine counts as out of reach.
 const maxUnackedReplies = 2
 
-// replyTimeout is how long a worker surely does not wait for an answer any more.
-const replyTimeout = 5 * micros.Second
-
 // observeReplyReceipt notes what a newer report says of our answer to the one before. A
 // report proves nothing about the way back: a machine that reports but cannot be
 // answered must neither count as sound nor have its lease renewed by answers that
@@ -106,10 +98,10 @@
 	if m.contact.lastReply == 0 {
 		return
 	}
-	if r.FencingToken < p.lease.acquiredToken || r.AgentEpoch > m.agent.epoch {
+	if r.FencingToken < p.lease.acquiredToken || r.AgentEpoch > m.agent.Epoch() {
 		// Our answers under this lease, or in its last session, did not arrive.
 		m.contact.unackedReplies++
-	} else if p.core.now-m.contact.lastReply < replyTimeout-1500*micros.Millisecond {
+	} else if p.core.now-m.contact.lastReply < agents.ReplyTimeout-1500*micros.Millisecond {
 		// It goes on at its pace and stays with us: it had our answer.
 		m.contact.lastContact, m.contact.unackedReplies, m.contact.failedCalls = p.core.now, 0, 0
 		m.commands.nextCallAt = 0
@@ -127,7 +119,7 @@
 // commandsFor are the commands in the answer to a report: they are not executed
 // late, since the worker drops late answers.
 func (p *partitionLeader) commandsFor(m *machine) []messages.Command {
-	if m.agent.ackedToken != p.lease.fencingToken {
+	if !m.agent.Acknowledged(p.lease.fencingToken) {
 		return nil
 	}
 	var out []messages.Command
@@ -156,23 +148,19 @@
 
 // observeHeartbeat takes a worker's report, from whichever way it came.
 func (p *partitionLeader) observeHeartbeat(m *machine, r *messages.Heartbeat) {
-	if !m.newer(r) {
+	if !m.agent.IsNewer(r) {
 		return // older than what is known
 	}
-	if r.AgentEpoch == m.agent.epoch && r.FencingToken < m.agent.highestToken && m.agent.highestToken >= p.lease.acquiredToken {
+	if m.agent.ShowsRestart(r, p.lease.acquiredToken) {
 		// A worker never forgets a token: this one began anew under its old name.
 		p.drainRestarted(m)
 		return
 	}
-	if r.AgentEpoch > m.agent.epoch {
+	if r.AgentEpoch > m.agent.Epoch() {
 		p.beginEpoch(m, r.AgentEpoch)
 	}
-	if p.core.now-m.agent.settledSequenceAt > replyTimeout {
-		m.agent.settledSequence, m.agent.nextSettledSequence, m.agent.settledSequenceAt = m.agent.nextSettledSequence, r.Sequence, p.core.now
-	}
-	m.agent.sequence, m.agent.lastHeartbeatAt = r.Sequence, p.core.now
-	m.agent.highestToken = max(m.agent.highestToken, r.FencingToken)
-	if m.agent.leaseExpired {
+	m.agent.Observe(r, p.core.now)
+	if m.agent.LeaseExpired() {
 		p.logIgnoredHeartbeat("of an ended session", m, r)
 		return // sent before its lease ran out, and late: what it shows is gone
 	}
@@ -187,15 +175,15 @@
 		p.supersededByToken()
 		return
 	}
-	m.agent.ackedToken = r.FencingToken
+	m.agent.Acknowledge(r.FencingToken)
 	if r.FencingToken < p.lease.acquiredToken {
 		// Not an exchange under this lease: perhaps a copy of an old report, perhaps
 		// overtaken by what the predecessor still orders. It says nothing of tasks.
 		return
 	}
 	p.reconcileTasks(m, r)
-	if m.agent.ackedToken == p.lease.fencingToken && !m.agent.reconciled {
-		m.agent.reconciled = true
+	if m.agent.Acknowledged(p.lease.fencingToken) && !m.agent.Reconciled() {
+		m.agent.Reconcile()
 		p.plan.stale = true
 	}
 	p.handlePreemptionNotice(m)
@@ -203,17 +191,11 @@
 
 // beginEpoch notes that a machine's lease ran out: it killed and forgot all its tasks. That
 // does not make it known: a predecessor may have started others since.
-func (p *partitionLeader) beginEpoch(m *machine, session uint64) {
-	if m.agent.epoch != 0 {
-		known := m.agent.reconciled
+func (p *partitionLeader) beginEpoch(m *machine, epoch uint64) {
+	if m.agent.HeardFrom() {
 		p.clearAttempts(m)
-		m.agent.reconciled = known
-	} else {
-		m.agent.bootedAt = p.core.now
 	}
-	m.agent.epoch = session
-	m.agent.settledSequence, m.agent.nextSettledSequence, m.agent.settledSequenceAt = 0, 0, p.core.now
-	m.agent.leaseExpired = false
+	m.agent.BeginEpoch(epoch, p.core.now)
 	p.plan.stale = true
 }
 
@@ -253,8 +235,8 @@
 func (p *partitionLeader) logIgnoredHeartbeat(why string, m *machine, r *messages.Heartbeat) {
 	if p.core.now-p.ignoredHeartbeatLoggedAt >= ignoredLogInterval || p.ignoredHeartbeatLoggedAt == 0 {
 		p.ignoredHeartbeatLoggedAt = p.core.now
-		p.core.log(messages.LevelInfo, "heartbeat ignored", "reason", why, "machine", m.id, "agent_epoch", r.AgentEpoch, "sequence", r.Sequence, "known_agent_epoch", m.agent.epoch,
-			"known_sequence", m.agent.sequence)
+		p.core.log(messages.LevelInfo, "heartbeat ignored", "reason", why, "machine", m.id, "agent_epoch", r.AgentEpoch, "sequence", r.Sequence, "known_agent_epoch", m.agent.Epoch(),
+			"known_sequence", m.agent.Position().Sequence)
 	}
 }
 
--- a/internal/coordination/large_bench_test.go
+++ b/internal/coordination/large_bench_test.go
@@ -32,7 +32,7 @@
 				c.output = &messages.Output{}
 				c.partitions[0].schedule()
 			}
-			if h := c.partitions[0]; len(h.machines) != size || !h.machines[size-1].agent.reconciled {
+			if h := c.partitions[0]; len(h.machines) != size || !h.machines[size-1].agent.Reconciled() {
 				b.Fatal("not taken over")
 			}
 		})
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -4,8 +4,8 @@
 	"cmp"
 	"slices"
 
+	"pipitlatch/internal/coordination/agents"
 	"pipitlatch/internal/coordination/messages"
-
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 	"pipitlatch/internal/workload"
@@ -19,7 +19,7 @@
 	instanceType *workload.InstanceType
 	address      string
 
-	agent     agentState
+	agent     agents.Progress
 	contact   contactState
 	lifecycle machineLifecycle
 	drain     drainState
@@ -30,27 +30,6 @@
 	commands commandQueue
 }
 
-// agentState is what the agent's heartbeats showed: which of its epochs is running, how far
-// its heartbeats came, and which fencing token it obeys.
-type agentState struct {
-	epoch uint64 // 0: it has not been heard from
-	// bootedAt is when its first epoch was heard of; nothing can have reached the agent before.
-	bootedAt        micros.Time
-	sequence        uint64
-	lastHeartbeatAt micros.Time // when the newest heartbeat or call reply came
-	ackedToken      uint64      // fencing token of the newest heartbeat
-	highestToken    uint64      // highest fencing token of any heartbeat
-
-	// A heartbeat up to settledSequence surely does not wait for a reply any more.
-	// nextSettledSequence takes its place once it has been known for replyTimeout.
-	settledSequence     uint64
-	nextSettledSequence uint64
-	settledSequenceAt   micros.Time
-
-	reconciled   bool // its tasks are known, or it surely has none
-	leaseExpired bool // the agent lease expired or its epoch ended: no tasks until the next epoch
-}
-
 // contactState is when messages last went to and from the machine.
 type contactState struct {
 	// lastContact is when something last showed that our messages reach the machine. A
@@ -135,7 +114,7 @@
 
 // schedulable tells whether tasks may be started on the machine.
 func (p *partitionLeader) schedulable(m *machine) bool {
-	return m.agent.reconciled && !m.agent.leaseExpired && m.agent.ackedToken == p.lease.fencingToken && m.agent.epoch != 0 && m.record.Used && m.drain.reason == notDraining &&
+	return m.agent.Usable(p.lease.fencingToken) && m.record.Used && m.drain.reason == notDraining &&
 		m.lifecycle.preemptAt == 0 && m.address != "" && m.contact.failedCalls == 0 && p.core.now-m.contact.lastContact < p.suspicionTimeout()*3/4 && p.sinceLastRenewal(m) < p.core.config.AgentLease()/2
 }
 
@@ -149,7 +128,7 @@
 		}
 	}
 	for _, m := range p.machines {
-		if m.record.Spot && m.agent.epoch != 0 && m.drain.reason == notDraining {
+		if m.record.Spot && m.agent.HeardFrom() && m.drain.reason == notDraining {
 			p.core.spot.time += now - p.lastTick
 		}
 	}
@@ -182,17 +161,17 @@
 	if m.instanceType == nil && p.core.catalog != nil {
 		m.instanceType = p.core.catalog[m.record.InstanceType]
 	}
-	up := m.agent.epoch != 0 || m.record.Used
+	up := m.agent.HeardFrom() || m.record.Used
 	quiet := now - max(m.contact.lastContact, p.detector.silenceCountsFrom)
 	// A holder that is cut off may have been replaced long before its term ends, and its
 	// successor may answer a machine that is silent here: only news from after the lease's end,
 	// that this is still the holder, show that nobody renewed it.
-	if up && !m.agent.leaseExpired && p.core.term.ConfirmedSince(p.lastPossibleRenewal(m)+p.core.config.AgentLeaseExpiry()) && quiet > p.suspicionTimeout() {
+	if up && !m.agent.LeaseExpired() && p.core.term.ConfirmedSince(p.lastPossibleRenewal(m)+p.core.config.AgentLeaseExpiry()) && quiet > p.suspicionTimeout() {
 		p.core.log(messages.LevelInfo, "agent lease expired", "machine", m.id)
 		p.clearAttempts(m)
-		m.agent.leaseExpired = true
+		m.agent.ExpireLease()
 	}
-	if up && m.address != "" && !m.commands.callInFlight && now-m.contact.lastProbe > micros.Second && (m.contact.failedCalls > 0 || m.agent.ackedToken != p.lease.fencingToken || (m.lifecycle.preemptAt != 0 && now > m.lifecycle.preemptAt) || (quiet > p.suspicionTimeout()/4 && quiet > p.probeAfter(m))) {
+	if up && m.address != "" && !m.commands.callInFlight && now-m.contact.lastProbe > micros.Second && (m.contact.failedCalls > 0 || !m.agent.Acknowledged(p.lease.fencingToken) || (m.lifecycle.preemptAt != 0 && now > m.lifecycle.preemptAt) || (quiet > p.suspicionTimeout()/4 && quiet > p.probeAfter(m))) {
 		p.detector.probeQueue = append(p.detector.probeQueue, m)
 	}
 	if m.drain.reason == notDraining {
@@ -204,7 +183,7 @@
 			// Two calls in a row without an answer: its replicas do not wait for the
 			// time that reports may take.
 			p.startDrain(m, drainUnresponsive)
-		case up && m.agent.leaseExpired && quiet > 3*p.core.config.AgentLeaseExpiry():
+		case up && m.agent.LeaseExpired() && quiet > 3*p.core.config.AgentLeaseExpiry():
 			// Long empty; a fault near this controller would have shown by now.
 			p.startDrain(m, drainUnresponsive)
 		case up && m.lifecycle.preemptAt != 0 && now > m.lifecycle.preemptAt+micros.Second && m.contact.failedCalls > 0:
@@ -212,7 +191,7 @@
 			p.startDrain(m, drainUnresponsive)
 		case m.contact.unackedReplies > maxUnackedReplies && m.contact.failedCalls > 1:
 			p.startDrain(m, drainUnreachable)
-		case !m.agent.reconciled && m.contact.failedCalls > 1 && p.mostReconciled():
+		case !m.agent.Reconciled() && m.contact.failedCalls > 1 && p.mostReconciled():
 			// Older jobs wait for the last machine that could have their tasks: after
 			// a takeover one that does not answer, while the others do, is not waited
 			// for any longer. Its reports may arrive: that says nothing of the way back.
@@ -241,7 +220,7 @@
 // be lost then, and begins elsewhere by the time of the notice sooner; what can save
 // its progress does so.
 func (p *partitionLeader) handlePreemptionNotice(m *machine) {
-	if m.lifecycle.preemptAt == 0 || m.lifecycle.preemptionHandled || m.agent.ackedToken != p.lease.fencingToken || !m.agent.reconciled {
+	if m.lifecycle.preemptAt == 0 || m.lifecycle.preemptionHandled || !m.agent.Acknowledged(p.lease.fencingToken) || !m.agent.Reconciled() {
 		return
 	}
 	m.lifecycle.preemptionHandled = true
@@ -275,7 +254,7 @@
 
 // reconciledHere is usable apart from draining.
 func (p *partitionLeader) reconciledHere(m *machine) bool {
-	return m.agent.reconciled && !m.agent.leaseExpired && m.agent.ackedToken == p.lease.fencingToken && m.agent.epoch != 0
+	return m.agent.Usable(p.lease.fencingToken)
 }
 
 func (p *partitionLeader) startDrain(m *machine, reason drainReason) {
@@ -312,7 +291,7 @@
 	var marked map[string]storage.BlockRecord
 	var order []string
 	for _, m := range p.machines {
-		if m.record.Used || m.agent.epoch == 0 || m.agent.ackedToken != p.lease.fencingToken || m.drain.reason != notDraining || p.core.now < p.useWriteAfter[m.record.Block] {
+		if m.record.Used || !m.agent.HeardFrom() || !m.agent.Acknowledged(p.lease.fencingToken) || m.drain.reason != notDraining || p.core.now < p.useWriteAfter[m.record.Block] {
 			continue
 		}
 		name := m.record.Block
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -271,7 +271,9 @@
 		}
 		// Nobody starts tasks on a machine before the record says so, and a block
 		// that came after the lease was never a predecessor's.
-		m.agent.reconciled = !v.Value.Used || v.ModRevision > p.lease.acquiredToken
+		if !v.Value.Used || v.ModRevision > p.lease.acquiredToken {
+			m.agent.Reconcile()
+		}
 		i, _ := slices.BinarySearchFunc(p.machines, id, func(m *machine, id string) int { return cmp.Compare(m.id, id) })
 		p.machines = slices.Insert(p.machines, i, m)
 		p.plan.stale = true
@@ -286,7 +288,7 @@
 	if m == nil {
 		return
 	}
-	if m.record.Spot && m.agent.epoch != 0 && (m.drain.reason == drainUnresponsive || m.lifecycle.preemptAt != 0) {
+	if m.record.Spot && m.agent.HeardFrom() && (m.drain.reason == drainUnresponsive || m.lifecycle.preemptAt != 0) {
 		p.core.spot.losses++
 	}
 	p.clearAttempts(m)
@@ -305,8 +307,6 @@
 		a.unindex()
 	}
 	m.commands.outbox = nil
-	m.agent.reconciled = true
-	m.agent.ackedToken = 0
 	if m.lifecycle.idleSince == 0 {
 		m.lifecycle.idleSince = p.core.now
 	}
@@ -488,7 +488,7 @@
 	several := p.core.partitionCount() > 1
 	idle := map[bool]int{} // of spot machines, and of the others
 	for _, m := range p.machines {
-		if m.drain.reason == drainUnresponsive && (p.core.now < p.detector.networkSuspectUntil || p.zoneVerdictPending(m.record.Zone)) && !m.agent.leaseExpired {
+		if m.drain.reason == drainUnresponsive && (p.core.now < p.detector.networkSuspectUntil || p.zoneVerdictPending(m.record.Zone)) && !m.agent.LeaseExpired() {
 			continue
 		}
 		if m.drain.reason != notDraining && (m.drain.reason == drainUnresponsive || m.drain.reason == drainBootTimeout || m.drain.reason == drainUnresolvedStart || m.decommissioned() || p.terminable(m)) {
--- a/internal/coordination/planning.go
+++ b/internal/coordination/planning.go
@@ -48,10 +48,10 @@
 			p.plan.serviceReplicas += j.Tasks
 		}
 	}
-	silent := slices.ContainsFunc(p.machines, func(m *machine) bool { return !m.agent.reconciled })
+	silent := slices.ContainsFunc(p.machines, func(m *machine) bool { return !m.agent.Reconciled() })
 	p.plan.unreconciledUsage = workload.Resources{}
 	for _, m := range p.machines {
-		if !m.agent.reconciled && m.instanceType != nil {
+		if !m.agent.Reconciled() && m.instanceType != nil {
 			p.plan.unreconciledUsage = p.plan.unreconciledUsage.Add(m.instanceType.Capacity)
 		}
 	}
@@ -138,7 +138,7 @@
 			}
 			machines++
 			total += m.instanceType.Capacity.CPU
-			if m.agent.epoch == 0 {
+			if !m.agent.HeardFrom() {
 				booting++
 				boot += m.instanceType.Capacity.CPU
 			}
@@ -245,8 +245,8 @@
 	if m.drain.reason != notDraining || m.lifecycle.preemptAt != 0 {
 		return false
 	}
-	if m.agent.epoch != 0 {
-		return m.agent.reconciled && !m.agent.leaseExpired && p.core.now-m.contact.lastContact < p.suspicionTimeout() // about to be usable
+	if m.agent.HeardFrom() {
+		return m.agent.Reconciled() && !m.agent.LeaseExpired() && p.core.now-m.contact.lastContact < p.suspicionTimeout() // about to be usable
 	}
 	return !m.record.Used && !p.zoneUnreachable(m.record.Zone) && p.core.now-m.lifecycle.addedAt < m.instanceType.Boot*3/2
 }
@@ -255,7 +255,7 @@
 // nothing has reached it yet. The spare room for services counts it: missing for that
 // moment, it would be rented once more at every boot, and another be given back.
 func (p *partitionLeader) justBooted(m *machine) bool {
-	return m.drain.reason == notDraining && m.lifecycle.preemptAt == 0 && m.agent.reconciled && !m.agent.leaseExpired && m.agent.bootedAt != 0 && p.core.now-m.agent.bootedAt < p.suspicionTimeout()
+	return m.drain.reason == notDraining && m.lifecycle.preemptAt == 0 && m.agent.Reconciled() && !m.agent.LeaseExpired() && m.agent.BootedWithin(p.suspicionTimeout(), p.core.now)
 }
 
 // remaining is how much longer an attempt is expected to take its room.
