--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -4,5 +4,7 @@
 # one machine wait for each other; without the flag the later one would fail.
 set -eu
 cd "$(dirname "$0")/.."
-sh scripts/forbidden-words.sh
-exec go tool -modfile=tools/go.mod golangci-lint run --allow-serial-runners ./...
+status=0
+sh scripts/forbidden-words.sh || status=1
+go tool -modfile=tools/go.mod golangci-lint run --allow-serial-runners ./... || status=1
+exit $status
--- a/scripts/test-cases.sh
+++ b/scripts/test-cases.sh
@@ -5,8 +5,9 @@
 #   scripts/test-cases.sh compare OLD NEW [RENAMES]    cases of OLD that NEW hasn't, and the reverse
 #
 # A case is a test, benchmark, fuzz test or example (as `go test -list` names it), or one scenario
-# of TestScenarios: a file of internal/scenario/testdata, or each `case NAME` in it. Cases are
-# named without their package, so a test may move; one name in two packages counts twice.
+# of TestScenarios: a text file of a testdata folder, or each `case NAME` in it. Sub-tests made
+# while a test runs aren't listed. Cases are named without their package, so a test may move; one
+# name in two packages counts twice.
 # RENAMES has lines "OLD NEW", "#" begins a comment. compare ends with 1 if a case is missing.
 set -eu
 root=$(cd "$(dirname "$0")/.." && pwd)
@@ -24,8 +25,8 @@
 	cd "$1"
 	go test -list . ./... >"$work/list"
 	grep -E '^(Test|Benchmark|Fuzz|Example)' "$work/list" >"$work/cases"
-	for file in internal/scenario/testdata/*.txt; do
-		# The same reading as Cases of internal/scenario/script_test.go.
+	find internal -path '*/testdata/*.txt' | while read -r file; do
+		# The same reading of cases as the scenario runner's.
 		awk -v name="TestScenarios/$(basename "$file" .txt)" '
 			$1 == "case" && NF > 1 { named = 1; print name "/" $2 }
 			END { if (!named) print name }' "$file" | sort -u >>"$work/cases"
