--- a/internal/scenario/overload_test.go
+++ b/internal/scenario/overload_test.go
@@ -51,7 +51,8 @@
 	patience time.Duration  // for which users submit again
 }
 
-var verdictLine = regexp.MustCompile(`msg=verdict job=(\S+) epoch=(\d+) leader=(\d+) admit=(true|false)`)
+// verdictLine matches the verdicts of this version and of those before it.
+var verdictLine = regexp.MustCompile(`msg=(?:verdict|"admission verdict") job=(\S+) epoch=(\d+) leader=(\d+) admit=(true|false)`)
 
 // takeLog takes the verdicts out of a controller's log, and drops the rest of what is told
 // only for debugging.
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -318,7 +318,10 @@
 		}
 	})
 	for _, p := range d.logs {
-		for _, bad := range []string{"bad record", "task on two machines", "panic"} {
+		for _, bad := range []string{
+			"undecodable record", "duplicate task attempt", "panic",
+			"bad record", "task on two machines", // as earlier versions log the first two
+		} {
 			if p.said(bad) {
 				d.t.Errorf("a process said %q", bad)
 			}
