--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -222,9 +222,9 @@
 func (c *Core) admissionCapacity(demand admission.Demand) int64 {
 	total := c.storeLimiter.TotalWriteRate()
 	used := c.storeLimiter.RecentUsage().Writes
-	for member, p := range c.peers {
-		if member != c.process.Member && c.now-p.receivedAt < 3*micros.Second {
-			used += p.status.Usage.Writes
+	for member, p := range c.peers.All() {
+		if member != c.process.Member && c.now-p.ReceivedAt < 3*micros.Second {
+			used += p.Status.Usage.Writes
 		}
 	}
 	return max(total/minCapacityDivisor, min(total/changesPerJob, total-max(0, used-demand.AcceptRate)))
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -201,7 +201,7 @@
 	} {
 		c := newFair(t)
 		c.now += 100 * micros.Second
-		c.peers["n1"] = &peerState{receivedAt: c.now - age, status: told}
+		c.peers.Receive(c.now-age, told)
 		h := newPartitionLeader(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: 20})
 		if got := h.fairShares.queue.Lag(flow); got != want {
 			t.Errorf("told %d before: %+v", age, got)
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -77,9 +77,9 @@
 // that far when it last spoke, nor has it said that it heard of them.
 func (c *Core) cancellationNoticesFor(member string) (jobs []string, upTo uint64) {
 	var heard, revision uint64
-	if p := c.peers[member]; p != nil {
-		revision = p.status.Revision
-		for _, h := range p.status.CancellationAcks {
+	if p := c.peers.Latest(member); p != nil {
+		revision = p.Status.Revision
+		for _, h := range p.Status.CancellationAcks {
 			if h.From == c.process {
 				heard = h.UpTo
 			}
--- a/internal/coordination/cluster_leader.go
+++ b/internal/coordination/cluster_leader.go
@@ -128,7 +128,7 @@
 	if l.revision != c.cache.ClusterLeader.ModRevision {
 		l.acquire(c)
 	}
-	if c.member.leaseID == 0 || !c.term.Valid(c.now) {
+	if c.member.LeaseID() == 0 || !c.term.Valid(c.now) {
 		return
 	}
 	c.assignPartitions()
@@ -152,8 +152,8 @@
 		return
 	}
 	mute := func(p storage.Process) bool {
-		v := c.peers[p.Member]
-		heard := v != nil && v.status.From == p && c.now-v.receivedAt < 6*micros.Second
+		v := c.peers.Latest(p.Member)
+		heard := v != nil && v.Status.From == p && c.now-v.ReceivedAt < 6*micros.Second
 		return !heard && c.now-l.acquiredAt > 6*micros.Second
 	}
 	todo := leadership.Assign(c.cache, c.partitionCount(), c.process, func(p storage.Process) bool { return mute(p) || c.leaderIsolated(p) }, c.reachableMachines)
@@ -194,18 +194,18 @@
 	if at, ok := l.assignment.isolatedLeaders[p]; ok && c.now-at < isolationPenalty {
 		return true
 	}
-	v := c.peers[p.Member]
-	if v == nil || v.status.From != p || c.now-v.receivedAt > 3*micros.Second {
+	v := c.peers.Latest(p.Member)
+	if v == nil || v.Status.From != p || c.now-v.ReceivedAt > 3*micros.Second {
 		return false
 	}
-	for _, q := range v.status.Partitions {
+	for _, q := range v.Status.Partitions {
 		if len(q.UnreachableZones) == 0 || c.cache.Partitions[q.Partition].Value.Leader != p {
 			continue
 		}
 		mine, theirs, most := c.reachableMachines(p, q.Partition), 0, 0
-		for _, o := range c.peers {
-			if o.status.From != p && o.status.StoreReachable && c.cache.Live(o.status.From) {
-				theirs = max(theirs, c.reachableMachines(o.status.From, q.Partition))
+		for _, o := range c.peers.All() {
+			if o.Status.From != p && o.Status.StoreReachable && c.cache.Live(o.Status.From) {
+				theirs = max(theirs, c.reachableMachines(o.Status.From, q.Partition))
 			}
 		}
 		for _, n := range c.machinesInUse(q.Partition) {
@@ -231,14 +231,13 @@
 // partitionStatuses are what the present holders last said of their queues.
 func (c *Core) partitionStatuses() []messages.PartitionStatus {
 	var out []messages.PartitionStatus
-	for _, m := range sortedKeys(c.peers) {
-		p := c.peers[m]
-		if c.now-p.receivedAt > statusLifetime {
+	for _, p := range c.peers.All() {
+		if c.now-p.ReceivedAt > statusLifetime {
 			continue
 		}
-		for _, q := range p.status.Partitions {
+		for _, q := range p.Status.Partitions {
 			v := c.cache.Partitions[q.Partition]
-			if v.Value.Leader == p.status.From && v.ModRevision == q.FencingToken {
+			if v.Value.Leader == p.Status.From && v.ModRevision == q.FencingToken {
 				out = append(out, q)
 			}
 		}
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -7,6 +7,7 @@
 
 	"pipitlatch/internal/config"
 	"pipitlatch/internal/coordination/leadership"
+	"pipitlatch/internal/coordination/membership"
 	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/coordination/txnbackoff"
@@ -47,9 +48,10 @@
 
 	partitions      map[int]*partitionLeader
 	deathTimes      map[storage.Process]micros.Time // when a process was first known to be dead
-	peers           map[string]*peerState
+	member          *membership.Member
+	peers           *membership.Peers
+	health          *membership.Health
 	status          statusState
-	lastServedAt    micros.Time // when the key-value store last answered in time
 	cancellations   cancellations
 	dependencyLists int                          // lists of dependencies that were stored in parts
 	archivedJobs    map[string]*storage.JobEntry // records read from the archive
@@ -101,11 +103,6 @@
 	return float64(s.losses+1) / (micros.Seconds(s.time) + 1800)
 }
 
-type peerState struct {
-	receivedAt micros.Time
-	status     *messages.PeerStatus
-}
-
 // New starts a controller's core; incarnation must be new with every process.
 func New(cfg *config.Config, incarnation string) *Core {
 	keys := storage.Keys{Prefix: cfg.Operator.KeyPrefix}
@@ -123,7 +120,6 @@
 		txnBackoff:    txnbackoff.New(),
 		partitions:    map[int]*partitionLeader{},
 		deathTimes:    map[storage.Process]micros.Time{},
-		peers:         map[string]*peerState{},
 		cancellations: newCancellations(),
 		archivedJobs:  map[string]*storage.JobEntry{},
 		progress:      map[string]messages.JobProgress{},
@@ -131,6 +127,14 @@
 		faults:        provisioning.NewFaultTracker(),
 		fair:          newFairAdmission(cfg),
 	}
+	expected := make([]string, len(cfg.Peers))
+	for i, p := range cfg.Peers {
+		expected[i] = p.Member
+	}
+	c.peers = membership.NewPeers(cfg.Member, expected)
+	c.health = membership.NewHealth(c.peers)
+	leaseTTL := micros.Time(cfg.Operator.PermitMs) * micros.Millisecond
+	c.member = membership.NewMember(environment{c}, c.process, keys, leaseTTL)
 	c.replication.cache = storage.NewCache(keys)
 	c.replication.term = leadership.Term{Length: cfg.LeadershipTerm()}
 	c.leader.scaling.capacity = provisioning.NewCapacityTracker()
@@ -143,6 +147,7 @@
 	c.now, c.wall = max(c.now, steady), wall
 	if c.startedAt == 0 {
 		c.startedAt = c.now
+		c.health.Start(c.now)
 	}
 	c.output = &messages.Output{}
 	for _, in := range inputs {
@@ -250,7 +255,7 @@
 
 func (c *Core) tick() {
 	if c.storeReachable() {
-		c.lastServedAt = c.now
+		c.health.StoreServed(c.now)
 	}
 	c.tickReplication()
 	c.advanceReadBarrier()
@@ -288,68 +293,21 @@
 	})
 }
 
-const (
-	// storeStaleAfter is how old news of the state may be before it counts as out of
-	// reach: a watch comes back once a second.
-	storeStaleAfter = 2500 * micros.Millisecond
-	// isolationTimeout is how long a controller without state and siblings takes it for
-	// an outage for all.
-	isolationTimeout = 6 * micros.Second
-)
+// storeStaleAfter is how old the last confirmation by the key-value store may be before the
+// store counts as out of reach: a watch comes back once a second.
+const storeStaleAfter = 2500 * micros.Millisecond
 
-// storeReachable tells whether this controller can serve users now.
-func (c *Core) storeReachable() bool {
-	return c.synced && c.catalog != nil && c.term.SinceConfirmed(c.now) < storeStaleAfter
-}
+// storeStale reports whether the key-value store has not been heard of late.
+func (c *Core) storeStale() bool { return c.term.SinceConfirmed(c.now) >= storeStaleAfter }
 
-// anyPeerHeard tells whether any sibling that meets the condition has been heard
-// of late.
-func (c *Core) anyPeerHeard(d micros.Time, cond func(*messages.PeerStatus) bool) bool {
-	for member, p := range c.peers {
-		if member != c.process.Member && c.now-p.receivedAt < d && cond(p.status) {
-			return true
-		}
-	}
-	return false
-}
-
-// allPeersHeard tells whether every sibling has been heard of late.
-func (c *Core) allPeersHeard() bool {
-	for _, s := range c.config.Peers {
-		if p := c.peers[s.Member]; p == nil || c.now-p.receivedAt >= 3*micros.Second {
-			return false
-		}
-	}
-	return true
-}
+// storeReachable reports whether this controller can serve users now.
+func (c *Core) storeReachable() bool { return c.synced && c.catalog != nil && !c.storeStale() }
 
-// isolated tells whether neither the state service nor any sibling has been heard of
-// late: then this controller's view may be outdated, whatever it says.
-func (c *Core) isolated() bool {
-	return c.term.SinceConfirmed(c.now) >= storeStaleAfter && c.now > c.startedAt+2*micros.Second &&
-		!c.anyPeerHeard(2*micros.Second, func(*messages.PeerStatus) bool { return true })
-}
+// isolated reports whether this controller's view may be outdated, whatever it says.
+func (c *Core) isolated() bool { return c.health.Isolated(c.now, c.storeStale()) }
 
-// Healthy tells whether the controller should be sent users' requests: it is
-// not while a sibling can serve them and this one cannot. In an outage for all,
-// everybody stays and tells users when to come back: being taken out of the load
-// balancer outlasts the outage. With its siblings out of reach too, a controller
-// cannot tell an outage from its own cut. It leaves after a while: in an outage
-// that costs users seconds after its end, while in a cut those whose connections
-// stay open here would not be answered for as long as it lasts.
-func (c *Core) Healthy() bool {
-	switch {
-	case c.storeReachable():
-		return true
-	case c.now < c.startedAt+micros.Second:
-		return false // it may only be starting
-	case c.anyPeerHeard(2*micros.Second, func(s *messages.PeerStatus) bool { return s.StoreReachable }):
-		return false
-	case len(c.config.Peers) == 0 || c.anyPeerHeard(2*micros.Second, func(*messages.PeerStatus) bool { return true }):
-		return true
-	}
-	return c.now-max(c.lastServedAt, c.startedAt) < isolationTimeout
-}
+// Healthy reports whether the controller should be sent users' requests.
+func (c *Core) Healthy() bool { return c.health.Healthy(c.now, c.storeReachable()) }
 
 // sendStatus tells the siblings how things stand.
 func (c *Core) sendStatus() {
@@ -362,21 +320,7 @@
 	}
 	c.status.sentAt, c.status.soon = c.now, false
 	s := &messages.PeerStatus{From: c.process, Revision: c.cache.Revision, StoreReachable: c.storeReachable(), Usage: c.storeLimiter.RecentUsage(), Reachability: c.reachability.report(c.now)}
-	var others storage.Usage
-	for member, p := range c.peers {
-		if member == c.process.Member {
-			continue
-		}
-		if c.now-p.receivedAt < 3*micros.Second {
-			others.Requests += p.status.Usage.Requests
-			others.Writes += p.status.Usage.Writes
-		}
-	}
-	if !c.allPeersHeard() {
-		// What one that is not heard of uses is not known: an even share only.
-		others = storage.Usage{Requests: 1 << 40, Writes: 1 << 40}
-	}
-	c.storeLimiter.SetPeerUsage(others)
+	c.storeLimiter.SetPeerUsage(c.peers.StoreUsage(c.now))
 	for _, n := range sortedKeys(c.partitions) {
 		h := c.partitions[n]
 		s.Partitions = append(s.Partitions, h.status())
@@ -402,7 +346,7 @@
 // stream of changes must tell, except that a machine is gone: that is a fact
 // which nothing makes untrue.
 func (c *Core) receiveStatus(s *messages.PeerStatus) {
-	c.peers[s.From.Member] = &peerState{c.now, s}
+	c.peers.Receive(c.now, s)
 	c.receiveCancellationNotices(s)
 	c.receiveDemand(s)
 	for _, m := range s.TerminatedMachines {
--- a/internal/coordination/fair_shares.go
+++ b/internal/coordination/fair_shares.go
@@ -31,14 +31,13 @@
 	s := &fairShares{queue: admission.NewFairQueue(c.now, len(c.config.Settings.Teams), bound, &c.fair.settings), bound: bound}
 	var last *messages.PartitionStatus
 	var lastAt micros.Time
-	for _, member := range sortedKeys(c.peers) {
-		p := c.peers[member]
-		if c.now-p.receivedAt > lagTTL || p.receivedAt <= lastAt {
+	for _, p := range c.peers.All() {
+		if c.now-p.ReceivedAt > lagTTL || p.ReceivedAt <= lastAt {
 			continue
 		}
-		for i := range p.status.Partitions {
-			if q := &p.status.Partitions[i]; q.Partition == queue && len(q.Lags) > 0 {
-				last, lastAt = q, p.receivedAt
+		for i := range p.Status.Partitions {
+			if q := &p.Status.Partitions[i]; q.Partition == queue && len(q.Lags) > 0 {
+				last, lastAt = q, p.ReceivedAt
 			}
 		}
 	}
--- /dev/null
+++ b/internal/coordination/membership/peers_test.go
@@ -0,0 +1,113 @@
+package membership
+
+import (
+	"slices"
+	"testing"
+
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/storage"
+)
+
+const start = 100 * micros.Second
+
+// status is what a member says of itself.
+func status(member string, storeReachable bool) *messages.PeerStatus {
+	return &messages.PeerStatus{
+		From:           storage.Process{Member: member, Incarnation: "x"},
+		StoreReachable: storeReachable,
+		Usage:          storage.Usage{Requests: 5, Writes: 3},
+	}
+}
+
+func threeMembers() *Peers { return NewPeers("n1", []string{"n2", "n3"}) }
+
+func TestLatestStatusReplacesTheOneBefore(t *testing.T) {
+	p := threeMembers()
+	if p.Latest("n2") != nil {
+		t.Error("a status before any was received")
+	}
+	second := status("n2", true)
+	p.Receive(start, status("n3", false))
+	p.Receive(start, status("n2", false))
+	p.Receive(start+5, second)
+	if got := p.Latest("n2"); got == nil || got.Status != second || got.ReceivedAt != start+5 {
+		t.Errorf("latest status %+v, want the second", got)
+	}
+	var members []string
+	for member := range p.All() {
+		members = append(members, member)
+	}
+	if !slices.Equal(members, []string{"n2", "n3"}) {
+		t.Errorf("members %v, want n2 and n3 in this order", members)
+	}
+	for member := range p.All() {
+		if member != "n2" {
+			t.Error("the iteration went on after its end")
+		}
+		break
+	}
+}
+
+func TestAnyHeard(t *testing.T) {
+	for name, test := range map[string]struct {
+		member    string
+		reachable bool
+		age       micros.Time
+		want      bool
+	}{
+		"a peer that meets the condition":       {"n2", true, peerTimeout - 1, true},
+		"a peer that was heard too long ago":    {"n2", true, peerTimeout, false},
+		"a peer that fails the condition":       {"n2", false, 0, false},
+		"this member itself is no peer of it":   {"n1", true, 0, false},
+		"a member that is not configured, too.": {"n9", true, 0, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := threeMembers()
+			p.Receive(start, status(test.member, test.reachable))
+			reachable := func(s *messages.PeerStatus) bool { return s.StoreReachable }
+			if got := p.AnyHeard(start+test.age, peerTimeout, reachable); got != test.want {
+				t.Errorf("heard %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+// TestStoreUsageOfPeersThatAreNotHeardIsUnknown: what is left of the store's limits may be used
+// only if every peer said what it uses.
+func TestStoreUsageOfPeersThatAreNotHeardIsUnknown(t *testing.T) {
+	unknown := storage.Usage{Requests: 1 << 40, Writes: 1 << 40}
+	for name, test := range map[string]struct {
+		heard map[string]micros.Time // age of the statuses
+		all   bool
+		want  storage.Usage
+	}{
+		"none":       {nil, false, unknown},
+		"one of two": {map[string]micros.Time{"n2": 0}, false, unknown},
+		"one too long ago": {
+			map[string]micros.Time{"n2": 0, "n3": statusTimeout}, false, unknown,
+		},
+		"both": {
+			map[string]micros.Time{"n2": 0, "n3": statusTimeout - 1}, true, storage.Usage{Requests: 10, Writes: 6},
+		},
+		"both and this member's own": {
+			map[string]micros.Time{"n1": 0, "n2": 0, "n3": 0}, true, storage.Usage{Requests: 10, Writes: 6},
+		},
+		"both, and one that left": {
+			map[string]micros.Time{"n2": 0, "n3": 0, "n9": statusTimeout}, true, storage.Usage{Requests: 10, Writes: 6},
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := threeMembers()
+			for member, age := range test.heard {
+				p.Receive(start-age, status(member, true))
+			}
+			if got := p.AllHeard(start); got != test.all {
+				t.Errorf("all heard %v, want %v", got, test.all)
+			}
+			if got := p.StoreUsage(start); got != test.want {
+				t.Errorf("usage %+v, want %+v", got, test.want)
+			}
+		})
+	}
+}
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -87,11 +87,11 @@
 // leaderMissesMachines tells whether a queue's holder said of late that it does not hear a zone, or
 // is registered and not heard itself.
 func (c *Core) leaderMissesMachines(queue int, h storage.Process) bool {
-	p := c.peers[h.Member]
-	if p == nil || p.status.From != h || c.now-p.receivedAt > 2*micros.Second {
+	p := c.peers.Latest(h.Member)
+	if p == nil || p.Status.From != h || c.now-p.ReceivedAt > 2*micros.Second {
 		return c.now > c.startedAt+2*micros.Second
 	}
-	return slices.ContainsFunc(p.status.Partitions, func(q messages.PartitionStatus) bool { return q.Partition == queue && len(q.UnreachableZones) > 0 })
+	return slices.ContainsFunc(p.Status.Partitions, func(q messages.PartitionStatus) bool { return q.Partition == queue && len(q.UnreachableZones) > 0 })
 }
 
 // machinesInUse is how many machines of a queue are in use, by zone.
@@ -108,19 +108,19 @@
 // reachableMachines is how many of a queue's machines a controller reaches, as far as it told:
 // its holder all but those of zones it does not hear, another what answered it of late.
 func (c *Core) reachableMachines(p storage.Process, queue int) int {
-	v := c.peers[p.Member]
-	if v == nil || v.status.From != p || c.now-v.receivedAt > 3*micros.Second {
+	v := c.peers.Latest(p.Member)
+	if v == nil || v.Status.From != p || c.now-v.ReceivedAt > 3*micros.Second {
 		return 0
 	}
 	n := 0
 	for zone, machines := range c.machinesInUse(queue) {
 		if c.cache.Partitions[queue].Value.Leader == p {
-			if !slices.ContainsFunc(v.status.Partitions, func(q messages.PartitionStatus) bool {
+			if !slices.ContainsFunc(v.Status.Partitions, func(q messages.PartitionStatus) bool {
 				return q.Partition == queue && slices.Contains(q.UnreachableZones, zone)
 			}) {
 				n += machines
 			}
-		} else if slices.ContainsFunc(v.status.Reachability, func(z messages.ZoneReachability) bool {
+		} else if slices.ContainsFunc(v.Status.Reachability, func(z messages.ZoneReachability) bool {
 			return z.Partition == queue && z.Zone == zone && z.Answered*2 >= z.Probed
 		}) {
 			n += machines
@@ -134,11 +134,11 @@
 // lease ends. Either the holder said so, or it is not heard here and the worker, which
 // shows the holder's token, has left it.
 func (c *Core) unreachableFromLeader(r *messages.Heartbeat, m storage.Machine, q storage.Versioned[storage.PartitionRecord]) bool {
-	p := c.peers[q.Value.Leader.Member]
-	if p == nil || p.status.From != q.Value.Leader || c.now-p.receivedAt > 2*micros.Second {
+	p := c.peers.Latest(q.Value.Leader.Member)
+	if p == nil || p.Status.From != q.Value.Leader || c.now-p.ReceivedAt > 2*micros.Second {
 		return r.FencingToken == q.ModRevision
 	}
-	return slices.ContainsFunc(p.status.Partitions, func(s messages.PartitionStatus) bool {
+	return slices.ContainsFunc(p.Status.Partitions, func(s messages.PartitionStatus) bool {
 		return s.Partition == m.Partition && slices.Contains(s.UnreachableZones, m.Zone)
 	})
 }
@@ -212,12 +212,11 @@
 
 // inheritUnreachableZones takes the zones that the last holder, as far as it told, did not hear.
 func (p *partitionLeader) inheritUnreachableZones() {
-	for _, member := range sortedKeys(p.core.peers) {
-		peer := p.core.peers[member]
-		if p.core.now-peer.receivedAt > probeResultTTL {
+	for _, peer := range p.core.peers.All() {
+		if p.core.now-peer.ReceivedAt > probeResultTTL {
 			continue
 		}
-		for _, q := range peer.status.Partitions {
+		for _, q := range peer.Status.Partitions {
 			for _, zone := range q.UnreachableZones {
 				if q.Partition == p.partition {
 					p.detector.zones[zone] = &zoneHealth{unreachableSince: p.core.now}
@@ -261,14 +260,14 @@
 		return true
 	}
 	asked, reached := 0, false
-	for member, peer := range p.core.peers {
-		if member == p.core.process.Member || p.core.now-peer.receivedAt > 2*micros.Second {
+	for member, peer := range p.core.peers.All() {
+		if member == p.core.process.Member || p.core.now-peer.ReceivedAt > 2*micros.Second {
 			continue
 		}
-		i := slices.IndexFunc(peer.status.Reachability, func(z messages.ZoneReachability) bool { return z.Partition == p.partition && z.Zone == zone })
+		i := slices.IndexFunc(peer.Status.Reachability, func(z messages.ZoneReachability) bool { return z.Partition == p.partition && z.Zone == zone })
 		if i < 0 {
 			asked++
-		} else if z := peer.status.Reachability[i]; z.Answered*2 >= z.Probed {
+		} else if z := peer.Status.Reachability[i]; z.Answered*2 >= z.Probed {
 			reached = true
 		}
 	}
--- a/internal/coordination/replication.go
+++ b/internal/coordination/replication.go
@@ -14,7 +14,6 @@
 	synced      bool // the cache is whole
 	loading     *storage.Cache
 	loadRetryAt micros.Time
-	member      memberLease
 	election    campaignState
 
 	watchInFlight       bool
@@ -24,17 +23,6 @@
 	previousWatchSentAt micros.Time // when the watch before the last was sent
 }
 
-// memberLease is the lease that this process's registration and cluster leadership are
-// attached to.
-type memberLease struct {
-	leaseID           uint64
-	leaseCallInFlight bool
-	leaseRenewedAt    micros.Time // when the last grant or keepalive was sent
-	leaseRetryAt      micros.Time
-	registerInFlight  bool
-	registerRetryAt   micros.Time
-}
-
 // campaignState paces the campaign for cluster leadership.
 type campaignState struct {
 	inFlight bool
@@ -43,10 +31,6 @@
 
 const storeTimeout = 2 * micros.Second
 
-func (c *Core) memberLeaseTTL() micros.Time {
-	return micros.Time(c.config.Operator.PermitMs) * micros.Millisecond
-}
-
 // watchInterval keeps watches within a share of the request budget.
 func (c *Core) watchInterval() micros.Time {
 	share := c.config.Settings.StateLimits().RPS / float64(c.config.Settings.Nodes)
@@ -54,45 +38,13 @@
 }
 
 func (c *Core) tickReplication() {
-	c.renewMemberLease()
+	c.member.RenewLease()
 	c.loadSnapshot()
 	c.watchChanges()
-	c.registerMember()
-	c.campaign()
-}
-
-func (c *Core) renewMemberLease() {
-	if c.member.leaseCallInFlight || c.now < c.member.leaseRetryAt {
-		return
-	}
-	if c.member.leaseID == 0 {
-		sent := c.now
-		c.member.leaseCallInFlight = c.callStore(&storage.Request{Kind: storage.LeaseGrant, TTL: c.memberLeaseTTL()}, storage.Urgent, storeTimeout, func(r *storage.Reply) {
-			c.member.leaseCallInFlight = false
-			if r.Outcome == storage.OK && r.Lease != 0 {
-				c.member.leaseID, c.member.leaseRenewedAt = r.Lease, sent
-				return
-			}
-			c.member.leaseRetryAt = c.now + 200*micros.Millisecond
-		})
-		return
+	if c.synced {
+		c.member.Register(c.cache)
 	}
-	if c.now-c.member.leaseRenewedAt < c.memberLeaseTTL()/4 {
-		return
-	}
-	sent, permit := c.now, c.member.leaseID
-	c.member.leaseCallInFlight = c.callStore(&storage.Request{Kind: storage.LeaseKeepAlive, Lease: permit}, storage.Urgent, c.memberLeaseTTL()/3, func(r *storage.Reply) {
-		c.member.leaseCallInFlight = false
-		switch r.Outcome {
-		case storage.OK:
-			c.member.leaseRenewedAt = sent
-		case storage.NotFound, storage.LeaseNotFound:
-			c.member.leaseID = 0
-			c.log(messages.LevelWarn, "member lease expired")
-		default:
-			c.member.leaseRetryAt = c.now + 100*micros.Millisecond
-		}
-	})
+	c.campaign()
 }
 
 // loadSnapshot reads the whole state, page by page, when there is no valid copy.
@@ -243,27 +195,8 @@
 	}
 }
 
-func (c *Core) registerMember() {
-	if !c.synced || c.member.leaseID == 0 || c.member.registerInFlight || c.now < c.member.registerRetryAt || c.cache.Live(c.process) {
-		return
-	}
-	key := c.keys.Member(c.process.Member)
-	// The condition keeps a late copy of an older process's registration from
-	// replacing that of its successor.
-	c.member.registerInFlight = c.callStore(&storage.Request{Kind: storage.Txn,
-		Compares: []storage.Compare{{Key: key, ModRevision: c.cache.Members[c.process.Member].ModRevision}},
-		Puts:     []storage.Put{{Key: key, Value: storage.Encode(storage.Registration{Process: c.process, Format: storage.Format}), Lease: c.member.leaseID}},
-	}, storage.Urgent, storeTimeout, func(r *storage.Reply) {
-		c.member.registerInFlight = false
-		c.member.registerRetryAt = c.now + 300*micros.Millisecond
-		if r.Outcome == storage.LeaseNotFound {
-			c.member.leaseID = 0
-		}
-	})
-}
-
 func (c *Core) campaign() {
-	if !c.synced || c.member.leaseID == 0 || c.election.inFlight || c.now < c.election.retryAt || !c.cache.Live(c.process) {
+	if !c.synced || c.member.LeaseID() == 0 || c.election.inFlight || c.now < c.election.retryAt || !c.cache.Live(c.process) {
 		return
 	}
 	// The key of a leader whose member runs a newer process stays until its permit
@@ -273,12 +206,12 @@
 	}
 	c.election.inFlight = c.callStore(&storage.Request{Kind: storage.Txn,
 		Compares: []storage.Compare{{Key: c.keys.ClusterLeader(), ModRevision: c.cache.ClusterLeader.ModRevision}},
-		Puts:     []storage.Put{{Key: c.keys.ClusterLeader(), Value: storage.Encode(c.process), Lease: c.member.leaseID}},
+		Puts:     []storage.Put{{Key: c.keys.ClusterLeader(), Value: storage.Encode(c.process), Lease: c.member.LeaseID()}},
 	}, storage.Urgent, storeTimeout, func(r *storage.Reply) {
 		c.election.inFlight = false
 		c.election.retryAt = c.now + 300*micros.Millisecond
 		if r.Outcome == storage.LeaseNotFound {
-			c.member.leaseID = 0
+			c.member.LeaseNotFound()
 		}
 	})
 }
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -48,10 +48,10 @@
 	if open > 0 || len(l.scaling.requestsInFlight) > 0 || c.catalog == nil || c.now < l.scaling.nextScaleOutAt || c.now-l.acquiredAt < 500*micros.Millisecond {
 		return
 	}
-	for _, p := range c.peers {
+	for _, p := range c.peers.All() {
 		// Only of those whose needs are looked at: a former holder that is cut off says
 		// nothing new for minutes, and nothing would be rented as long.
-		if c.now-p.receivedAt <= statusLifetime && len(p.status.Partitions) > 0 && p.status.Revision < l.scaling.provisionedRevision {
+		if c.now-p.ReceivedAt <= statusLifetime && len(p.Status.Partitions) > 0 && p.Status.Revision < l.scaling.provisionedRevision {
 			return // its needs are from before the last round
 		}
 	}
