--- a/internal/coordination/agents/progress_test.go
+++ b/internal/coordination/agents/progress_test.go
@@ -12,10 +12,11 @@
 	return &messages.Heartbeat{AgentEpoch: epoch, Sequence: sequence, FencingToken: token}
 }
 
-// observed is the progress after heartbeats of one epoch, one a second from second 1 on, all
-// with the same token.
-func observed(t *testing.T, epoch, token uint64, sequences ...uint64) *Progress {
+// observed is the progress after heartbeats of epoch 3, one a second from second 1 on, all with
+// fencing token 5.
+func observed(t *testing.T, sequences ...uint64) *Progress {
 	t.Helper()
+	const epoch, token = 3, 5
 	p := &Progress{}
 	now := micros.Second
 	p.BeginEpoch(epoch, now)
@@ -39,12 +40,12 @@
 		want     bool
 	}{
 		{"first heartbeat of a machine", &Progress{}, heartbeat(1, 0, 0), true},
-		{"later sequence", observed(t, 3, 5, 7), heartbeat(3, 8, 5), true},
-		{"same sequence again", observed(t, 3, 5, 7), heartbeat(3, 7, 5), false},
-		{"earlier sequence", observed(t, 3, 5, 7), heartbeat(3, 6, 5), false},
-		{"later epoch with a lower sequence", observed(t, 3, 5, 7), heartbeat(4, 1, 5), true},
-		{"earlier epoch with a higher sequence", observed(t, 3, 5, 7), heartbeat(2, 9, 5), false},
-		{"later sequence with a lower token", observed(t, 3, 5, 7), heartbeat(3, 8, 4), true},
+		{"later sequence", observed(t, 7), heartbeat(3, 8, 5), true},
+		{"same sequence again", observed(t, 7), heartbeat(3, 7, 5), false},
+		{"earlier sequence", observed(t, 7), heartbeat(3, 6, 5), false},
+		{"later epoch with a lower sequence", observed(t, 7), heartbeat(4, 1, 5), true},
+		{"earlier epoch with a higher sequence", observed(t, 7), heartbeat(2, 9, 5), false},
+		{"later sequence with a lower token", observed(t, 7), heartbeat(3, 8, 4), true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -58,7 +59,7 @@
 func TestIsStaleCopy(t *testing.T) {
 	// The last heartbeat comes at second 10; at second 7 the one with sequence 1 has long been
 	// known, so that it is settled from then on.
-	progress := observed(t, 3, 5, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
+	progress := observed(t, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
 	const last = 10 * micros.Second
 	tests := []struct {
 		name string
@@ -101,22 +102,10 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			var sequences []uint64
-			for s := range test.last {
-				sequences = append(sequences, s+1)
-			}
-			progress := observed(t, 3, 5, sequences...)
+			progress := observed(t, upTo(test.last)...)
 			now := micros.Time(test.last) * micros.Second
-			for _, s := range test.wantStale {
-				if !progress.IsStaleCopy(heartbeat(3, s, 5), now) {
-					t.Errorf("sequence %d may still wait for a reply, want it settled", s)
-				}
-			}
-			for _, s := range test.wantNot {
-				if progress.IsStaleCopy(heartbeat(3, s, 5), now) {
-					t.Errorf("sequence %d is settled, want it to wait for a reply", s)
-				}
-			}
+			checkStale(t, progress, now, test.wantStale, true)
+			checkStale(t, progress, now, test.wantNot, false)
 			progress.BeginEpoch(4, now)
 			progress.Observe(heartbeat(4, 2, 5), now)
 			if progress.IsStaleCopy(heartbeat(4, 1, 5), now) {
@@ -126,6 +115,25 @@
 	}
 }
 
+// upTo returns the sequences from 1 to last.
+func upTo(last uint64) []uint64 {
+	var sequences []uint64
+	for s := range last {
+		sequences = append(sequences, s+1)
+	}
+	return sequences
+}
+
+// checkStale checks whether copies of heartbeats that were observed are stale.
+func checkStale(t *testing.T, progress *Progress, now micros.Time, sequences []uint64, want bool) {
+	t.Helper()
+	for _, s := range sequences {
+		if got := progress.IsStaleCopy(heartbeat(3, s, 5), now); got != want {
+			t.Errorf("IsStaleCopy = %v for sequence %d, want %v", got, s, want)
+		}
+	}
+}
+
 func TestShowsRestart(t *testing.T) {
 	tests := []struct {
 		name          string
@@ -142,7 +150,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			progress := observed(t, 3, 5, 7)
+			progress := observed(t, 7)
 			if got := progress.ShowsRestart(test.h, test.acquiredToken); got != test.want {
 				t.Errorf("ShowsRestart = %v, want %v", got, test.want)
 			}
@@ -151,7 +159,7 @@
 }
 
 func TestObserveKeepsHighestToken(t *testing.T) {
-	progress := observed(t, 3, 5, 7)
+	progress := observed(t, 7)
 	progress.Observe(heartbeat(3, 8, 2), 3*micros.Second)
 	if !progress.ShowsRestart(heartbeat(3, 9, 4), 5) {
 		t.Error("a heartbeat with a low token made the agent's highest token forgotten")
@@ -168,12 +176,15 @@
 		if !progress.HeardFrom() || progress.Epoch() != 3 || progress.Reconciled() {
 			t.Errorf("heard %v, epoch %d, reconciled %v", progress.HeardFrom(), progress.Epoch(), progress.Reconciled())
 		}
-		if !progress.BootedWithin(micros.Second, 11*micros.Second-1) || progress.BootedWithin(micros.Second, 11*micros.Second) {
-			t.Error("the boot is not counted from the first epoch")
+		if !progress.BootedWithin(micros.Second, 11*micros.Second-1) {
+			t.Error("no boot within a second before a second is over")
+		}
+		if progress.BootedWithin(micros.Second, 11*micros.Second) {
+			t.Error("a boot within a second when a second is over")
 		}
 	})
 	t.Run("later epoch is no boot and needs a new acknowledgement", func(t *testing.T) {
-		progress := observed(t, 3, 5, 7)
+		progress := observed(t, 7)
 		progress.BeginEpoch(4, 100*micros.Second)
 		if progress.Acknowledged(5) {
 			t.Error("the token acknowledged in the epoch before still counts")
@@ -183,14 +194,14 @@
 		}
 	})
 	t.Run("does not reconcile", func(t *testing.T) {
-		progress := observed(t, 3, 5, 7)
+		progress := observed(t, 7)
 		progress.BeginEpoch(4, 100*micros.Second)
 		if progress.Reconciled() {
 			t.Error("unreconciled agent is reconciled by a new epoch: a former leader may have started tasks in it")
 		}
 	})
 	t.Run("keeps a reconciled agent reconciled", func(t *testing.T) {
-		progress := observed(t, 3, 5, 7)
+		progress := observed(t, 7)
 		progress.Reconcile()
 		progress.BeginEpoch(4, 100*micros.Second)
 		if !progress.Reconciled() {
@@ -198,7 +209,7 @@
 		}
 	})
 	t.Run("ends the expiry of the lease", func(t *testing.T) {
-		progress := observed(t, 3, 5, 7)
+		progress := observed(t, 7)
 		progress.ExpireLease()
 		progress.BeginEpoch(4, 100*micros.Second)
 		if progress.LeaseExpired() {
@@ -218,11 +229,11 @@
 		{"acknowledged an earlier token", func(p *Progress) { p.Acknowledge(token - 1) }, false},
 		{"lease expired", func(p *Progress) { p.ExpireLease(); p.Acknowledge(token) }, false},
 		{"never heard from", func(p *Progress) { *p = Progress{}; p.Reconcile(); p.Acknowledge(token) }, false},
-		{"not reconciled", func(p *Progress) { *p = *observed(t, 3, token, 7) }, false},
+		{"not reconciled", func(p *Progress) { *p = *observed(t, 7) }, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			progress := observed(t, 3, token, 7)
+			progress := observed(t, 7)
 			progress.Reconcile()
 			test.change(progress)
 			if got := progress.Usable(token); got != test.want {
@@ -233,7 +244,7 @@
 }
 
 func TestExpireLease(t *testing.T) {
-	progress := observed(t, 3, 5, 7)
+	progress := observed(t, 7)
 	progress.ExpireLease()
 	if !progress.LeaseExpired() || !progress.Reconciled() || progress.Acknowledged(5) {
 		t.Errorf("expired %v, reconciled %v, token acknowledged %v, want true, true, false",
