--- a/internal/coordination/agent_calls.go
+++ b/internal/coordination/agent_calls.go
@@ -18,7 +18,7 @@
 	for _, m := range p.machines {
 		switch {
 		case len(m.commands.outbox) == 0 || m.commands.callInFlight:
-		case m.contact.failedCalls > 0:
+		case m.contact.FailedCalls() > 0:
 			failing = append(failing, m)
 		case !slices.ContainsFunc(m.commands.outbox, func(c messages.Command) bool { return c.Operation == messages.Stop || p.isService(c.Job) }):
 			rest = append(rest, m)
@@ -52,7 +52,7 @@
 func (p *partitionLeader) sendProbes() {
 	room := p.core.availableAgentCalls(true)
 	if len(p.detector.probeQueue) > room {
-		slices.SortStableFunc(p.detector.probeQueue, func(a, b *machine) int { return cmp.Compare(a.contact.lastProbe, b.contact.lastProbe) })
+		slices.SortStableFunc(p.detector.probeQueue, func(a, b *machine) int { return cmp.Compare(a.contact.LastProbe(), b.contact.LastProbe()) })
 	}
 	for i, m := range p.detector.probeQueue {
 		if i >= room {
@@ -61,7 +61,7 @@
 		if m.commands.callInFlight {
 			continue
 		}
-		m.contact.lastProbe = p.core.now
+		m.contact.Probed(p.core.now)
 		p.callMachine(m, nil, !m.agent.HeardFrom())
 	}
 	clear(p.detector.probeQueue)
@@ -111,10 +111,8 @@
 			}
 		}
 		if r.Heartbeat == nil {
-			if m.contact.failedCalls++; m.contact.failedCalls == 1 {
-				m.contact.firstFailedCallAt = sentAt
-			}
-			m.commands.nextCallAt = p.core.now + 300*micros.Millisecond<<min(m.contact.failedCalls-1, 3)
+			m.contact.CallFailed(sentAt)
+			m.commands.nextCallAt = p.core.now + m.contact.CallBackoff()
 			if m.agent.Epoch() == position.Epoch {
 				// The same attempts again: repeating them is safe.
 				m.commands.outbox = append(p.commandsToRetry(m, batch), m.commands.outbox...)
@@ -126,10 +124,10 @@
 			p.drainRestarted(m)
 			return
 		}
-		m.contact.lastContact, m.contact.failedCalls, m.contact.unackedReplies = p.core.now, 0, 0
+		m.contact.Reached(p.core.now)
 		p.observeHeartbeat(m, r.Heartbeat)
 		if show {
-			m.contact.lastProbe = 0 // its session is known now: it can be told our token
+			m.contact.AllowProbe() // its epoch is known now: it can be sent the fencing token
 		}
 	})
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -168,7 +168,7 @@
 	for b.Loop() {
 		now += minPlanInterval
 		for _, m := range h.machines {
-			m.contact.lastContact = now
+			m.contact.Reached(now)
 		}
 		c.now, c.wall, c.output = now, now, &messages.Output{}
 		h.plan.stale = true
--- a/internal/coordination/cluster_leader.go
+++ b/internal/coordination/cluster_leader.go
@@ -413,7 +413,7 @@
 				l.listing.absentSince[id] = c.now
 			} else if c.now-l.listing.absentSince[id] > 4*lag+20*micros.Second {
 				// Deleting is what proves it; the name may be unknown by now.
-				if h := c.partitions[partitionOfMachine(c, id)]; h == nil || h.machine(id) == nil || c.now-h.machine(id).contact.lastContact > 10*micros.Second {
+				if h := c.partitions[partitionOfMachine(c, id)]; h == nil || h.machine(id) == nil || c.now-h.machine(id).contact.LastContact() > 10*micros.Second {
 					l.termination.requested[id] = true
 				}
 				delete(l.listing.absentSince, id)
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -26,7 +26,7 @@
 // commands reach while it reaches no controller loses its tasks all the same when its
 // lease ends: commands do not renew it.
 func (p *partitionLeader) sinceLastRenewal(m *machine) micros.Time {
-	return p.core.now - max(m.contact.lastRenewal, p.lease.acquiredAt, m.lifecycle.addedAt, p.detector.silenceCountsFrom)
+	return p.core.now - max(m.contact.LastRenewal(), p.lease.acquiredAt, m.lifecycle.addedAt, p.detector.silenceCountsFrom)
 }
 
 // cannotReport tells whether a machine that answers calls has reached no controller for a lease,
@@ -53,7 +53,7 @@
 			last = max(last, end)
 		}
 	}
-	return max(last, m.contact.lastRenewal)
+	return max(last, m.contact.LastRenewal())
 }
 
 // mostReconciled tells whether most of the machines in use are known. A third of them may
@@ -85,7 +85,7 @@
 		n := shares[k]
 		up++
 		n[1]++
-		if p.core.now-m.contact.lastContact > p.suspicionTimeout()*7/10 {
+		if p.core.now-m.contact.LastContact() > p.suspicionTimeout()*7/10 {
 			silent++
 			n[0]++
 		}
@@ -108,7 +108,7 @@
 // many machines are overdue. Three machines are too few to tell.
 func (p *partitionLeader) restOfFleetHeard(m *machine) bool {
 	census := p.fleetHealth()
-	heard := len(census.lastContacts) - sort.Search(len(census.lastContacts), func(i int) bool { return census.lastContacts[i] > m.contact.firstFailedCallAt })
+	heard := len(census.lastContacts) - sort.Search(len(census.lastContacts), func(i int) bool { return census.lastContacts[i] > m.contact.FirstFailedCallAt() })
 	return heard*4 > census.inUse || census.inUse <= 3
 }
 
@@ -141,7 +141,7 @@
 			continue
 		}
 		n.inUse++
-		n.lastContacts = append(n.lastContacts, m.contact.lastContact)
+		n.lastContacts = append(n.lastContacts, m.contact.LastContact())
 		if p.sinceLastRenewal(m) < p.core.config.AgentLease()/2 {
 			n.renewed++
 		}
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -3,7 +3,6 @@
 import (
 	"slices"
 
-	"pipitlatch/internal/coordination/agents"
 	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/workload"
@@ -72,13 +71,13 @@
 		p.observeReplyReceipt(m, r)
 		p.observeHeartbeat(m, r)
 	}
-	if m.decommissioned() || m.contact.unackedReplies > maxUnackedReplies {
+	if m.decommissioned() || m.contact.RepliesLost() {
 		// Given up, or out of reach of our answers: more of them would only push off
 		// the time from which its lease has surely run out.
 		p.core.respondUnavailable(in.Request, "machine is given up")
 		return
 	}
-	m.contact.lastRenewal, m.contact.lastReply = p.core.now, p.core.now
+	m.contact.Replied(p.core.now)
 	var cmds []messages.Command
 	if newer {
 		cmds = p.commandsFor(m)
@@ -86,27 +85,13 @@
 	p.core.respond(messages.Response{Request: in.Request, Kind: messages.HeartbeatAcknowledged, FencingToken: p.lease.fencingToken, Commands: cmds})
 }
 
-// maxUnackedReplies is how many answers in a row may be shown as not received before a
-// machine counts as out of reach.
-const maxUnackedReplies = 2
-
-// observeReplyReceipt notes what a newer report says of our answer to the one before. A
-// report proves nothing about the way back: a machine that reports but cannot be
-// answered must neither count as sound nor have its lease renewed by answers that
-// never arrive.
-func (p *partitionLeader) observeReplyReceipt(m *machine, r *messages.Heartbeat) {
-	if m.contact.lastReply == 0 {
-		return
-	}
-	if r.FencingToken < p.lease.acquiredToken || r.AgentEpoch > m.agent.Epoch() {
-		// Our answers under this lease, or in its last session, did not arrive.
-		m.contact.unackedReplies++
-	} else if p.core.now-m.contact.lastReply < agents.ReplyTimeout-1500*micros.Millisecond {
-		// It goes on at its pace and stays with us: it had our answer.
-		m.contact.lastContact, m.contact.unackedReplies, m.contact.failedCalls = p.core.now, 0, 0
+// observeReplyReceipt notes what a newer heartbeat says of the reply to the one before. The reply
+// was lost if the heartbeat shows no exchange under this lease, or if the epoch ended.
+func (p *partitionLeader) observeReplyReceipt(m *machine, h *messages.Heartbeat) {
+	exchangeBroken := h.FencingToken < p.lease.acquiredToken || h.AgentEpoch > m.agent.Epoch()
+	if m.contact.ObserveNextHeartbeat(exchangeBroken, p.core.now) {
 		m.commands.nextCallAt = 0
 	}
-	m.contact.lastReply = 0
 }
 
 // supersededByToken: somebody has a higher token, so this lease is over, or about to be
--- a/internal/coordination/large_bench_test.go
+++ b/internal/coordination/large_bench_test.go
@@ -58,9 +58,10 @@
 				for i, m := range h.machines {
 					m.commands.callInFlight = true
 					if i%3 != 0 {
-						m.contact.lastContact, m.contact.lastRenewal = c.now, c.now
-					} else {
-						m.contact.failedCalls, m.contact.firstFailedCallAt = 1, c.now-micros.Second
+						m.contact.Reached(c.now)
+						m.contact.Replied(c.now)
+					} else if m.contact.FailedCalls() == 0 {
+						m.contact.CallFailed(c.now - micros.Second)
 					}
 				}
 				for _, m := range h.machines {
@@ -94,7 +95,9 @@
 				c.output = &messages.Output{}
 				h.plan.capacityRequests = nil
 				for _, m := range h.machines {
-					m.contact.lastContact, m.contact.lastRenewal, m.instanceType, m.drain.reason = c.now, c.now, c.catalog["m"], notDraining
+					m.contact.Reached(c.now)
+					m.contact.Replied(c.now)
+					m.instanceType, m.drain.reason = c.catalog["m"], notDraining
 				}
 				h.scaleIn()
 			}
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -20,7 +20,7 @@
 	address      string
 
 	agent     agents.Progress
-	contact   contactState
+	contact   agents.Contact
 	lifecycle machineLifecycle
 	drain     drainState
 	runtime   runtimeRatio
@@ -30,20 +30,6 @@
 	commands commandQueue
 }
 
-// contactState is when messages last went to and from the machine.
-type contactState struct {
-	// lastContact is when something last showed that our messages reach the machine. A
-	// heartbeat alone does not: the way back may be cut.
-	lastContact    micros.Time
-	lastRenewal    micros.Time // last reply that may have renewed the agent lease
-	lastReply      micros.Time // last reply to a heartbeat that the next heartbeat has not acknowledged yet
-	unackedReplies int         // replies in a row that the next heartbeat showed as not received
-
-	lastProbe         micros.Time
-	failedCalls       int         // calls in a row without a reply
-	firstFailedCallAt micros.Time // when the first of them was sent
-}
-
 // machineLifecycle is when the machine came, was last used, and will be taken.
 type machineLifecycle struct {
 	addedAt           micros.Time
@@ -115,7 +101,7 @@
 // schedulable tells whether tasks may be started on the machine.
 func (p *partitionLeader) schedulable(m *machine) bool {
 	return m.agent.Usable(p.lease.fencingToken) && m.record.Used && m.drain.reason == notDraining &&
-		m.lifecycle.preemptAt == 0 && m.address != "" && m.contact.failedCalls == 0 && p.core.now-m.contact.lastContact < p.suspicionTimeout()*3/4 && p.sinceLastRenewal(m) < p.core.config.AgentLease()/2
+		m.lifecycle.preemptAt == 0 && m.address != "" && m.contact.FailedCalls() == 0 && p.core.now-m.contact.LastContact() < p.suspicionTimeout()*3/4 && p.sinceLastRenewal(m) < p.core.config.AgentLease()/2
 }
 
 func (p *partitionLeader) tick() {
@@ -124,7 +110,7 @@
 		// This process did not run for a while: the silence was ours.
 		p.detector.silenceCountsFrom = now
 		for _, m := range p.machines {
-			m.contact.lastContact = max(m.contact.lastContact, now-p.suspicionTimeout()/2)
+			m.contact.DiscountSilence(now - p.suspicionTimeout()/2)
 		}
 	}
 	for _, m := range p.machines {
@@ -162,7 +148,7 @@
 		m.instanceType = p.core.catalog[m.record.InstanceType]
 	}
 	up := m.agent.HeardFrom() || m.record.Used
-	quiet := now - max(m.contact.lastContact, p.detector.silenceCountsFrom)
+	quiet := now - max(m.contact.LastContact(), p.detector.silenceCountsFrom)
 	// A holder that is cut off may have been replaced long before its term ends, and its
 	// successor may answer a machine that is silent here: only news from after the lease's end,
 	// that this is still the holder, show that nobody renewed it.
@@ -171,14 +157,14 @@
 		p.clearAttempts(m)
 		m.agent.ExpireLease()
 	}
-	if up && m.address != "" && !m.commands.callInFlight && now-m.contact.lastProbe > micros.Second && (m.contact.failedCalls > 0 || !m.agent.Acknowledged(p.lease.fencingToken) || (m.lifecycle.preemptAt != 0 && now > m.lifecycle.preemptAt) || (quiet > p.suspicionTimeout()/4 && quiet > p.probeAfter(m))) {
+	if up && m.address != "" && !m.commands.callInFlight && now-m.contact.LastProbe() > micros.Second && (m.contact.FailedCalls() > 0 || !m.agent.Acknowledged(p.lease.fencingToken) || (m.lifecycle.preemptAt != 0 && now > m.lifecycle.preemptAt) || (quiet > p.suspicionTimeout()/4 && quiet > p.probeAfter(m))) {
 		p.detector.probeQueue = append(p.detector.probeQueue, m)
 	}
 	if m.drain.reason == notDraining {
 		switch {
-		case up && quiet > p.suspicionTimeout() && (m.contact.failedCalls > 0 || m.address == "") && now >= p.detector.networkSuspectUntil && p.restOfFleetHeard(m) && !p.zoneVerdictPending(m.record.Zone):
+		case up && quiet > p.suspicionTimeout() && (m.contact.FailedCalls() > 0 || m.address == "") && now >= p.detector.networkSuspectUntil && p.restOfFleetHeard(m) && !p.zoneVerdictPending(m.record.Zone):
 			p.startDrain(m, drainUnresponsive)
-		case up && m.contact.failedCalls > 1 && quiet > p.probeAfter(m)+1500*micros.Millisecond && now >= p.detector.networkSuspectUntil &&
+		case up && m.contact.FailedCalls() > 1 && quiet > p.probeAfter(m)+1500*micros.Millisecond && now >= p.detector.networkSuspectUntil &&
 			replicasOn(m) > 0 && p.restOfFleetHeard(m) && !p.zoneVerdictPending(m.record.Zone):
 			// Two calls in a row without an answer: its replicas do not wait for the
 			// time that reports may take.
@@ -186,12 +172,12 @@
 		case up && m.agent.LeaseExpired() && quiet > 3*p.core.config.AgentLeaseExpiry():
 			// Long empty; a fault near this controller would have shown by now.
 			p.startDrain(m, drainUnresponsive)
-		case up && m.lifecycle.preemptAt != 0 && now > m.lifecycle.preemptAt+micros.Second && m.contact.failedCalls > 0:
+		case up && m.lifecycle.preemptAt != 0 && now > m.lifecycle.preemptAt+micros.Second && m.contact.FailedCalls() > 0:
 			// It was to be taken by now, and does not answer.
 			p.startDrain(m, drainUnresponsive)
-		case m.contact.unackedReplies > maxUnackedReplies && m.contact.failedCalls > 1:
+		case m.contact.RepliesLost() && m.contact.FailedCalls() > 1:
 			p.startDrain(m, drainUnreachable)
-		case !m.agent.Reconciled() && m.contact.failedCalls > 1 && p.mostReconciled():
+		case !m.agent.Reconciled() && m.contact.FailedCalls() > 1 && p.mostReconciled():
 			// Older jobs wait for the last machine that could have their tasks: after
 			// a takeover one that does not answer, while the others do, is not waited
 			// for any longer. Its reports may arrive: that says nothing of the way back.
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -6,6 +6,7 @@
 	"maps"
 	"slices"
 
+	"pipitlatch/internal/coordination/agents"
 	"pipitlatch/internal/coordination/messages"
 
 	"pipitlatch/internal/coordination/provisioning"
@@ -265,7 +266,7 @@
 			record:      v.Value,
 			modRevision: v.ModRevision,
 			address:     v.Value.Address,
-			contact:     contactState{lastContact: p.core.now},
+			contact:     agents.NewContact(p.core.now),
 			lifecycle:   machineLifecycle{addedAt: p.core.now, idleSince: p.core.now},
 			attempts:    map[messages.AttemptID]*attempt{},
 		}
--- a/internal/coordination/planning.go
+++ b/internal/coordination/planning.go
@@ -246,7 +246,7 @@
 		return false
 	}
 	if m.agent.HeardFrom() {
-		return m.agent.Reconciled() && !m.agent.LeaseExpired() && p.core.now-m.contact.lastContact < p.suspicionTimeout() // about to be usable
+		return m.agent.Reconciled() && !m.agent.LeaseExpired() && p.core.now-m.contact.LastContact() < p.suspicionTimeout() // about to be usable
 	}
 	return !m.record.Used && !p.zoneUnreachable(m.record.Zone) && p.core.now-m.lifecycle.addedAt < m.instanceType.Boot*3/2
 }
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -171,7 +171,7 @@
 	seen := map[string][]micros.Time{}
 	for _, m := range p.machines {
 		if m.agent.HeardFrom() || m.record.Used {
-			seen[m.record.Zone] = append(seen[m.record.Zone], m.contact.lastContact)
+			seen[m.record.Zone] = append(seen[m.record.Zone], m.contact.LastContact())
 		}
 	}
 	for zone, v := range p.detector.zones {
@@ -194,7 +194,7 @@
 			// Workers that wait for the answer of a holder that was cut off do not report
 			// for some seconds: only what does not answer either is not heard.
 			for i, m := range p.machines {
-				if i%2 == 0 && m.record.Zone == zone && (m.agent.HeardFrom() || m.record.Used) && !m.commands.callInFlight && m.address != "" && now-m.contact.lastProbe > micros.Second {
+				if i%2 == 0 && m.record.Zone == zone && (m.agent.HeardFrom() || m.record.Used) && !m.commands.callInFlight && m.address != "" && now-m.contact.LastProbe() > micros.Second {
 					p.detector.probeQueue = append(p.detector.probeQueue, m)
 				}
 			}
