--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -98,6 +98,7 @@
 	var paths []string
 	for _, span := range codeSpan.FindAllStringSubmatch(text, -1) {
 		for _, word := range strings.Fields(span[1]) {
+			word = word[strings.LastIndex(word, "=")+1:] // of a flag, its value
 			word = strings.TrimSuffix(strings.TrimPrefix(strings.Trim(word, `"',;:()`), "./"), "...")
 			// A word with <...> is a pattern of names.
 			if strings.Contains(word, "://") || strings.ContainsAny(word, "<>") || !repositoryPath.MatchString(word) {
@@ -122,6 +123,7 @@
 	}{
 		{"folder", "in `internal/storage`.", "internal/storage"},
 		{"command", "`go test ./internal/coordination/... -v`", "internal/coordination/"},
+		{"flag", "`go tool -modfile=tools/go.mod deadcode`", "tools/go.mod"},
 		{"symbol", "`internal/admission.Epoch`", "internal/admission"},
 		{"file below internal", "`storage/dependencies.go`", "storage/dependencies.go"},
 		{"scenario data", "`testdata/production`", "testdata/production"},
