--- /dev/null
+++ b/internal/coordination/provisioning/choose_test.go
@@ -0,0 +1,195 @@
+package provisioning
+
+import (
+	"slices"
+	"testing"
+
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
+)
+
+// instanceType is one without boot time in zone "a", for tasks of one CPU.
+func instanceType(name string, cpus int64, price, spotPrice float64) *workload.InstanceType {
+	return &workload.InstanceType{Name: name, Capacity: workload.Resources{CPU: cpus}, Price: price, SpotPrice: spotPrice,
+		Zones: []string{"a"}}
+}
+
+func booting(t *workload.InstanceType, boot micros.Time) *workload.InstanceType {
+	t.Boot = boot
+	return t
+}
+
+func inZones(t *workload.InstanceType, zones ...string) *workload.InstanceType {
+	t.Zones = zones
+	return t
+}
+
+func catalogOf(types ...*workload.InstanceType) workload.Catalog {
+	catalog := workload.Catalog{}
+	for _, t := range types {
+		catalog[t.Name] = t
+	}
+	return catalog
+}
+
+// tasks is a request for tasks of one CPU that run for a second.
+func tasks(count int, change ...func(*CapacityRequest)) CapacityRequest {
+	request := CapacityRequest{Resources: workload.Resources{CPU: 1}, Count: count, Hold: micros.Second}
+	for _, f := range change {
+		f(&request)
+	}
+	return request
+}
+
+func spot(r *CapacityRequest) { r.Spot = true }
+
+func ofSmall(r *CapacityRequest) { r.InstanceTypes = []string{"small"} }
+
+func onDemand(instanceType, zone string, count int) InstanceRequest {
+	return InstanceRequest{InstanceKind{InstanceType: instanceType, Zone: zone}, count}
+}
+
+func unlimited(InstanceKind) int { return Unlimited }
+
+const many = 1000
+
+var (
+	small, large = instanceType("small", 2, 2, 1), instanceType("large", 8, 8, 4)
+	slow         = booting(instanceType("slow", 2, 1.9, 1), 30*micros.Second)
+	zoned        = inZones(instanceType("zoned", 1, 1, 1), "b", "a")
+	withGPU      = &workload.InstanceType{
+		Name: "gpu", Capacity: workload.Resources{CPU: 8, GPU: 1}, Price: 1, Zones: []string{"a"},
+	}
+)
+
+var chooseCases = []struct {
+	name         string
+	requests     []CapacityRequest
+	types        []*workload.InstanceType
+	limit        func(InstanceKind) int
+	maxInstances int
+	want         []InstanceRequest
+}{
+	{name: "nothing for no request", types: []*workload.InstanceType{small}, maxInstances: many},
+	{name: "nothing where no instance type is large enough",
+		requests: []CapacityRequest{{Resources: workload.Resources{CPU: 3}, Count: 1}},
+		types:    []*workload.InstanceType{small}, maxInstances: many},
+	{name: "as many as the tasks need, the last one partly used",
+		requests: []CapacityRequest{tasks(5)}, types: []*workload.InstanceType{small}, maxInstances: many,
+		want: []InstanceRequest{onDemand("small", "a", 3)}},
+	{name: "the cheapest a task that is used, not a slot",
+		requests: []CapacityRequest{tasks(9)},
+		types:    []*workload.InstanceType{small, instanceType("large", 8, 7.9, 4)}, maxInstances: many,
+		want: []InstanceRequest{onDemand("large", "a", 1), onDemand("small", "a", 1)}},
+	{name: "the first by name and zone of the type among equal costs",
+		requests: []CapacityRequest{tasks(1)}, types: []*workload.InstanceType{zoned, small}, maxInstances: many,
+		want: []InstanceRequest{onDemand("zoned", "b", 1)}},
+	{name: "spot instances where they will do",
+		requests: []CapacityRequest{tasks(2, spot)}, types: []*workload.InstanceType{small}, maxInstances: many,
+		want: []InstanceRequest{{InstanceKind{"small", "a", true}, 1}}},
+	{name: "the cheapest spot instances by their own price",
+		requests: []CapacityRequest{tasks(2, spot)},
+		types:    []*workload.InstanceType{small, instanceType("volatile", 2, 3, 0.5)}, maxInstances: many,
+		want: []InstanceRequest{{InstanceKind{"volatile", "a", true}, 1}}},
+	{name: "of the instance types that will do",
+		requests: []CapacityRequest{tasks(2, func(r *CapacityRequest) { r.InstanceTypes = []string{"large"} })},
+		types:    []*workload.InstanceType{small, large}, maxInstances: many,
+		want: []InstanceRequest{onDemand("large", "a", 1)}},
+	{name: "in the zone that is wanted",
+		requests: []CapacityRequest{tasks(1, func(r *CapacityRequest) { r.Zone = "a" })},
+		types:    []*workload.InstanceType{zoned}, maxInstances: many,
+		want: []InstanceRequest{onDemand("zoned", "a", 1)}},
+	{name: "boot time is paid for",
+		requests: []CapacityRequest{tasks(2)}, types: []*workload.InstanceType{small, slow}, maxInstances: many,
+		want: []InstanceRequest{onDemand("small", "a", 1)}},
+	{name: "boot time counts little for long tasks",
+		requests: []CapacityRequest{tasks(2, func(r *CapacityRequest) { r.Hold = 3600 * micros.Second })},
+		types:    []*workload.InstanceType{small, slow}, maxInstances: many,
+		want: []InstanceRequest{onDemand("slow", "a", 1)}},
+	{name: "boot time counts for an urgent service, however long it runs",
+		requests: []CapacityRequest{tasks(2, func(r *CapacityRequest) {
+			r.Hold, r.Service, r.Urgent, r.Replicas = 3600*micros.Second, true, true, 100
+		})},
+		types: []*workload.InstanceType{small, slow}, maxInstances: many,
+		want: []InstanceRequest{onDemand("small", "a", 1)}},
+	{name: "small instances for a service of few replicas",
+		requests: []CapacityRequest{tasks(8, func(r *CapacityRequest) { r.Service, r.Replicas = true, 8 })},
+		types:    []*workload.InstanceType{small, instanceType("large", 8, 7, 4)}, maxInstances: many,
+		want: []InstanceRequest{onDemand("small", "a", 4)}},
+	{name: "large instances for a service of many replicas",
+		requests: []CapacityRequest{tasks(8, func(r *CapacityRequest) { r.Service, r.Replicas = true, 1000 })},
+		types:    []*workload.InstanceType{small, instanceType("large", 8, 7, 4)}, maxInstances: many,
+		want: []InstanceRequest{onDemand("large", "a", 1)}},
+	{name: "capacity left by one request is used for the next that allows it",
+		requests: []CapacityRequest{
+			tasks(1, ofSmall), tasks(1, func(r *CapacityRequest) { r.Zone = "b" }), tasks(1, ofSmall),
+		},
+		types: []*workload.InstanceType{small, zoned}, maxInstances: many,
+		want: []InstanceRequest{onDemand("small", "a", 1), onDemand("zoned", "b", 1)}},
+	{name: "capacity left by one request is used once",
+		requests: []CapacityRequest{tasks(1), tasks(1), tasks(1)},
+		types:    []*workload.InstanceType{small}, maxInstances: many,
+		want: []InstanceRequest{onDemand("small", "a", 2)}},
+	{name: "no more of a kind than its limit, then the next best",
+		requests: []CapacityRequest{tasks(6)}, types: []*workload.InstanceType{small, instanceType("spare", 2, 3, 1)},
+		limit: func(k InstanceKind) int {
+			if k.InstanceType == "small" {
+				return 2
+			}
+			return Unlimited
+		},
+		maxInstances: many,
+		want:         []InstanceRequest{onDemand("small", "a", 2), onDemand("spare", "a", 1)}},
+	{name: "the limit of a kind holds for all requests together",
+		requests: []CapacityRequest{tasks(2), tasks(4)}, types: []*workload.InstanceType{small},
+		limit: func(InstanceKind) int { return 2 }, maxInstances: many,
+		want: []InstanceRequest{onDemand("small", "a", 2)}},
+	{name: "no more of a kind than a fifth of the round",
+		requests: []CapacityRequest{tasks(100)}, types: []*workload.InstanceType{small}, maxInstances: 10,
+		want: []InstanceRequest{onDemand("small", "a", 2)}},
+	{name: "one of a kind in the smallest round, and no more instances than the round has",
+		requests: []CapacityRequest{tasks(100)},
+		types: []*workload.InstanceType{small, instanceType("second", 2, 3, 1), instanceType("third", 2, 4, 1),
+			instanceType("fourth", 2, 5, 1)},
+		maxInstances: 3,
+		want:         []InstanceRequest{onDemand("small", "a", 1), onDemand("second", "a", 1), onDemand("third", "a", 1)}},
+	{name: "all resources count",
+		requests: []CapacityRequest{{Resources: workload.Resources{CPU: 1, GPU: 1}, Count: 2, Hold: micros.Second}},
+		types:    []*workload.InstanceType{small, withGPU}, maxInstances: many,
+		want: []InstanceRequest{onDemand("gpu", "a", 2)}},
+}
+
+func TestChoose(t *testing.T) {
+	for _, test := range chooseCases {
+		t.Run(test.name, func(t *testing.T) {
+			limit := test.limit
+			if limit == nil {
+				limit = unlimited
+			}
+			got := Choose(test.requests, catalogOf(test.types...), limit, test.maxInstances)
+			if !slices.Equal(got, test.want) {
+				t.Errorf("Choose = %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestInstanceKindsAreOrderedByTypeZoneAndOnDemandFirst(t *testing.T) {
+	ordered := []InstanceKind{
+		{"a", "a", false}, {"a", "a", true}, {"a", "b", false}, {"b", "a", false}, {"b", "a", true}, {"b", "b", true},
+	}
+	for i, x := range ordered {
+		for j, y := range ordered {
+			want := 0
+			if i != j {
+				want = 1
+			}
+			if i < j {
+				want = -1
+			}
+			if got := x.Compare(y); got != want {
+				t.Errorf("%v.Compare(%v) = %d, want %d", x, y, got, want)
+			}
+		}
+	}
+}
