--- a/internal/coordination/agent_calls.go
+++ b/internal/coordination/agent_calls.go
@@ -51,10 +51,10 @@
 // goes first: many that never answer must not keep the others from being asked.
 func (p *partitionLeader) sendProbes() {
 	room := p.core.availableAgentCalls(true)
-	if len(p.detector.probeQueue) > room {
-		slices.SortStableFunc(p.detector.probeQueue, func(a, b *machine) int { return cmp.Compare(a.contact.LastProbe(), b.contact.LastProbe()) })
+	if len(p.probeQueue) > room {
+		slices.SortStableFunc(p.probeQueue, func(a, b *machine) int { return cmp.Compare(a.contact.LastProbe(), b.contact.LastProbe()) })
 	}
-	for i, m := range p.detector.probeQueue {
+	for i, m := range p.probeQueue {
 		if i >= room {
 			break
 		}
@@ -64,8 +64,8 @@
 		m.contact.Probed(p.core.now)
 		p.callMachine(m, nil, !m.agent.HeardFrom())
 	}
-	clear(p.detector.probeQueue)
-	p.detector.probeQueue = p.detector.probeQueue[:0]
+	clear(p.probeQueue)
+	p.probeQueue = p.probeQueue[:0]
 }
 
 // sendOutbox sends what waits for a machine.
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -2,51 +2,112 @@
 
 import (
 	"slices"
-	"sort"
 
+	"pipitlatch/internal/coordination/failuredetector"
+	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/micros"
 )
 
-// suspicionTimeout is how long a machine may go without news.
-func (p *partitionLeader) suspicionTimeout() micros.Time {
-	return micros.Time(p.core.config.Operator.SilenceMs) * micros.Millisecond
+// This file connects the failure detector to the partition leader: what the detector sees of
+// machines and peers, and what follows from a check of the zones.
+
+// newFailureDetector returns the detector of a partition leader that has just taken over.
+func newFailureDetector(p *partitionLeader) *failuredetector.Detector {
+	cfg := p.core.config
+	return failuredetector.New(failuredetector.Timeouts{
+		Suspicion:        micros.Time(cfg.Operator.SilenceMs) * micros.Millisecond,
+		AgentLease:       cfg.AgentLease(),
+		AgentLeaseExpiry: cfg.AgentLeaseExpiry(),
+	}, detectorView{p}, p.core.now)
 }
 
-// probeAfter is how long a machine may be quiet before it is asked: one that serves
-// somebody earlier, since its replicas are missed from the moment that it dies.
-func (p *partitionLeader) probeAfter(m *machine) micros.Time {
-	ask := p.suspicionTimeout() * 2 / 3
-	if replicasOn(m) > 0 {
-		ask = min(ask, max(p.suspicionTimeout()/4, 2*micros.Second))
+// detectorView is what the failure detector sees of a partition leader.
+type detectorView struct{ leader *partitionLeader }
+
+// Machines yields what the detector sees of each machine.
+func (v detectorView) Machines(yield func(failuredetector.Machine) bool) {
+	for _, m := range v.leader.machines {
+		observed := failuredetector.Machine{
+			Zone:         m.record.Zone,
+			Spot:         m.record.Spot,
+			InUse:        m.inUse(),
+			MayHaveTasks: m.record.Used,
+			Reconciled:   m.agent.Reconciled(),
+			LastContact:  m.contact.LastContact(),
+			RenewedAt:    v.leader.leaseRenewedAt(m),
+		}
+		if !yield(observed) {
+			return
+		}
+	}
+}
+
+// PeerVerdict is what the peers that are heard told of their probes of a zone.
+func (v detectorView) PeerVerdict(zone string) failuredetector.PeerVerdict {
+	var verdict failuredetector.PeerVerdict
+	core := v.leader.core
+	for member, peer := range core.peers.All() {
+		if member == core.process.Member || core.now-peer.ReceivedAt > 2*micros.Second {
+			continue
+		}
+		i := slices.IndexFunc(peer.Status.Reachability, func(z messages.ZoneReachability) bool {
+			return z.Partition == v.leader.partition && z.Zone == zone
+		})
+		if i < 0 {
+			verdict.Pending++
+		} else if z := peer.Status.Reachability[i]; z.Answered*2 >= z.Probed {
+			verdict.Reached = true
+		}
 	}
-	return ask
+	return verdict
+}
+
+// inUse tells whether the machine's agent was heard from, or it may have tasks.
+func (m *machine) inUse() bool { return m.agent.HeardFrom() || m.record.Used }
+
+// leaseRenewedAt is when the machine's agent lease was last renewed by this partition leader, or
+// could first have been.
+func (p *partitionLeader) leaseRenewedAt(m *machine) micros.Time {
+	return max(m.contact.LastRenewal(), p.lease.acquiredAt, m.lifecycle.addedAt)
+}
+
+// suspicionTimeout is how long a machine may go without contact.
+func (p *partitionLeader) suspicionTimeout() micros.Time { return p.detector.SuspicionTimeout() }
+
+// probeAfter is how long a machine may go without contact before it is probed.
+func (p *partitionLeader) probeAfter(m *machine) micros.Time {
+	return p.detector.ProbeAfter(replicasOn(m) > 0)
 }
 
-// sinceLastRenewal is for how long no report of the machine was answered. One that direct
-// commands reach while it reaches no controller loses its tasks all the same when its
-// lease ends: commands do not renew it.
+// sinceLastRenewal is for how long no heartbeat of the machine was replied to. One that direct
+// commands reach while it reaches no controller loses its tasks all the same when its agent lease
+// expires: commands do not renew it.
 func (p *partitionLeader) sinceLastRenewal(m *machine) micros.Time {
-	return p.core.now - max(m.contact.LastRenewal(), p.lease.acquiredAt, m.lifecycle.addedAt, p.detector.silenceCountsFrom)
+	return p.detector.SinceRenewal(p.core.now, p.leaseRenewedAt(m))
 }
 
-// cannotReport tells whether a machine that answers calls has reached no controller for a lease,
-// while most others do: it is empty by now, and would stay so.
+// cannotReport tells whether a machine that answers calls has reached no controller for an agent
+// lease, while most others do.
 func (p *partitionLeader) cannotReport(m *machine) bool {
-	if !m.agent.HeardFrom() || p.sinceLastRenewal(m) <= p.core.config.AgentLeaseExpiry() {
-		return false
-	}
-	census := p.fleetHealth()
-	return census.renewed*2 > census.inUse
+	return m.agent.HeardFrom() && p.detector.CannotReport(p.core.now, p.leaseRenewedAt(m))
+}
+
+// networkRuledOut tells whether a silent machine itself is at fault, as far as the others show: neither
+// the network near this controller nor that between it and the machine's zone explains the silence.
+func (p *partitionLeader) networkRuledOut(m *machine) bool {
+	now := p.core.now
+	return !p.detector.NetworkSuspected(now) && p.detector.RestOfFleetHeard(now, m.contact.FirstFailedCallAt()) &&
+		!p.detector.ZoneVerdictPending(now, m.record.Zone)
 }
 
-// lastPossibleRenewal is when a worker of this machine can last have had an answer that
-// renewed its lease: ours, or a predecessor's, whose answers end with its term,
-// or with its process if that is known to be dead.
+// lastPossibleRenewal is when an agent of this machine can last have had a reply that renewed its
+// lease: ours, or a former partition leader's, whose replies end with its term, or with its
+// process if that is known to be dead.
 func (p *partitionLeader) lastPossibleRenewal(m *machine) micros.Time {
 	last := p.lease.acquiredAt
 	if m.record.Used {
-		for _, predecessor := range p.lease.formerLeaders {
-			end, dead := p.core.deathTimes[predecessor]
+		for _, former := range p.lease.formerLeaders {
+			end, dead := p.core.deathTimes[former]
 			if !dead {
 				end = p.lease.acquiredAt + p.core.config.LeadershipTerm()
 			}
@@ -56,97 +117,47 @@
 	return max(last, m.contact.LastRenewal())
 }
 
-// mostReconciled tells whether most of the machines in use are known. A third of them may
-// have been lost with the last holder, and all older jobs wait for these.
-func (p *partitionLeader) mostReconciled() bool {
-	census := p.fleetHealth()
-	return census.reconciled*2 >= census.mayHaveTasks
-}
-
-// widespreadSilence tells whether so many machines are silent, or overdue, at once that
-// the fault is more likely near this controller than at each of them: then none
-// is deleted, and only the end of its lease writes one off. Overdue ones count
-// because in a cut the machines fall silent one after the other. A fault near here
-// hits all alike: while those of another zone, or the ordinary ones, are heard as
-// ever, a zone was lost or spot machines were taken, however many, and what ran
-// there need not wait.
-func (p *partitionLeader) widespreadSilence() bool {
-	type share struct {
-		zone string
-		spot bool
-	}
-	var silent, up int
-	shares := map[share][2]int{}
-	for _, m := range p.machines {
-		if !m.agent.HeardFrom() && !m.record.Used {
-			continue
-		}
-		k := share{m.record.Zone, m.record.Spot}
-		n := shares[k]
-		up++
-		n[1]++
-		if p.core.now-m.contact.LastContact() > p.suspicionTimeout()*7/10 {
-			silent++
-			n[0]++
-		}
-		shares[k] = n
-	}
-	if silent <= 2 || silent*2 <= up {
-		return false
-	}
-	for _, n := range shares {
-		if n[1] >= 3 && n[0]*2 <= n[1] {
-			return false
+// checkZones has machines of silent zones probed, and the peers asked about unreachable ones.
+func (p *partitionLeader) checkZones() {
+	for _, report := range p.detector.CheckZones(p.core.now) {
+		p.probeZone(report.Zone)
+		if report.BecameUnreachable {
+			p.core.status.soon = true
+			p.core.log(messages.LevelInfo, "zone unreachable", "zone", report.Zone, "machines", report.Machines)
 		}
 	}
-	return true
 }
 
-// restOfFleetHeard tells whether a good part of the machines has been heard since the
-// first of the calls in a row that this one did not answer was sent: then it is not
-// this controller that nobody hears. A fault near here shows at once, long before
-// many machines are overdue. Three machines are too few to tell.
-func (p *partitionLeader) restOfFleetHeard(m *machine) bool {
-	census := p.fleetHealth()
-	heard := len(census.lastContacts) - sort.Search(len(census.lastContacts), func(i int) bool { return census.lastContacts[i] > m.contact.FirstFailedCallAt() })
-	return heard*4 > census.inUse || census.inUse <= 3
+// probeZone queues probes of every second machine of a silent zone. Agents that wait for the reply
+// of a partition leader that was cut off send no heartbeat for some seconds: only what does not
+// answer a probe either is not heard.
+func (p *partitionLeader) probeZone(zone string) {
+	for i, m := range p.machines {
+		if i%2 == 0 && m.record.Zone == zone && m.inUse() && p.mayProbe(m) {
+			p.probeQueue = append(p.probeQueue, m)
+		}
+	}
 }
 
-// fleetHealth is what judging one machine's silence needs of all the others. It is taken once
-// a tick: when a third of the fleet falls silent at once, every one of them is judged by
-// the rest, and counting anew for each would take the square of the fleet's size.
-type fleetHealth struct {
-	takenAt      micros.Time
-	inUse        int           // machines in use
-	renewed      int           // of these, had an answer within half a lease
-	mayHaveTasks int           // machines that may have tasks, by their records
-	reconciled   int           // of these, their tasks are known
-	lastContacts []micros.Time // when those in use were last seen, in order
+// mayProbe tells whether a machine can be probed, and was not within the last second.
+func (p *partitionLeader) mayProbe(m *machine) bool {
+	return m.address != "" && !m.commands.callInFlight && p.core.now-m.contact.LastProbe() > micros.Second
 }
 
-// fleetHealth returns the census of this tick.
-func (p *partitionLeader) fleetHealth() *fleetHealth {
-	if p.detector.healthSummary != nil && p.detector.healthSummary.takenAt == p.core.now {
-		return p.detector.healthSummary
-	}
-	n := &fleetHealth{takenAt: p.core.now}
-	for _, m := range p.machines {
-		if m.record.Used {
-			n.mayHaveTasks++
-			if m.agent.Reconciled() {
-				n.reconciled++
-			}
-		}
-		if !m.agent.HeardFrom() && !m.record.Used {
+// inheritUnreachableZones takes over the zones that the last partition leader, as far as it told,
+// did not hear.
+func (p *partitionLeader) inheritUnreachableZones() {
+	for _, peer := range p.core.peers.All() {
+		if p.core.now-peer.ReceivedAt > probeResultTTL {
 			continue
 		}
-		n.inUse++
-		n.lastContacts = append(n.lastContacts, m.contact.LastContact())
-		if p.sinceLastRenewal(m) < p.core.config.AgentLease()/2 {
-			n.renewed++
+		for _, status := range peer.Status.Partitions {
+			if status.Partition != p.partition {
+				continue
+			}
+			for _, zone := range status.UnreachableZones {
+				p.detector.InheritUnreachableZone(zone, p.core.now)
+			}
 		}
 	}
-	slices.Sort(n.lastContacts)
-	p.detector.healthSummary = n
-	return n
 }
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -108,7 +108,7 @@
 	now := p.core.now
 	if now-p.lastTick > micros.Second {
 		// This process did not run for a while: the silence was ours.
-		p.detector.silenceCountsFrom = now
+		p.detector.RestartSilence(now)
 		for _, m := range p.machines {
 			m.contact.DiscountSilence(now - p.suspicionTimeout()/2)
 		}
@@ -120,10 +120,7 @@
 	}
 	p.lastTick = now
 	p.checkZones()
-	if p.widespreadSilence() {
-		// The last of them to be heard again must not be taken for dead meanwhile.
-		p.detector.networkSuspectUntil = now + p.suspicionTimeout()
-	}
+	p.detector.UpdateNetworkSuspicion(now)
 	if !p.core.term.Valid(now) {
 		return
 	}
@@ -147,8 +144,8 @@
 	if m.instanceType == nil && p.core.catalog != nil {
 		m.instanceType = p.core.catalog[m.record.InstanceType]
 	}
-	up := m.agent.HeardFrom() || m.record.Used
-	quiet := now - max(m.contact.LastContact(), p.detector.silenceCountsFrom)
+	up := m.inUse()
+	quiet := p.detector.Silence(now, m.contact.LastContact())
 	// A holder that is cut off may have been replaced long before its term ends, and its
 	// successor may answer a machine that is silent here: only news from after the lease's end,
 	// that this is still the holder, show that nobody renewed it.
@@ -157,15 +154,14 @@
 		p.clearAttempts(m)
 		m.agent.ExpireLease()
 	}
-	if up && m.address != "" && !m.commands.callInFlight && now-m.contact.LastProbe() > micros.Second && (m.contact.FailedCalls() > 0 || !m.agent.Acknowledged(p.lease.fencingToken) || (m.lifecycle.preemptAt != 0 && now > m.lifecycle.preemptAt) || (quiet > p.suspicionTimeout()/4 && quiet > p.probeAfter(m))) {
-		p.detector.probeQueue = append(p.detector.probeQueue, m)
+	if up && p.mayProbe(m) && (m.contact.FailedCalls() > 0 || !m.agent.Acknowledged(p.lease.fencingToken) || (m.lifecycle.preemptAt != 0 && now > m.lifecycle.preemptAt) || (quiet > p.suspicionTimeout()/4 && quiet > p.probeAfter(m))) {
+		p.probeQueue = append(p.probeQueue, m)
 	}
 	if m.drain.reason == notDraining {
 		switch {
-		case up && quiet > p.suspicionTimeout() && (m.contact.FailedCalls() > 0 || m.address == "") && now >= p.detector.networkSuspectUntil && p.restOfFleetHeard(m) && !p.zoneVerdictPending(m.record.Zone):
+		case up && quiet > p.suspicionTimeout() && (m.contact.FailedCalls() > 0 || m.address == "") && p.networkRuledOut(m):
 			p.startDrain(m, drainUnresponsive)
-		case up && m.contact.FailedCalls() > 1 && quiet > p.probeAfter(m)+1500*micros.Millisecond && now >= p.detector.networkSuspectUntil &&
-			replicasOn(m) > 0 && p.restOfFleetHeard(m) && !p.zoneVerdictPending(m.record.Zone):
+		case up && m.contact.FailedCalls() > 1 && quiet > p.probeAfter(m)+1500*micros.Millisecond && replicasOn(m) > 0 && p.networkRuledOut(m):
 			// Two calls in a row without an answer: its replicas do not wait for the
 			// time that reports may take.
 			p.startDrain(m, drainUnresponsive)
@@ -177,7 +173,7 @@
 			p.startDrain(m, drainUnresponsive)
 		case m.contact.RepliesLost() && m.contact.FailedCalls() > 1:
 			p.startDrain(m, drainUnreachable)
-		case !m.agent.Reconciled() && m.contact.FailedCalls() > 1 && p.mostReconciled():
+		case !m.agent.Reconciled() && m.contact.FailedCalls() > 1 && p.detector.MostReconciled(now):
 			// Older jobs wait for the last machine that could have their tasks: after
 			// a takeover one that does not answer, while the others do, is not waited
 			// for any longer. Its reports may arrive: that says nothing of the way back.
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"pipitlatch/internal/coordination/agents"
+	"pipitlatch/internal/coordination/failuredetector"
 	"pipitlatch/internal/coordination/messages"
 
 	"pipitlatch/internal/coordination/provisioning"
@@ -30,11 +31,12 @@
 	plan          planState
 	fairShares    *fairShares // nil: off
 	consolidation consolidationState
-	detector      failureDetector
+	detector      *failuredetector.Detector
 	dependencies  dependencyState
 
 	lastTick      micros.Time
 	sendRound     int                    // counts rounds of sending commands
+	probeQueue    []*machine             // to be probed in this tick
 	useWriteAfter map[string]micros.Time // by block: when its machines in use may be written again
 	pendingKills  []*attempt             // of cancelled jobs, not shown as gone
 
@@ -74,17 +76,6 @@
 	recentArrayCPU int64       // CPU that arrays used recently
 }
 
-// failureDetector is what the partition leader knows of the health of its fleet.
-type failureDetector struct {
-	silenceCountsFrom micros.Time // silence before this moment was our own
-	// networkSuspectUntil: until then silence is put down to the network near this controller.
-	networkSuspectUntil micros.Time
-	zones               map[string]*zoneHealth // of machines in use
-	zonesCheckedAt      micros.Time
-	probeQueue          []*machine   // to be probed in this tick
-	healthSummary       *fleetHealth // of this tick
-}
-
 // dependencyState is what is still to be found out and written down about jobs that depend on
 // others.
 type dependencyState struct {
@@ -198,10 +189,6 @@
 			interval:         minPlanInterval,
 			preemptionFailed: map[preemptionShape]bool{},
 		},
-		detector: failureDetector{
-			silenceCountsFrom: c.now,
-			zones:             map[string]*zoneHealth{},
-		},
 		dependencies: dependencyState{
 			unresolved: map[string]micros.Time{},
 			cancelled:  map[string]bool{},
@@ -209,6 +196,7 @@
 		lastTick:      c.now,
 		useWriteAfter: map[string]micros.Time{},
 	}
+	h.detector = newFailureDetector(h)
 	for _, id := range sortedKeys(c.cache.Machines) {
 		h.machineChanged(id)
 	}
@@ -481,7 +469,7 @@
 
 // status is what the leader is told of the queue.
 func (p *partitionLeader) status() messages.PartitionStatus {
-	s := messages.PartitionStatus{Partition: p.partition, FencingToken: p.lease.fencingToken, CapacityRequests: p.plan.capacityRequests, UnreachableZones: p.unreachableZones()}
+	s := messages.PartitionStatus{Partition: p.partition, FencingToken: p.lease.fencingToken, CapacityRequests: p.plan.capacityRequests, UnreachableZones: p.detector.UnreachableZones()}
 	if !p.core.term.Valid(p.core.now) {
 		return s
 	}
@@ -489,7 +477,7 @@
 	several := p.core.partitionCount() > 1
 	idle := map[bool]int{} // of spot machines, and of the others
 	for _, m := range p.machines {
-		if m.drain.reason == drainUnresponsive && (p.core.now < p.detector.networkSuspectUntil || p.zoneVerdictPending(m.record.Zone)) && !m.agent.LeaseExpired() {
+		if m.drain.reason == drainUnresponsive && (p.detector.NetworkSuspected(p.core.now) || p.detector.ZoneVerdictPending(p.core.now, m.record.Zone)) && !m.agent.LeaseExpired() {
 			continue
 		}
 		if m.drain.reason != notDraining && (m.drain.reason == drainUnresponsive || m.drain.reason == drainBootTimeout || m.drain.reason == drainUnresolvedStart || m.decommissioned() || p.terminable(m)) {
--- a/internal/coordination/planning.go
+++ b/internal/coordination/planning.go
@@ -248,7 +248,7 @@
 	if m.agent.HeardFrom() {
 		return m.agent.Reconciled() && !m.agent.LeaseExpired() && p.core.now-m.contact.LastContact() < p.suspicionTimeout() // about to be usable
 	}
-	return !m.record.Used && !p.zoneUnreachable(m.record.Zone) && p.core.now-m.lifecycle.addedAt < m.instanceType.Boot*3/2
+	return !m.record.Used && !p.detector.ZoneUnreachable(m.record.Zone) && p.core.now-m.lifecycle.addedAt < m.instanceType.Boot*3/2
 }
 
 // justBooted tells whether a machine reported for the first time a moment ago, so that
