--- a/internal/scenario/admission_test.go
+++ b/internal/scenario/admission_test.go
@@ -12,13 +12,13 @@
 // fairSettings are a node's operators' settings of fair admission: `fair=yes` for all nodes,
 // `fair=some` for all but the last, `lag=20`, `weights=alpha:3,beta.bulk:2`.
 func fairSettings(l *line, node int) string {
-	fair := l.set["fair"]
-	if fair == "" || (fair == "some" && node == int(l.num("nodes", 3))-1) {
+	fair := l.settings["fair"]
+	if fair == "" || (fair == "some" && node == int(l.number("nodes", 3))-1) {
 		return ""
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "fair_admission { enabled: true lag_s: %d ", int(l.num("lag", 60)))
-	for _, w := range strings.FieldsFunc(l.set["weights"], func(r rune) bool { return r == ',' }) {
+	fmt.Fprintf(&b, "fair_admission { enabled: true lag_s: %d ", int(l.number("lag", 60)))
+	for _, w := range strings.FieldsFunc(l.settings["weights"], func(r rune) bool { return r == ',' }) {
 		name, weight, _ := strings.Cut(w, ":")
 		team, class, _ := strings.Cut(name, ".")
 		fmt.Fprintf(&b, "weights { team: %q class: %q weight: %s } ", team, class, weight)
@@ -32,13 +32,13 @@
 
 // verdicts are what controllers said to submissions under epochs, from their logs.
 type verdicts struct {
-	behind map[string]int // lines that told that a class is behind its fair share
-	said   map[epochID]map[string]bool
+	behind  map[string]int // lines that told that a class is behind its fair share
+	byEpoch map[epochID]map[string]bool
 }
 
-// hearLog holds what a controller logs of admission against the rule that no reference gets
+// observeAdmissionLog holds what a controller logs of admission against the rule that no reference gets
 // two verdicts in one epoch, whichever nodes it asks.
-func (w *World) hearLog(l messages.LogRecord) {
+func (w *World) observeAdmissionLog(l messages.LogRecord) {
 	if l.Message != "admission verdict" && l.Message != "flow behind its fair share" {
 		return
 	}
@@ -65,24 +65,24 @@
 		w.breakRule("bench", "verdict of another form: %v", l.Attributes)
 		return
 	}
-	w.verdicts.take(w, epochID{leader, number}, job, admit)
+	w.verdicts.record(w, epochID{leader, number}, job, admit)
 }
 
-func (v *verdicts) take(w *World, epoch epochID, job string, admit bool) {
-	if v.said == nil {
-		v.said = map[epochID]map[string]bool{}
+func (v *verdicts) record(w *World, epoch epochID, job string, admit bool) {
+	if v.byEpoch == nil {
+		v.byEpoch = map[epochID]map[string]bool{}
 	}
-	if v.said[epoch] == nil {
-		v.said[epoch] = map[string]bool{}
+	if v.byEpoch[epoch] == nil {
+		v.byEpoch[epoch] = map[string]bool{}
 	}
-	if had, ok := v.said[epoch][job]; ok && had != admit {
+	if had, ok := v.byEpoch[epoch][job]; ok && had != admit {
 		w.breakRule("two_verdicts", "%s: %v and %v in epoch %d", job, had, admit, epoch.number)
 	}
-	v.said[epoch][job] = admit
+	v.byEpoch[epoch][job] = admit
 }
 
-// ofClass are the jobs of a class.
-func (u *users) ofClass(class string) []*userJob {
+// jobsOfClass are the jobs of a class.
+func (u *users) jobsOfClass(class string) []*userJob {
 	var out []*userJob
 	for _, ref := range u.order {
 		if j := u.jobs[ref]; j.class == class {
@@ -92,9 +92,9 @@
 	return out
 }
 
-// expectTaken: the share of a class's jobs that were accepted.
-func (w *World) expectTaken(l *line, _ *userJob) string {
-	jobs, taken := w.users.ofClass(l.word(2)), 0
+// expectAcceptedShare: the share of a class's jobs that were accepted.
+func (w *World) expectAcceptedShare(l *line, _ *userJob) string {
+	jobs, taken := w.users.jobsOfClass(l.word(2)), 0
 	for _, j := range jobs {
 		if j.accepted != 0 {
 			taken++
@@ -103,16 +103,16 @@
 	if len(jobs) == 0 {
 		return "no jobs"
 	}
-	if share := float64(taken) / float64(len(jobs)); share < l.num("least", 0) || share > l.num("most", 1) {
+	if share := float64(taken) / float64(len(jobs)); share < l.number("least", 0) || share > l.number("most", 1) {
 		return fmt.Sprintf("%d of %d", taken, len(jobs))
 	}
 	return ""
 }
 
-// expectBegun: every job of a class that was accepted long enough ago began in time.
-func (w *World) expectBegun(l *line, _ *userJob) string {
-	within := l.secs("within", 60)
-	for _, j := range w.users.ofClass(l.word(2)) {
+// expectBegunInTime: every job of a class that was accepted long enough ago began in time.
+func (w *World) expectBegunInTime(l *line, _ *userJob) string {
+	within := l.seconds("within", 60)
+	for _, j := range w.users.jobsOfClass(l.word(2)) {
 		if j.accepted == 0 || j.cancelled != 0 || w.now-j.accepted < within {
 			continue
 		}
@@ -125,7 +125,7 @@
 
 // expectBehind: how often a class was told to be behind its fair share by more than the bound.
 func (w *World) expectBehind(l *line, _ *userJob) string {
-	if n := float64(w.verdicts.behind[l.word(2)]); n < l.num("least", 0) || n > l.num("most", 1e9) {
+	if n := float64(w.verdicts.behind[l.word(2)]); n < l.number("least", 0) || n > l.number("most", 1e9) {
 		return fmt.Sprintf("%v times", n)
 	}
 	return ""
@@ -133,7 +133,7 @@
 
 // expectEpochs: under which submissions were judged.
 func (w *World) expectEpochs(l *line, _ *userJob) string {
-	if n := float64(len(w.verdicts.said)); n < l.num("least", 0) || n > l.num("most", 1e9) {
+	if n := float64(len(w.verdicts.byEpoch)); n < l.number("least", 0) || n > l.number("most", 1e9) {
 		return fmt.Sprintf("%v", n)
 	}
 	return ""
--- a/internal/scenario/deployment_test.go
+++ b/internal/scenario/deployment_test.go
@@ -67,7 +67,7 @@
 type deployment struct {
 	*live
 	t        *testing.T
-	like     shape
+	like     deploymentShape
 	settings map[string]string
 	running  map[string]*process
 	version  map[string]string // program by node
@@ -93,8 +93,8 @@
 	return ln.Addr().String()
 }
 
-// shape is what a deployment on loopback is like.
-type shape struct {
+// deploymentShape is what a deployment on loopback is like.
+type deploymentShape struct {
 	teams       []string
 	writeRPS    float64
 	limits      string // of the state service, to come
@@ -103,12 +103,12 @@
 }
 
 // upgradeShape is that of rolling upgrades.
-var upgradeShape = shape{teams: []string{"alpha"}, writeRPS: 60, limits: nextLimits, connections: 600, logLevel: "info"}
+var upgradeShape = deploymentShape{teams: []string{"alpha"}, writeRPS: 60, limits: nextLimits, connections: 600, logLevel: "info"}
 
 // newDeployment prepares stand-ins, settings and machines; no controller runs yet.
-func newDeployment(t *testing.T, like shape) *deployment {
+func newDeployment(t *testing.T, like deploymentShape) *deployment {
 	t.Helper()
-	w, err := newWorld(parseLine(1, fmt.Sprintf("cluster nodes=3 lease=6 cancel=20 report=1 rps=300 write_rps=%v teams=%s", like.writeRPS,
+	w, err := newWorld(parseLine(1, fmt.Sprintf("cluster nodes=3 lease=6 cancel=20 heartbeat=1 rps=300 write_rps=%v teams=%s", like.writeRPS,
 		strings.Join(like.teams, ","))), 1, func(string, ...any) {})
 	if err != nil {
 		t.Fatal(err)
@@ -133,16 +133,16 @@
 		servers = append(servers, s)
 		return s.Listener.Addr().String()
 	}
-	w.listen = func(m *machine) string {
+	w.listenAddress = func(m *machine) string {
 		return listen(func(r protocol.HTTPRequest, reply func(int, []byte)) {
 			if r.Path == "/show" {
-				m.show(reply)
+				m.serveStatus(reply)
 			} else {
-				m.commands(r.Body, reply)
+				m.serveCommands(r.Body, reply)
 			}
 		})
 	}
-	w.post = d.post
+	w.sendHeartbeat = d.post
 	d.writeSettings(listen)
 	d.addMachines()
 	go func() { // the world's clock
@@ -165,7 +165,7 @@
 	}
 	for i := range 3 {
 		node := nodeName(i)
-		state := listen(func(r protocol.HTTPRequest, reply func(int, []byte)) { d.w.state.handle(node, r, reply) })
+		state := listen(func(r protocol.HTTPRequest, reply func(int, []byte)) { d.w.store.handle(node, r, reply) })
 		var b strings.Builder
 		fmt.Fprintf(&b, "member = %q\nzone = \"a\"\nlisten = %q\ninternal_addr = %q\n", node, d.nodes[node], internal[node])
 		for k := range 3 {
@@ -189,12 +189,12 @@
 }
 
 func (d *deployment) addMachines() {
-	kind := &machineType{name: "small", cores: 8, ram: 64, price: 0.6, spot: 0.2, cache: 80, fetch: 5, boot: 3 * micros.Second, zones: []string{"a"},
-		room: map[string]int{"a/ordinary": 20, "a/spot": 20}}
+	kind := &instanceType{name: "small", cores: 8, ramGB: 64, price: 0.6, spotPrice: 0.2, cacheGB: 80, fetchGBPerSecond: 5, bootTime: 3 * micros.Second, zones: []string{"a"},
+		capacity: map[string]int{"a/on-demand": 20, "a/spot": 20}}
 	d.with(func(w *World) {
-		w.cloud.types = append(w.cloud.types, kind)
+		w.cloud.instanceTypes = append(w.cloud.instanceTypes, kind)
 		for range 12 {
-			w.cloud.add(kind, "a", false, true)
+			w.cloud.addMachine(kind, "a", false, true)
 		}
 	})
 }
@@ -239,8 +239,8 @@
 	d.start(node, program)
 }
 
-// holder is the node whose process took the queue last.
-func (d *deployment) holder() string {
+// partitionLeader is the node whose process took the queue last.
+func (d *deployment) partitionLeader() string {
 	best, at := nodeName(0), ""
 	for node, p := range d.running {
 		p.mu.Lock()
@@ -254,20 +254,20 @@
 	return best
 }
 
-// stateOutage has the state service refuse everybody for a while.
-func (d *deployment) stateOutage(length time.Duration) {
-	d.with(func(w *World) { w.state.outage(true) })
+// storeOutage has the state service refuse everybody for a while.
+func (d *deployment) storeOutage(length time.Duration) {
+	d.with(func(w *World) { w.store.outage(true) })
 	time.Sleep(length)
-	d.with(func(w *World) { w.state.outage(false) })
+	d.with(func(w *World) { w.store.outage(false) })
 }
 
-// stateRefuses has the state service refuse one controller for a while.
-func (d *deployment) stateRefuses(node string, length time.Duration) {
-	d.with(func(w *World) { w.state.downFor[node] = true })
+// storeRefuses has the state service refuse one controller for a while.
+func (d *deployment) storeRefuses(node string, length time.Duration) {
+	d.with(func(w *World) { w.store.refusedMembers[node] = true })
 	time.Sleep(length)
 	d.with(func(w *World) {
-		delete(w.state.downFor, node)
-		w.state.wake()
+		delete(w.store.refusedMembers, node)
+		w.store.answerWatches()
 	})
 }
 
--- a/internal/scenario/digest_test.go
+++ b/internal/scenario/digest_test.go
@@ -139,7 +139,7 @@
 	d.message(n, kind, c.Address, body, []byte(strconv.FormatInt(c.Timeout, 10)))
 }
 
-// status records a message to a sibling. The bytes of a sketch depend on the order in which
+// status records a message to a peer. The bytes of a sketch depend on the order in which
 // Go goes through a map, though its contents do not: they are brought into one order first,
 // in a copy.
 func (d *digest) status(n *node, p messages.PeerMessage, raw []byte) {
@@ -193,7 +193,7 @@
 }
 
 // finish records the state service's keys and ends the record.
-func (d *digest) finish(s *stateService) error {
+func (d *digest) finish(s *keyValueStore) error {
 	if d == nil {
 		return nil
 	}
@@ -204,7 +204,7 @@
 	}
 	sort.Strings(keys)
 	for _, k := range keys {
-		fmt.Fprintf(d.out, "end state key %s %s %d\n", k, shortHash(s.keys[k].value), s.keys[k].stamp)
+		fmt.Fprintf(d.out, "end state key %s %s %d\n", k, shortHash(s.keys[k].value), s.keys[k].modRevision)
 	}
 	return errors.Join(d.out.Flush(), d.packed.Close(), d.file.Close())
 }
--- a/internal/scenario/expectations_test.go
+++ b/internal/scenario/expectations_test.go
@@ -10,32 +10,32 @@
 
 // expectations are what may be expected, by the word after "expect".
 var expectations = map[string]func(*World, *line, *userJob) string{
-	"done":          (*World).expectDone,
-	"cancelled":     (*World).expectCancelled,
-	"refused":       (*World).expectRefused,
-	"accepted":      (*World).expectAccepted,
-	"started":       (*World).expectStarted,
-	"off":           (*World).expectOff,
-	"done-within":   (*World).expectDoneWithin,
-	"vain":          (*World).expectVain,
-	"never-started": (*World).expectNeverStarted,
-	"never":         (*World).expectNeverStarted,
-	"up":            (*World).expectUp,
-	"starts":        (*World).expectStarts,
-	"machines":      (*World).expectMachines,
-	"all-known":     (*World).expectAllKnown,
-	"rented":        (*World).expectRented,
-	"gone":          (*World).expectGone,
-	"takeovers":     (*World).expectTakeovers,
-	"lost":          (*World).expectLost,
-	"kept":          (*World).expectKept,
-	"too-large":     (*World).expectTooLarge,
-	"told":          (*World).expectTold,
-	"holders":       (*World).expectHolders,
-	"taken":         (*World).expectTaken,
-	"begun":         (*World).expectBegun,
-	"epochs":        (*World).expectEpochs,
-	"behind":        (*World).expectBehind,
+	"done":             (*World).expectDone,
+	"cancelled":        (*World).expectCancelled,
+	"refused":          (*World).expectRefused,
+	"accepted":         (*World).expectAccepted,
+	"started":          (*World).expectStarted,
+	"stopped":          (*World).expectStoppedInTime,
+	"done-within":      (*World).expectDoneWithin,
+	"starts-into-cuts": (*World).expectStartsIntoCuts,
+	"never-started":    (*World).expectNeverStarted,
+	"never":            (*World).expectNeverStarted,
+	"replica-seconds":  (*World).expectUp,
+	"starts":           (*World).expectStarts,
+	"machines":         (*World).expectMachines,
+	"reconciled":       (*World).expectReconciled,
+	"machines-created": (*World).expectCreated,
+	"terminated":       (*World).expectTerminated,
+	"failovers":        (*World).expectFailovers,
+	"extra-starts":     (*World).expectExtraStarts,
+	"cached-jobs":      (*World).expectCachedJobs,
+	"too-large":        (*World).expectTooLarge,
+	"phase":            (*World).expectPhase,
+	"controllers":      (*World).expectControllers,
+	"accepted-share":   (*World).expectAcceptedShare,
+	"begun":            (*World).expectBegunInTime,
+	"epochs":           (*World).expectEpochs,
+	"behind":           (*World).expectBehind,
 }
 
 // expect says why an expectation is not met, or nothing.
@@ -54,13 +54,13 @@
 
 func (w *World) expectDone(l *line, j *userJob) string {
 	if l.word(2) == "all" {
-		if open := w.users.open(); len(open) > 0 {
+		if open := w.users.unfinished(); len(open) > 0 {
 			return fmt.Sprintf("%d are not: %v", len(open), open[:min(5, len(open))])
 		}
 		return ""
 	}
 	if !j.toldDone {
-		return fmt.Sprintf("%d of %d tasks done, told %q", len(j.done), j.shards, j.lastPhase)
+		return fmt.Sprintf("%d of %d tasks done, told %q", len(j.done), j.taskCount, j.lastPhase)
 	}
 	return ""
 }
@@ -80,41 +80,41 @@
 }
 
 func (w *World) expectAccepted(l *line, j *userJob) string {
-	if j.accepted == 0 || j.accepted-j.first > l.secs("within", 60) {
-		return fmt.Sprintf("accepted after %v s", micros.Seconds(j.accepted-j.first))
+	if j.accepted == 0 || j.accepted-j.submittedAt > l.seconds("within", 60) {
+		return fmt.Sprintf("accepted after %v s", micros.Seconds(j.accepted-j.submittedAt))
 	}
 	return ""
 }
 
 func (w *World) expectStarted(l *line, j *userJob) string {
-	if j.firstStart == 0 || j.firstStart-j.first > l.secs("within", 60) {
-		return fmt.Sprintf("started after %v s", micros.Seconds(j.firstStart-j.first))
+	if j.firstStart == 0 || j.firstStart-j.submittedAt > l.seconds("within", 60) {
+		return fmt.Sprintf("started after %v s", micros.Seconds(j.firstStart-j.submittedAt))
 	}
 	return ""
 }
 
-// expectOff: no task on a machine any more, after its user was told.
-func (w *World) expectOff(l *line, j *userJob) string {
-	if j.cancelled == 0 || j.offAfter > l.secs("within", 5) {
-		return fmt.Sprintf("its last task was on a machine %v s after", micros.Seconds(j.offAfter))
+// expectStoppedInTime: no task on a machine any more, after its user was told.
+func (w *World) expectStoppedInTime(l *line, j *userJob) string {
+	if j.cancelled == 0 || j.onMachineAfterCancel > l.seconds("within", 5) {
+		return fmt.Sprintf("its last task was on a machine %v s after", micros.Seconds(j.onMachineAfterCancel))
 	}
 	return ""
 }
 
 func (w *World) expectDoneWithin(l *line, j *userJob) string {
-	if j.doneAt == 0 || j.doneAt-j.first > l.secs("within", 60) {
+	if j.doneAt == 0 || j.doneAt-j.submittedAt > l.seconds("within", 60) {
 		if j.doneAt == 0 {
 			return "not done"
 		}
-		return fmt.Sprintf("done after %v s", micros.Seconds(j.doneAt-j.first))
+		return fmt.Sprintf("done after %v s", micros.Seconds(j.doneAt-j.submittedAt))
 	}
 	return ""
 }
 
-// expectVain: starts sent to machines that nothing reaches.
-func (w *World) expectVain(l *line, j *userJob) string {
-	if float64(w.vain) > l.num("most", 0) {
-		return fmt.Sprintf("%d starts", w.vain)
+// expectStartsIntoCuts: starts sent to machines that nothing reaches.
+func (w *World) expectStartsIntoCuts(l *line, j *userJob) string {
+	if float64(w.startsIntoCuts) > l.number("most", 0) {
+		return fmt.Sprintf("%d starts", w.startsIntoCuts)
 	}
 	return ""
 }
@@ -128,14 +128,14 @@
 
 // expectUp: replica time in seconds, at least.
 func (w *World) expectUp(l *line, j *userJob) string {
-	if got := micros.Seconds(j.replicaTime); got < l.num("least", 0) {
+	if got := micros.Seconds(j.replicaTime); got < l.number("least", 0) {
 		return fmt.Sprintf("%.1f s", got)
 	}
 	return ""
 }
 
 func (w *World) expectStarts(l *line, j *userJob) string {
-	if float64(j.starts) > l.num("most", 1) {
+	if float64(j.starts) > l.number("most", 1) {
 		return fmt.Sprintf("%d starts", j.starts)
 	}
 	return ""
@@ -144,66 +144,66 @@
 func (w *World) expectMachines(l *line, j *userJob) string {
 	n := 0
 	for _, m := range w.cloud.sorted() {
-		if !m.gone && !m.deleted {
+		if !m.gone && !m.terminated {
 			n++
 		}
 	}
-	if float64(n) > l.num("most", 1e9) || float64(n) < l.num("least", 0) {
+	if float64(n) > l.number("most", 1e9) || float64(n) < l.number("least", 0) {
 		return fmt.Sprintf("%d machines", n)
 	}
 	return ""
 }
 
-// expectAllKnown: machines, by every new holder.
-func (w *World) expectAllKnown(l *line, j *userJob) string {
-	if w.unknown == 0 || w.unknown > l.secs("within", 5) {
-		return fmt.Sprintf("after %v s", micros.Seconds(w.unknown))
+// expectReconciled: machines, by every new holder.
+func (w *World) expectReconciled(l *line, j *userJob) string {
+	if w.longestReconciliation == 0 || w.longestReconciliation > l.seconds("within", 5) {
+		return fmt.Sprintf("after %v s", micros.Seconds(w.longestReconciliation))
 	}
 	return ""
 }
 
-// expectRented: machines, ever.
-func (w *World) expectRented(l *line, j *userJob) string {
-	if n := float64(len(w.cloud.machines)); n > l.num("most", 1e9) {
+// expectCreated: machines, ever.
+func (w *World) expectCreated(l *line, j *userJob) string {
+	if n := float64(len(w.cloud.machines)); n > l.number("most", 1e9) {
 		return fmt.Sprintf("%v machines", n)
 	}
 	return ""
 }
 
-// expectGone: a machine.
-func (w *World) expectGone(l *line, j *userJob) string {
-	if m := w.cloud.machines[l.word(2)]; m == nil || !m.deleted {
+// expectTerminated: a machine.
+func (w *World) expectTerminated(l *line, j *userJob) string {
+	if m := w.cloud.machines[l.word(2)]; m == nil || !m.terminated {
 		return "it is there"
 	}
 	return ""
 }
 
-// expectTakeovers: how often a queue got a holder.
-func (w *World) expectTakeovers(l *line, j *userJob) string {
-	if float64(w.taken) > l.num("most", 1e9) || float64(w.taken) < l.num("least", 0) {
-		return strconv.Itoa(w.taken)
+// expectFailovers: how often a queue got a holder.
+func (w *World) expectFailovers(l *line, j *userJob) string {
+	if float64(w.failovers) > l.number("most", 1e9) || float64(w.failovers) < l.number("least", 0) {
+		return strconv.Itoa(w.failovers)
 	}
 	return ""
 }
 
-// expectLost: starts beyond one a task, of all jobs that were not cancelled.
-func (w *World) expectLost(l *line, j *userJob) string {
+// expectExtraStarts: starts beyond one a task, of all jobs that were not cancelled.
+func (w *World) expectExtraStarts(l *line, j *userJob) string {
 	n := 0
 	for _, j := range w.users.jobs {
 		if j.cancelled == 0 {
 			n += max(0, j.starts-len(j.done))
 		}
 	}
-	if float64(n) > l.num("most", 0) {
+	if float64(n) > l.number("most", 0) {
 		return strconv.Itoa(n)
 	}
 	return ""
 }
 
-// expectKept: jobs in the memory of any controller.
-func (w *World) expectKept(l *line, j *userJob) string {
+// expectCachedJobs: jobs in the memory of any controller.
+func (w *World) expectCachedJobs(l *line, j *userJob) string {
 	for _, n := range w.nodes {
-		if n.up() && float64(n.core.CachedJobs()) > l.num("most", 0) {
+		if n.up() && float64(n.core.CachedJobs()) > l.number("most", 0) {
 			return fmt.Sprintf("%s keeps %d", n.name, n.core.CachedJobs())
 		}
 	}
@@ -212,27 +212,27 @@
 
 // expectTooLarge: requests to the state service that were refused for their size.
 func (w *World) expectTooLarge(l *line, j *userJob) string {
-	if float64(w.state.tooLarge) > l.num("most", 0) {
-		return fmt.Sprintf("%d requests", w.state.tooLarge)
+	if float64(w.store.tooLarge) > l.number("most", 0) {
+		return fmt.Sprintf("%d requests", w.store.tooLarge)
 	}
 	return ""
 }
 
-func (w *World) expectTold(l *line, j *userJob) string {
+func (w *World) expectPhase(l *line, j *userJob) string {
 	if j.lastPhase != l.word(3) {
 		return "told " + j.lastPhase
 	}
 	return ""
 }
 
-func (w *World) expectHolders(l *line, j *userJob) string {
+func (w *World) expectControllers(l *line, j *userJob) string {
 	got := map[string]bool{}
 	for _, m := range w.cloud.sorted() {
 		if m.booted && !m.gone {
-			got[m.steward] = true
+			got[m.controller] = true
 		}
 	}
-	if len(got) < int(l.num("least", 1)) {
+	if len(got) < int(l.number("least", 1)) {
 		return fmt.Sprintf("%v", got)
 	}
 	return ""
--- a/internal/scenario/loopback_test.go
+++ b/internal/scenario/loopback_test.go
@@ -81,7 +81,7 @@
 		l.clients = append(l.clients, newHTTPClient())
 	}
 	c, control := l.clients[n], l.control
-	if a := l.nodes[m.steward]; a != "" {
+	if a := l.nodes[m.controller]; a != "" {
 		control = a
 	}
 	l.posts++
@@ -162,18 +162,18 @@
 // loopbackFleet is one real controller on loopback with many stand-in workers and users.
 type loopbackFleet struct {
 	*live
-	t                  *testing.T
-	size               int
-	connections        int
-	memory             int // megabytes
-	program            string
-	settings           string // files
-	operator           string
-	process            *process
-	jobs               []*userJob
-	ctx                context.Context
-	servers            []*httptest.Server
-	stateURL, cloudURL string
+	t                          *testing.T
+	size                       int
+	connections                int
+	memory                     int // megabytes
+	program                    string
+	settings                   string // files
+	operator                   string
+	process                    *process
+	jobs                       []*userJob
+	ctx                        context.Context
+	servers                    []*httptest.Server
+	storeAddress, cloudAddress string
 }
 
 // cpu is the processor time that the process has used.
@@ -215,7 +215,7 @@
 // newLoopbackFleet starts the stand-ins; no controller runs yet.
 func newLoopbackFleet(t *testing.T, connections int) *loopbackFleet {
 	t.Helper()
-	w, err := newWorld(parseLine(1, "cluster nodes=1 lease=26.5 cancel=51.5 report=5 rps=400 write_rps=100"), 1, func(string, ...any) {})
+	w, err := newWorld(parseLine(1, "cluster nodes=1 lease=26.5 cancel=51.5 heartbeat=5 rps=400 write_rps=100"), 1, func(string, ...any) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -223,24 +223,24 @@
 	f.connections = connections
 	ctx, cancel := context.WithCancel(context.Background())
 	f.ctx = ctx
-	f.stateURL = f.listen(func(r protocol.HTTPRequest, reply func(int, []byte)) { w.state.handle("node-0", r, reply) })
-	f.cloudURL = f.listen(w.cloud.handle)
+	f.storeAddress = f.listen(func(r protocol.HTTPRequest, reply func(int, []byte)) { w.store.handle("node-0", r, reply) })
+	f.cloudAddress = f.listen(w.cloud.handle)
 	t.Cleanup(func() {
 		cancel()
 		for _, s := range f.servers {
 			s.CloseClientConnections()
 		}
 	})
-	w.listen = func(m *machine) string {
+	w.listenAddress = func(m *machine) string {
 		return f.listen(func(r protocol.HTTPRequest, reply func(int, []byte)) {
 			if r.Path == "/show" {
-				m.show(reply)
+				m.serveStatus(reply)
 			} else {
-				m.commands(r.Body, reply)
+				m.serveCommands(r.Body, reply)
 			}
 		})
 	}
-	w.post = f.post
+	w.sendHeartbeat = f.post
 	f.control = freeAddress(t)
 	f.writeSettings()
 	f.addMachines()
@@ -260,12 +260,12 @@
 }
 
 func (f *loopbackFleet) addMachines() {
-	kind := &machineType{name: "small", cores: 16, ram: 64, price: 0.6, spot: 0.2, cache: 80, fetch: 5, boot: 20 * micros.Second,
-		zones: []string{"a"}, room: map[string]int{}}
+	kind := &instanceType{name: "small", cores: 16, ramGB: 64, price: 0.6, spotPrice: 0.2, cacheGB: 80, fetchGBPerSecond: 5, bootTime: 20 * micros.Second,
+		zones: []string{"a"}, capacity: map[string]int{}}
 	f.with(func(w *World) {
-		w.cloud.types = append(w.cloud.types, kind)
+		w.cloud.instanceTypes = append(w.cloud.instanceTypes, kind)
 		for range f.size {
-			w.cloud.add(kind, "a", false, true)
+			w.cloud.addMachine(kind, "a", false, true)
 		}
 	})
 }
@@ -298,7 +298,7 @@
 cpu = 0.864
 memory_mb = %d.0
 max_connections = %d
-`, f.control, freeAddress(f.t), f.cloudURL, f.stateURL, f.memory, f.connections)
+`, f.control, freeAddress(f.t), f.cloudAddress, f.storeAddress, f.memory, f.connections)
 	dir := f.t.TempDir()
 	f.settings, f.operator = filepath.Join(dir, "settings.toml"), filepath.Join(dir, "operator.txt")
 	for file, content := range map[string]string{f.settings: text, f.operator: "idle_keep_s: 100000"} {
@@ -347,7 +347,7 @@
 			if i%2 == 0 { // one replica a machine: none is given back
 				set = map[string]string{"shape": "service", "rank": "production", "cores": "10", "tasks": "10", "image": "i"}
 			}
-			j := w.users.parse(fmt.Sprintf("wk-%06d", i), set)
+			j := w.users.newJob(fmt.Sprintf("wk-%06d", i), set)
 			j.sent = true
 			w.users.jobs[j.ref] = j
 			f.jobs = append(f.jobs, j)
@@ -370,10 +370,10 @@
 	}
 }
 
-// obeying is how many machines have a token.
-func (f *loopbackFleet) obeying(w *World) (n int) {
+// withToken is how many machines have a token.
+func (f *loopbackFleet) withToken(w *World) (n int) {
 	for _, m := range w.cloud.machines {
-		if m.warrant > 0 {
+		if m.fencingToken > 0 {
 			n++
 		}
 	}
@@ -400,7 +400,7 @@
 	defer func() { f.stop() }()
 	var users sync.WaitGroup
 	f.submitAll(&users)
-	f.until("all machines obey", func(w *World) bool { return f.obeying(w) >= f.size })
+	f.until("all machines obey", func(w *World) bool { return f.withToken(w) >= f.size })
 	f.until("all services run and all arrays are done", f.served)
 	t.Logf("%d machines: %v of %d sockets, %d MB", f.size, f.process.most, f.connections, f.memory)
 	f.measureSteady()
@@ -412,7 +412,7 @@
 		}
 		before = f.oks
 		for _, m := range w.cloud.machines {
-			m.scheduleReport(0)
+			m.scheduleHeartbeat(0)
 		}
 	})
 	f.until("all are answered", func(*World) bool { return f.oks >= before+f.size })
@@ -453,7 +453,7 @@
 	defer func() { f.stop() }()
 	var users sync.WaitGroup
 	f.submitAll(&users)
-	f.until("half of the machines obey", func(w *World) bool { return f.obeying(w) >= f.size/2 })
+	f.until("half of the machines obey", func(w *World) bool { return f.withToken(w) >= f.size/2 })
 	f.until("the operator is told", func(*World) bool { return f.process.said("connection refused") })
 	before := 0
 	f.with(func(*World) { before = f.oks })
--- a/internal/scenario/many_teams_test.go
+++ b/internal/scenario/many_teams_test.go
@@ -18,20 +18,20 @@
 		fmt.Fprintf(&jobs, "at %d.%d submit wk-2%05d jobs=%d every=25 class=small team=team-%03d cores=1 ram=1 runs=1\n", 20+i%25, i%10, i*10, each, i)
 	}
 	w := playWorld(t, "cluster seed=3 fair=yes connections=2000 teams="+names.String()+`
-type small cores=8 ram=32 boot=5 room=12 spot_room=0 fetch=5
-at 0 state limits ops=12 kb=8 write_rps=25
+type small cores=8 ram=32 boot=5 capacity=12 spot_capacity=0 fetch=5
+at 0 store limits ops=12 kb=8 write_rps=25
 at 15 submit wk-100000 jobs=2000 every=0.02 class=bulk team=greedy cores=1 ram=1 runs=1
 `+jobs.String()+"until 170\n")
 	for _, b := range w.broken {
 		t.Errorf("rule broken: %s", b)
 	}
-	if w.state.tooLarge > 0 {
-		t.Errorf("%d requests were refused for their size", w.state.tooLarge)
+	if w.store.tooLarge > 0 {
+		t.Errorf("%d requests were refused for their size", w.store.tooLarge)
 	}
 	served, taken := map[string]int{}, map[string]int{}
 	for _, ref := range w.users.order {
 		if j := w.users.jobs[ref]; j.accepted != 0 {
-			served[j.owner]++
+			served[j.team]++
 			taken[j.class]++
 		}
 	}
@@ -42,7 +42,7 @@
 	if taken["small"] < teams*each*9/10 {
 		t.Errorf("%d of %d small jobs taken", taken["small"], teams*each)
 	}
-	if len(w.verdicts.said) == 0 {
+	if len(w.verdicts.byEpoch) == 0 {
 		t.Error("no epoch")
 	}
 }
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -13,8 +13,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// refList reads "wk-000001,wk-000010..12".
-func refList(v string) []string {
+// parseJobRefs reads "wk-000001,wk-000010..12".
+func parseJobRefs(v string) []string {
 	var out []string
 	for _, p := range strings.Split(v, ",") {
 		first, last, ok := strings.Cut(p, "..")
@@ -30,16 +30,16 @@
 	return out
 }
 
-// cancelAskedBefore tells whether the user of a job before this one asked to cancel it. The
+// dependencyCancelRequested tells whether the user of a job before this one asked to cancel it. The
 // answer may still be on its way, or lost, when others already see what was committed.
-func (u *users) cancelAskedBefore(j *userJob, seen map[string]bool) bool {
-	for _, ref := range j.waitsOn {
+func (u *users) dependencyCancelRequested(j *userJob, seen map[string]bool) bool {
+	for _, ref := range j.dependencies {
 		n := u.jobs[ref]
 		if n == nil || seen[ref] {
 			continue
 		}
 		seen[ref] = true
-		if n.wantCancel || u.cancelAskedBefore(n, seen) {
+		if n.cancelRequested || u.dependencyCancelRequested(n, seen) {
 			return true
 		}
 	}
@@ -48,15 +48,15 @@
 
 // cancelled is when a user was first told that a job before this one, directly or
 // through others, is cancelled; 0: nobody was.
-func (u *users) cancelledBefore(j *userJob, seen map[string]bool) micros.Time {
+func (u *users) dependencyCancelledAt(j *userJob, seen map[string]bool) micros.Time {
 	first := micros.Time(0)
-	for _, ref := range j.waitsOn {
+	for _, ref := range j.dependencies {
 		n := u.jobs[ref]
 		if n == nil || seen[ref] {
 			continue
 		}
 		seen[ref] = true
-		for _, at := range []micros.Time{n.cancelled, u.cancelledBefore(n, seen)} {
+		for _, at := range []micros.Time{n.cancelled, u.dependencyCancelledAt(n, seen)} {
 			if at != 0 && (first == 0 || at < first) {
 				first = at
 			}
@@ -65,11 +65,11 @@
 	return first
 }
 
-// connectTo gives a job's user a connection to a node.
-func (u *users) connectTo(j *userJob, n *node) {
-	for _, b := range u.balance {
-		if b.n == n {
-			j.conn, j.connLife = b, n.life
+// pinConnection gives a job's user a connection to a node.
+func (u *users) pinConnection(j *userJob, n *node) {
+	for _, b := range u.balancers {
+		if b.node == n {
+			j.connection, j.connectionIncarnation = b, n.incarnation
 		}
 	}
 }
@@ -79,40 +79,40 @@
 func (u *users) cancelNow(n int, hang micros.Time) {
 	for _, ref := range u.order {
 		j := u.jobs[ref]
-		if n == 0 || j.accepted == 0 || j.wantCancel || j.toldDone {
+		if n == 0 || j.accepted == 0 || j.cancelRequested || j.toldDone {
 			continue
 		}
-		on := u.w.cloud.pick(ref)
+		on := u.w.cloud.machinesMatching(ref)
 		if len(on) == 0 {
 			continue
 		}
 		n--
-		u.w.after(u.w.rng.Int64N(200*micros.Millisecond), func() { u.cancel(j) })
+		u.w.after(u.w.random.Int64N(200*micros.Millisecond), func() { u.cancel(j) })
 		if hang > 0 {
 			on[0].hang(hang)
 		}
 	}
 }
 
-// askNode asks one node, whatever the balancer thinks.
-func (u *users) askNode(n *node, input func(messages.RequestID) messages.Input, then func(messages.Response)) {
+// requestOf asks one node, whatever the balancer thinks.
+func (u *users) requestOf(n *node, input func(messages.RequestID) messages.Input, then func(messages.Response)) {
 	u.w.send("users", n.name, func() {
-		n.ask(input, func(a messages.Response) { u.w.send(n.name, "users", func() { then(a) }) })
+		n.request(input, func(a messages.Response) { u.w.send(n.name, "users", func() { then(a) }) })
 	})
 }
 
-// lookClosely asks at all nodes within milliseconds, and repeats the submission there,
+// verifyReads asks at all nodes within milliseconds, and repeats the submission there,
 // right after a job was accepted, ended or confirmed as cancelled: none may answer
 // anything older.
-func (u *users) lookClosely(j *userJob) {
-	if u.w.now >= u.looksUntil {
+func (u *users) verifyReads(j *userJob) {
+	if u.w.now >= u.verifyReadsUntil {
 		return
 	}
 	done, cancelled := j.toldDone, j.cancelled != 0
 	check := func(n *node, what string, a messages.Response) {
 		switch a.Kind {
 		case messages.JobAccepted, messages.JobFound:
-			u.hear(j, protocol.EncodeJobStatus(a.Job))
+			u.receiveStatus(j, protocol.EncodeJobStatus(a.Job))
 			if (done && a.Job.Phase != workload.Done) || (cancelled && a.Job.Phase != workload.Cancelled) {
 				u.w.breakRule("went_back", "%s: %s at %s is answered with something older", j.ref, what, n.name)
 			}
@@ -122,14 +122,14 @@
 	}
 	for _, n := range u.w.nodes {
 		for range 3 {
-			u.w.after(u.w.rng.Int64N(8*micros.Millisecond), func() {
-				u.askNode(n, func(id messages.RequestID) messages.Input {
+			u.w.after(u.w.random.Int64N(8*micros.Millisecond), func() {
+				u.requestOf(n, func(id messages.RequestID) messages.Input {
 					return &messages.Lookup{Request: id, ID: j.ref}
 				}, func(a messages.Response) { check(n, "a question", a) })
 			})
 		}
-		u.w.after(u.w.rng.Int64N(8*micros.Millisecond), func() {
-			u.askNode(n, func(id messages.RequestID) messages.Input {
+		u.w.after(u.w.random.Int64N(8*micros.Millisecond), func() {
+			u.requestOf(n, func(id messages.RequestID) messages.Input {
 				ref, job, err := protocol.ParseSubmission(j.body)
 				if err != nil {
 					u.w.breakRule("bench", "%v", err)
@@ -140,26 +140,26 @@
 	}
 }
 
-// odd sends, every half second, repeats of unfinished jobs, cancellations of done ones
+// sendOddRequests sends, every half second, repeats of unfinished jobs, cancellations of done ones
 // and jobs that fit no machine or lack a field.
-func (u *users) odd(until micros.Time) {
+func (u *users) sendOddRequests(until micros.Time) {
 	if u.w.now >= until {
 		return
 	}
 	for _, ref := range u.order {
 		j := u.jobs[ref]
 		switch {
-		case j.accepted == 0 || u.w.rng.IntN(4) > 0:
+		case j.accepted == 0 || u.w.random.IntN(4) > 0:
 		case j.toldDone:
-			j.wantCancel = true
+			j.cancelRequested = true
 			u.cancel(j)
 		case j.cancelled == 0:
 			u.submit(j)
 		}
 	}
-	u.oddJobs++
-	large := u.parse(fmt.Sprintf("wk-8%05d", u.oddJobs), map[string]string{"cores": "100000"})
-	lacking := u.parse(fmt.Sprintf("wk-7%05d", u.oddJobs), nil)
+	u.oddRequests++
+	large := u.newJob(fmt.Sprintf("wk-8%05d", u.oddRequests), map[string]string{"cores": "100000"})
+	lacking := u.newJob(fmt.Sprintf("wk-7%05d", u.oddRequests), nil)
 	lacking.body = []byte(strings.Replace(string(lacking.body), `"owner"`, `"ownr"`, 1))
 	for _, j := range []*userJob{large, lacking} {
 		u.submit(j)
@@ -169,14 +169,14 @@
 			}
 		})
 	}
-	u.w.after(micros.Second/2, func() { u.odd(until) })
+	u.w.after(micros.Second/2, func() { u.sendOddRequests(until) })
 }
 
-// watchBlocks checks that no machine is in two blocks: what one record says of it would
+// checkBlocks checks that no machine is in two blocks: what one record says of it would
 // hide what the other says.
-func (u *users) watchBlocks() {
+func (u *users) checkBlocks() {
 	in := map[string]string{}
-	for key, v := range u.w.state.keys {
+	for key, v := range u.w.store.keys {
 		if !strings.Contains(key, "/block/") && !strings.HasPrefix(key, "block/") {
 			continue
 		}
@@ -195,12 +195,12 @@
 	}
 }
 
-// idleRoomAfter is how long after all troubles a job may wait while there is room.
-const idleRoomAfter = 90 * micros.Second
+// starvationTimeout is how long after all troubles a job may wait while there is room.
+const starvationTimeout = 90 * micros.Second
 
-// watchRoom checks, once a second, that no job is left waiting while a machine that
+// checkStarvation checks, once a second, that no job is left waiting while a machine that
 // fits has room and its team is under its limit.
-func (u *users) watchRoom() {
+func (u *users) checkStarvation() {
 	if u.w.cloud == nil {
 		return
 	}
@@ -209,29 +209,29 @@
 		if !m.gone {
 			for _, t := range m.tasks {
 				if t.phase != "exited" {
-					use[t.job.owner] += t.job.cores
+					use[t.job.team] += t.job.cores
 				}
 			}
 		}
 	}
 	for _, ref := range u.order {
 		j := u.jobs[ref]
-		if j.accepted == 0 || j.toldDone || j.cancelled != 0 || j.wantCancel || j.mistaken || !u.waits(j) || u.blocked(j) || !u.hasRoom(j, use[j.owner]) {
-			j.stuckSince = 0
+		if j.accepted == 0 || j.toldDone || j.cancelled != 0 || j.cancelRequested || j.alwaysFails || !u.hasPendingTask(j) || u.isBlocked(j) || !u.hasCapacity(j, use[j.team]) {
+			j.starvedSince = 0
 			continue
 		}
-		if j.stuckSince == 0 {
-			j.stuckSince = u.w.now
+		if j.starvedSince == 0 {
+			j.starvedSince = u.w.now
 		}
-		if u.w.now-max(j.stuckSince, u.w.calm) > idleRoomAfter {
-			j.stuckSince = u.w.now
+		if u.w.now-max(j.starvedSince, u.w.faultsOver) > starvationTimeout {
+			j.starvedSince = u.w.now
 			u.w.breakRule("idle_room", "%s waits though a machine has room", ref)
 		}
 	}
 }
 
-// waits tells whether a job has a task that is neither done nor on a machine.
-func (u *users) waits(j *userJob) bool {
+// hasPendingTask tells whether a job has a task that is neither done nor on a machine.
+func (u *users) hasPendingTask(j *userJob) bool {
 	on := len(j.done)
 	for _, m := range u.w.cloud.machines {
 		if m.gone {
@@ -243,13 +243,13 @@
 			}
 		}
 	}
-	return on < j.shards
+	return on < j.taskCount
 }
 
-// blocked tells whether a job's user knows that it has to wait for others, or is cancelled
+// isBlocked tells whether a job's user knows that it has to wait for others, or is cancelled
 // with one.
-func (u *users) blocked(j *userJob) bool {
-	for _, ref := range j.waitsOn {
+func (u *users) isBlocked(j *userJob) bool {
+	for _, ref := range j.dependencies {
 		if n := u.jobs[ref]; n == nil || !n.toldDone {
 			return true
 		}
@@ -257,10 +257,10 @@
 	return false
 }
 
-// hasRoom tells whether some machine could take a task of the job now.
-func (u *users) hasRoom(j *userJob, use float64) bool {
-	for _, t := range u.w.conf.Settings.Teams {
-		if t.Name == j.owner && t.CPUsMax > 0 && use+j.cores > t.CPUsMax {
+// hasCapacity tells whether some machine could take a task of the job now.
+func (u *users) hasCapacity(j *userJob, use float64) bool {
+	for _, t := range u.w.config.Settings.Teams {
+		if t.Name == j.team && t.CPUsMax > 0 && use+j.cores > t.CPUsMax {
 			return false
 		}
 	}
@@ -273,15 +273,15 @@
 		}
 	}
 	for _, m := range u.w.cloud.sorted() {
-		if m.gone || !m.booted || m.hung || m.sick || m.off || m.recall > 0 || (m.spot && !j.loaners) || (j.berth != "" && j.berth != m.zone) ||
-			(j.hulls != nil && !contains(j.hulls, m.kind.name)) || u.w.now-m.rented < idleRoomAfter {
+		if m.gone || !m.booted || m.hung || m.faulty || m.agentDown || m.preemptedAt > 0 || (m.spot && !j.spotAllowed) || (j.zone != "" && j.zone != m.zone) ||
+			(j.instanceTypes != nil && !contains(j.instanceTypes, m.instanceType.name)) || u.w.now-m.createdAt < starvationTimeout {
 			continue
 		}
 		other = len(inZone) > 0 && inZone[m.zone] == 0
-		if (j.oneZone && other) || (j.apart && inZone[m.zone] >= (j.shards+1)/2) {
+		if (j.oneZone && other) || (j.apart && inZone[m.zone] >= (j.taskCount+1)/2) {
 			continue
 		}
-		cores, ram := m.kind.cores-j.cores, m.kind.ram-j.ram
+		cores, ram := m.instanceType.cores-j.cores, m.instanceType.ramGB-j.ram
 		for _, t := range m.tasks {
 			if t.phase != "exited" {
 				cores -= t.job.cores
--- a/internal/scenario/overload_test.go
+++ b/internal/scenario/overload_test.go
@@ -86,8 +86,8 @@
 		}
 		var j *userJob
 		o.with(func(w *World) {
-			j = w.users.parse(fmt.Sprintf("wk-%06d", len(o.jobs)+1), set)
-			j.sent, j.first = true, w.now
+			j = w.users.newJob(fmt.Sprintf("wk-%06d", len(o.jobs)+1), set)
+			j.sent, j.submittedAt = true, w.now
 			w.users.jobs[j.ref] = j
 			w.users.order = append(w.users.order, j.ref)
 			o.jobs = append(o.jobs, j)
@@ -163,7 +163,7 @@
 	}
 	o.note(answer{ref: j.ref, status: resp.StatusCode})
 	if resp.StatusCode < 300 {
-		o.with(func(w *World) { w.users.hear(j, body) })
+		o.with(func(w *World) { w.users.receiveStatus(j, body) })
 	}
 	if after, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil {
 		wait = max(wait, time.Duration(min(after, 30))*time.Second)
@@ -182,27 +182,27 @@
 	}
 	phase := ""
 	o.with(func(w *World) {
-		w.users.hear(j, body)
+		w.users.receiveStatus(j, body)
 		phase = j.lastPhase
 	})
 	o.note(answer{ref: j.ref, phase: phase})
 	return phase
 }
 
-// troubles kill, freeze and cut off controllers, at parts of the overload's length.
-func (o *overload) troubles(program string) {
+// injectFaults kill, freeze and cut off controllers, at parts of the overload's length.
+func (o *overload) injectFaults(program string) {
 	at := func(part float64) { time.Sleep(time.Until(o.begin.Add(time.Duration(part * float64(o.length))))) }
 	at(0.3)
-	o.restart(o.holder(), program, time.Second)
+	o.restart(o.partitionLeader(), program, time.Second)
 	at(0.45)
-	frozen := o.holder()
+	frozen := o.partitionLeader()
 	o.signal(frozen, syscall.SIGSTOP)
 	time.Sleep(min(7*time.Second, o.length/7)) // beyond its workers' lease, if there is time
 	o.signal(frozen, syscall.SIGCONT)
 	at(0.65)
-	o.stateRefuses(nodeName(rand.IntN(3)), min(6*time.Second, o.length/8))
+	o.storeRefuses(nodeName(rand.IntN(3)), min(6*time.Second, o.length/8))
 	at(0.85)
-	o.stateOutage(min(5*time.Second, o.length/20))
+	o.storeOutage(min(5*time.Second, o.length/20))
 }
 
 func (o *overload) signal(node string, s syscall.Signal) {
@@ -213,9 +213,9 @@
 
 // flowReport is what became of a flow.
 type flowReport struct {
-	offered, taken, refused, served int
-	longest                         float64 // seconds from accepted to begun
-	fair                            int64   // jobs that a fair division of what was taken gives it
+	offered, accepted, refused, served int
+	longest                            float64 // seconds from accepted to begun
+	fair                               int64   // jobs that a fair division of what was taken gives it
 }
 
 // report counts what became of each flow.
@@ -228,8 +228,8 @@
 			if j.accepted == 0 {
 				continue
 			}
-			r.taken++
-			if len(j.done) == j.shards {
+			r.accepted++
+			if len(j.done) == j.taskCount {
 				r.served++
 			}
 			if j.firstStart != 0 {
@@ -241,7 +241,7 @@
 	taken := int64(0)
 	for i := range out {
 		out[i].refused = o.refused[i]
-		taken += int64(out[i].taken)
+		taken += int64(out[i].accepted)
 		claims = append(claims, admission.Claim{Flow: overloadFlows[i].flow, TeamWeight: 1, ClassWeight: 1, Demand: int64(out[i].offered)})
 	}
 	for i, n := range admission.Divide(taken, 0, claims) {
@@ -254,7 +254,7 @@
 func jain(reports []flowReport) float64 {
 	sum, squares := 0.0, 0.0
 	for _, r := range reports {
-		x := float64(r.taken) / float64(max(1, r.fair))
+		x := float64(r.accepted) / float64(max(1, r.fair))
 		sum += x
 		squares += x * x
 	}
@@ -285,7 +285,7 @@
 	if err != nil {
 		seconds = 24
 	}
-	like := shape{teams: []string{"alpha", "beta", "gamma"}, writeRPS: 20, connections: 2000, logLevel: "debug"}
+	like := deploymentShape{teams: []string{"alpha", "beta", "gamma"}, writeRPS: 20, connections: 2000, logLevel: "debug"}
 	program := build(t, repositoryRoot)
 	if commit := os.Getenv("PIPITLATCH_OVERLOAD_COMMIT"); commit != "" {
 		program = programAt(t, commit)
@@ -296,19 +296,19 @@
 		o.configure(program, "fair_admission { enabled: true epoch_ms: 2000 lag_s: 15 }")
 	}
 	o.take = o.takeLog
-	o.with(func(w *World) { w.state.writeRPS = like.writeRPS })
+	o.with(func(w *World) { w.store.writeRPS = like.writeRPS })
 	for i := range 3 {
 		o.start(nodeName(i), program)
 	}
 	o.until("machines obey", func(w *World) bool {
-		return slices.ContainsFunc(w.cloud.sorted(), func(m *machine) bool { return m.warrant > 0 })
+		return slices.ContainsFunc(w.cloud.sorted(), func(m *machine) bool { return m.fencingToken > 0 })
 	})
 	o.begin = time.Now()
 	var offers sync.WaitGroup
 	for n := range overloadFlows {
 		offers.Go(func() { o.offer(n) })
 	}
-	o.troubles(program)
+	o.injectFaults(program)
 	offers.Wait()
 	o.finish()
 	o.conclude()
@@ -336,7 +336,7 @@
 	h.done, h.asked = map[string]bool{}, map[string]bool{}
 	o.with(func(w *World) {
 		for _, j := range o.jobs {
-			h.done[j.ref] = len(j.done) == j.shards
+			h.done[j.ref] = len(j.done) == j.taskCount
 			h.asked[j.ref] = true
 		}
 		for _, b := range w.broken {
@@ -359,12 +359,12 @@
 	for i, r := range reports {
 		f := overloadFlows[i]
 		t.Logf("%-14s offered %5d taken %5d refused %6d served %5d longest wait %6.1f s fair share %5d", f.flow.Team+"/"+f.flow.Class,
-			r.offered, r.taken, r.refused, r.served, r.longest, r.fair)
-		if float64(r.taken) < f.least*float64(r.offered) {
-			t.Errorf("%v: %d of %d taken", f.flow, r.taken, r.offered)
+			r.offered, r.accepted, r.refused, r.served, r.longest, r.fair)
+		if float64(r.accepted) < f.least*float64(r.offered) {
+			t.Errorf("%v: %d of %d taken", f.flow, r.accepted, r.offered)
 		}
-		if r.served < r.taken {
-			t.Errorf("%v: %d of %d served", f.flow, r.served, r.taken)
+		if r.served < r.accepted {
+			t.Errorf("%v: %d of %d served", f.flow, r.served, r.accepted)
 		}
 	}
 	if index := jain(reports); index < leastJain {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -62,21 +62,21 @@
 
 // faults a drawn scenario may have; %d is a length or a delay in seconds.
 var faults = []string{
-	"state down for=%d", "state down-for holder for=%d", "state slow 0.4 for=%d", "state lose 0.3 for=%d", "state late 0.3 for=%d",
-	"crash holder back=%d", "crash all back=%d", "crash others back=%d", "crash holder back=0.2", "roll every=%d back=3", "pause holder for=%d",
-	"cut holder others for=%d", "cut holder state hold for=%d", "cut holder for=%d", "cut all hold for=%d",
-	"worker any die", "worker any hang for=%d", "worker spot take", "worker spot take notice=%d", "worker any sick", "worker any late by=6 for=%d", "worker all late by=4 for=%d", "worker any slow factor=4",
-	"cut vm-000001 hold for=%d", "cut vm-000002 for=%d", "cut vm-000001 holder hold for=%d",
-	"alone holder for=%d", "alone node-0 hold for=%d", "crash all back=0.2", "crash node-1 back=0.05",
-	"worker any oneway for=%d", "worker all copies by=35 for=%d", "worker any restart back=0.3", "worker all restart back=0.2",
-	"pause others for=%d", "pause all for=%d", "worker third die", "worker half hang for=%d", "worker zone-a die", "worker zone-b hang for=%d",
-	"cut zone-b hold for=%d", "cut third hold for=%d", "worker third oneway for=%d", "worker half restart back=0.2", "worker fifth sick",
-	"cut holder-zone next-zone hold for=%d", "cut holder-zone third-zone for=%d", "cut next-zone third-zone hold for=%d", "cut holder-zone hold for=%d",
-	"cut next-zone for=%d", "cut nodes nodes for=%d", "cut others holder hold for=%d", "state down-for node-1 for=%d",
-	"worker any mute for=%d", "worker third mute for=%d", "worker half kept for=%d", "worker all kept for=%d", "worker any stubborn for=%d",
-	"cancel-now n=2 hang=%d", "cancel-now n=3", "cancel-at-end share=0.4 for=%d", "odd for=%d", "looks for=%d", "looks for=60",
-	"state down-for holder for=%d", "state lose 0.5 for=%d", "cloud slowly 3 for=%d",
-	"cloud down for=%d", "cloud late 8 for=%d", "cloud neverup 0.5 for=%d", "cloud slowboot 3 for=%d", "cloud full for=%d",
+	"store down for=%d", "store refuse partition-leader for=%d", "store slow 0.4 for=%d", "store lose-replies 0.3 for=%d", "store commit-late 0.3 for=%d",
+	"crash partition-leader back=%d", "crash all back=%d", "crash others back=%d", "crash partition-leader back=0.2", "roll every=%d back=3", "pause partition-leader for=%d",
+	"cut partition-leader others for=%d", "cut partition-leader store hold for=%d", "cut partition-leader for=%d", "cut all hold for=%d",
+	"agent any die", "agent any hang for=%d", "agent spot preempt", "agent spot preempt notice=%d", "agent any faulty", "agent any delay-commands by=6 for=%d", "agent all delay-commands by=4 for=%d", "agent any slow factor=4",
+	"cut vm-000001 hold for=%d", "cut vm-000002 for=%d", "cut vm-000001 partition-leader hold for=%d",
+	"isolate partition-leader for=%d", "isolate node-0 hold for=%d", "crash all back=0.2", "crash node-1 back=0.05",
+	"agent any partition-inbound for=%d", "agent all duplicate-heartbeats by=35 for=%d", "agent any restart back=0.3", "agent all restart back=0.2",
+	"pause others for=%d", "pause all for=%d", "agent third die", "agent half hang for=%d", "agent zone-a die", "agent zone-b hang for=%d",
+	"cut zone-b hold for=%d", "cut third hold for=%d", "agent third partition-inbound for=%d", "agent half restart back=0.2", "agent fifth faulty",
+	"cut leader-zone next-zone hold for=%d", "cut leader-zone third-zone for=%d", "cut next-zone third-zone hold for=%d", "cut leader-zone hold for=%d",
+	"cut next-zone for=%d", "cut nodes nodes for=%d", "cut others partition-leader hold for=%d", "store refuse node-1 for=%d",
+	"agent any partition-outbound for=%d", "agent third partition-outbound for=%d", "agent half replay-heartbeats for=%d", "agent all replay-heartbeats for=%d", "agent any ignore-kills for=%d",
+	"cancel-now n=2 hang=%d", "cancel-now n=3", "cancel-at-end share=0.4 for=%d", "odd-requests for=%d", "verify-reads for=%d", "verify-reads for=60",
+	"store refuse partition-leader for=%d", "store lose-replies 0.5 for=%d", "cloud reply-late 3 for=%d",
+	"cloud down for=%d", "cloud create-late 8 for=%d", "cloud never-boot 0.5 for=%d", "cloud slow-boot 3 for=%d", "cloud full for=%d",
 }
 
 // TestDrawnFaults draws two or three faults at once; whatever happens, no rule
@@ -95,9 +95,9 @@
 		if rapid.Bool().Draw(t, "fair") {
 			far += " fair=yes lag=10"
 		}
-		fmt.Fprintf(&b, "cluster teams=alpha:16:24,beta:8:40,gamma:8:16 wait=urgent:4 guarantee=6 queues=%d seed=%d%s\n", rapid.IntRange(1, 2).Draw(t, "queues"),
+		fmt.Fprintf(&b, "cluster teams=alpha:16:24,beta:8:40,gamma:8:16 wait=urgent:4 guarantee=6 partitions=%d seed=%d%s\n", rapid.IntRange(1, 2).Draw(t, "queues"),
 			rapid.IntRange(1, 1000).Draw(t, "seed"), far)
-		fmt.Fprintf(&b, "type small cores=8 ram=32 zones=%s room=3 spot_room=2 boot=15\n", zones)
+		fmt.Fprintf(&b, "type small cores=8 ram=32 zones=%s capacity=3 spot_capacity=2 boot=15\n", zones)
 		b.WriteString("at 0 submit wk-000001 shape=service rank=production cores=2\n")
 		b.WriteString("at 1 submit wk-000010 jobs=4 every=3 tasks=5 cores=4 runs=8 spot=yes team=alpha\n")
 		b.WriteString("at 2 submit wk-000020 jobs=3 every=9 tasks=4 cores=2 runs=12 apart=yes team=beta\n")
--- a/internal/scenario/script_test.go
+++ b/internal/scenario/script_test.go
@@ -14,9 +14,9 @@
 
 // line is one line of a scenario: words, then settings of the form key=value.
 type line struct {
-	no    int
-	words []string
-	set   map[string]string
+	lineNumber int
+	words      []string
+	settings   map[string]string
 }
 
 func (l *line) word(i int) string {
@@ -26,21 +26,23 @@
 	return ""
 }
 
-func (l *line) num(key string, d float64) float64 {
-	if v, err := strconv.ParseFloat(l.set[key], 64); err == nil {
+func (l *line) number(key string, d float64) float64 {
+	if v, err := strconv.ParseFloat(l.settings[key], 64); err == nil {
 		return v
 	}
 	return d
 }
 
-func (l *line) secs(key string, d float64) micros.Time { return micros.FromSeconds(l.num(key, d)) }
+func (l *line) seconds(key string, d float64) micros.Time {
+	return micros.FromSeconds(l.number(key, d))
+}
 
 func parseLine(no int, text string) *line {
-	l := &line{no: no, set: map[string]string{}}
+	l := &line{lineNumber: no, settings: map[string]string{}}
 	text, _, _ = strings.Cut(text, "#")
 	for _, f := range strings.Fields(text) {
 		if k, v, ok := strings.Cut(f, "="); ok && k != "" {
-			l.set[k] = v
+			l.settings[k] = v
 		} else {
 			l.words = append(l.words, f)
 		}
@@ -120,7 +122,7 @@
 	if err != nil {
 		return nil, err
 	}
-	first, seeds := uint64(lines[0].num("seed", 1)), int(lines[0].num("seeds", 1))
+	first, seeds := uint64(lines[0].number("seed", 1)), int(lines[0].number("seeds", 1))
 	r := &Result{}
 	missed := map[*line][]string{}
 	for i := range seeds {
@@ -138,15 +140,15 @@
 	for _, l := range lines {
 		// More than half of the seeds within a bound is the median within it.
 		if n := len(missed[l]); n > 0 && (!amounts[l.word(1)] || 2*n > seeds) {
-			r.Failed = append(r.Failed, fmt.Sprintf("line %d: expected %s: %s", l.no, strings.Join(l.words[1:], " "), strings.Join(missed[l], "; ")))
+			r.Failed = append(r.Failed, fmt.Sprintf("line %d: expected %s: %s", l.lineNumber, strings.Join(l.words[1:], " "), strings.Join(missed[l], "; ")))
 		}
 	}
 	return r, nil
 }
 
 // amounts are expectations of how much or how long, which is a matter of luck.
-var amounts = map[string]bool{"done-within": true, "lost": true, "starts": true, "up": true, "machines": true, "rented": true,
-	"taken": true, "behind": true}
+var amounts = map[string]bool{"done-within": true, "extra-starts": true, "starts": true, "replica-seconds": true,
+	"machines": true, "machines-created": true, "accepted-share": true, "behind": true}
 
 func playOnce(name string, lines []*line, seed uint64, logf func(string, ...any)) (*World, []*line, error) {
 	w, err := newWorld(lines[0], seed, logf)
@@ -161,7 +163,7 @@
 	for _, l := range lines[1:] {
 		switch l.word(0) {
 		case "type":
-			for i := range int(l.num("n", 1)) { // alike but for their names
+			for i := range int(l.number("n", 1)) { // alike but for their names
 				t := *l
 				if t.words = []string{"type", l.word(1)}; i > 0 {
 					t.words[1] = fmt.Sprintf("%s-%02d", l.word(1), i)
@@ -169,54 +171,54 @@
 				w.addType(&t)
 			}
 		case "machine":
-			for _, t := range w.cloud.types {
-				for range int(l.num("n", 1)) {
+			for _, t := range w.cloud.instanceTypes {
+				for range int(l.number("n", 1)) {
 					if t.name == l.word(1) {
-						w.cloud.add(t, l.set["zone"], l.word(2) == "spot", true)
+						w.cloud.addMachine(t, l.settings["zone"], l.word(2) == "spot", true)
 					}
 				}
 			}
 		case "at":
 			at, err := strconv.ParseFloat(l.word(1), 64)
 			if err != nil {
-				return nil, nil, fmt.Errorf("line %d: when?", l.no)
+				return nil, nil, fmt.Errorf("line %d: when?", l.lineNumber)
 			}
-			rest := &line{no: l.no, words: l.words[2:], set: l.set}
-			if err := w.known(rest); err != nil {
-				return nil, nil, fmt.Errorf("line %d: %w", l.no, err)
+			rest := &line{lineNumber: l.lineNumber, words: l.words[2:], settings: l.settings}
+			if err := w.checkAction(rest); err != nil {
+				return nil, nil, fmt.Errorf("line %d: %w", l.lineNumber, err)
 			}
 			w.after(micros.FromSeconds(at), func() { w.act(rest) })
 		case "until":
 			s, err := strconv.ParseFloat(l.word(1), 64)
 			if err != nil {
-				return nil, nil, fmt.Errorf("line %d: until when?", l.no)
+				return nil, nil, fmt.Errorf("line %d: until when?", l.lineNumber)
 			}
 			until = micros.FromSeconds(s)
 		case "expect":
 			expects = append(expects, l)
 		default:
-			return nil, nil, fmt.Errorf("line %d: unknown: %s", l.no, l.word(0))
+			return nil, nil, fmt.Errorf("line %d: unknown: %s", l.lineNumber, l.word(0))
 		}
 	}
 	for _, n := range w.nodes {
 		n.start()
 	}
 	w.run(until)
-	return w, expects, w.digest.finish(w.state)
+	return w, expects, w.digest.finish(w.store)
 }
 
 func newWorld(l *line, seed uint64, logf func(string, ...any)) (*World, error) {
-	w := &World{rng: rand.New(rand.NewPCG(seed, 7)), logf: logf}
-	nodes := int(l.num("nodes", 3))
+	w := &World{random: rand.New(rand.NewPCG(seed, 7)), logf: logf}
+	nodes := int(l.number("nodes", 3))
 	zones, nodeZones := []string{"a", "b"}, []string{"a"}
-	if l.set["zones"] != "" {
-		zones = strings.Split(l.set["zones"], ",")
+	if l.settings["zones"] != "" {
+		zones = strings.Split(l.settings["zones"], ",")
 		nodeZones, w.zoned = zones, true
 	}
-	w.distance = micros.FromSeconds(l.num("distance_ms", 0) / 1000)
+	w.interZoneDelay = micros.FromSeconds(l.number("distance_ms", 0) / 1000)
 	settings := platformSettings(l, nodes, zones)
 	for i := range nodes {
-		operator := fmt.Sprintf("queues: %d ", int(l.num("queues", 1))) + fairSettings(l, i)
+		operator := fmt.Sprintf("queues: %d ", int(l.number("partitions", 1))) + fairSettings(l, i)
 		var own strings.Builder
 		zone := func(k int) string { return nodeZones[k%len(nodeZones)] }
 		fmt.Fprintf(&own, "member = \"node-%d\"\nzone = %q\n", i, zone(i))
@@ -236,15 +238,15 @@
 		if err != nil {
 			return nil, fmt.Errorf("cluster: %w", err)
 		}
-		if l.set["next"] != "" {
+		if l.settings["next"] != "" {
 			conf = next
 		}
-		w.conf = conf
-		w.nodes = append(w.nodes, &node{w: w, name: conf.Member, conf: conf, next: next, drift: 1 + (w.rng.Float64()-0.5)*0.001,
-			skew: micros.Time((w.rng.Float64() - 0.5) * 10_000)})
+		w.config = conf
+		w.nodes = append(w.nodes, &node{w: w, name: conf.Member, config: conf, nextConfig: next, drift: 1 + (w.random.Float64()-0.5)*0.001,
+			skew: micros.Time((w.random.Float64() - 0.5) * 10_000)})
 	}
-	w.state = newState(w)
-	w.state.keep = int(l.num("keep", 10_000))
+	w.store = newKeyValueStore(w)
+	w.store.historyLimit = int(l.number("history", 10_000))
 	w.cloud = newCloud(w)
 	w.users = newUsers(w)
 	return w, nil
@@ -255,7 +257,7 @@
 	var toml strings.Builder
 	fmt.Fprintf(&toml, "listen = \"10.0.0.1:8080\"\ninternal_addr = \"10.0.0.1:8081\"\n[services]\ncloud = \"10.2.0.2:1\"\nstate = \"10.2.0.1:1\"\n")
 	fmt.Fprintf(&toml, "[settings]\nnodes = %d\nzones = [\"%s\"]\nskew_ms = 5.0\n", nodes, strings.Join(zones, "\", \""))
-	teams := l.set["teams"]
+	teams := l.settings["teams"]
 	if teams == "" {
 		teams = "alpha"
 	}
@@ -264,16 +266,16 @@
 		fmt.Fprintf(&toml, "[[settings.teams]]\nname = %q\ncpus = %s.0\ncpus_max = %s.0\n", p[0], p[1], p[2])
 	}
 	for _, kind := range []string{"wait", "finished"} { // objectives: class:seconds
-		if class, within, ok := strings.Cut(l.set[kind], ":"); ok {
+		if class, within, ok := strings.Cut(l.settings[kind], ":"); ok {
 			fmt.Fprintf(&toml, "[[settings.objectives]]\nkind = %q\nclass = %q\nwithin_s = %s.0\nshare = 0.99\n", kind, class, within)
 		}
 	}
-	if v := l.num("guarantee", 0); v > 0 {
+	if v := l.number("guarantee", 0); v > 0 {
 		fmt.Fprintf(&toml, "[[settings.objectives]]\nkind = \"guarantee\"\nwithin_s = %v\nshare = 0.99\n", v)
 	}
-	fmt.Fprintf(&toml, "[settings.workers]\nreport_s = %v\nlease_s = %v\ncancel_s = %v\n", l.num("report", 1.5), l.num("lease", 10), l.num("cancel", 35))
-	fmt.Fprintf(&toml, "[settings.state]\nrps = %v\nwrite_rps = %v\nvalue_kb = 8.0\ntxn_ops = 12\n", l.num("rps", 100), l.num("write_rps", 25))
-	fmt.Fprintf(&toml, "[settings.cloud]\nrps = %v\nlist_lag_s = 3.0\n[settings.machine_limits]\ncpu = 0.24\nmemory_mb = %v\nmax_connections = %d\n", l.num("cloud_rps", 6), l.num("memory", 125), int(l.num("connections", 1000)))
+	fmt.Fprintf(&toml, "[settings.workers]\nreport_s = %v\nlease_s = %v\ncancel_s = %v\n", l.number("heartbeat", 1.5), l.number("lease", 10), l.number("cancel", 35))
+	fmt.Fprintf(&toml, "[settings.state]\nrps = %v\nwrite_rps = %v\nvalue_kb = 8.0\ntxn_ops = 12\n", l.number("rps", 100), l.number("write_rps", 25))
+	fmt.Fprintf(&toml, "[settings.cloud]\nrps = %v\nlist_lag_s = 3.0\n[settings.machine_limits]\ncpu = 0.24\nmemory_mb = %v\nmax_connections = %d\n", l.number("cloud_rps", 6), l.number("memory", 125), int(l.number("connections", 1000)))
 	return toml.String()
 }
 
@@ -281,35 +283,35 @@
 const nextLimits = "[settings.state.next]\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 4\n"
 
 func (w *World) addType(l *line) {
-	t := &machineType{name: l.word(1), cores: l.num("cores", 8), ram: l.num("ram", 32), price: l.num("price", 0.4), spot: l.num("spot_price", 0.15),
-		cache: l.num("cache", 80), fetch: l.num("fetch", 0.5), boot: l.secs("boot", 20), room: map[string]int{}}
-	zones := l.set["zones"]
+	t := &instanceType{name: l.word(1), cores: l.number("cores", 8), ramGB: l.number("ram", 32), price: l.number("price", 0.4), spotPrice: l.number("spot_price", 0.15),
+		cacheGB: l.number("cache", 80), fetchGBPerSecond: l.number("fetch", 0.5), bootTime: l.seconds("boot", 20), capacity: map[string]int{}}
+	zones := l.settings["zones"]
 	if zones == "" {
 		zones = "a"
 	}
 	t.zones = strings.Split(zones, ",")
 	for _, z := range t.zones {
-		t.room[z+"/ordinary"] = int(l.num("room", 5))
-		t.room[z+"/spot"] = int(l.num("spot_room", 3))
+		t.capacity[z+"/on-demand"] = int(l.number("capacity", 5))
+		t.capacity[z+"/spot"] = int(l.number("spot_capacity", 3))
 	}
-	w.cloud.types = append(w.cloud.types, t)
+	w.cloud.instanceTypes = append(w.cloud.instanceTypes, t)
 }
 
-// nodesFor finds nodes by name, or "holder", "others", "other" (one of them), "nodes", or
+// nodesFor finds nodes by name, or "partition-leader", "others", "other" (one of them), "nodes", or
 // "all", which in a cut means machines too.
 func (w *World) nodesFor(what string) []*node {
 	switch what {
 	case "all", "nodes":
 		return w.nodes
-	case "holder":
-		return []*node{w.holder()}
+	case "partition-leader":
+		return []*node{w.partitionLeader()}
 	case "other":
 		if list := w.nodesFor("others"); len(list) > 0 {
 			return list[:1]
 		}
 		return nil
 	case "others":
-		h := w.holder()
+		h := w.partitionLeader()
 		var out []*node
 		for _, n := range w.nodes {
 			if n != h {
@@ -324,17 +326,17 @@
 	return nil
 }
 
-// zoneWord names the zone of the holder, the next one or the one after that.
-func (w *World) zoneWord(what string) string {
-	for i, z := range w.conf.Settings.Zones {
-		if z == w.holder().conf.Zone {
-			switch n := len(w.conf.Settings.Zones); what {
-			case "holder-zone":
+// resolveZone names the zone of the holder, the next one or the one after that.
+func (w *World) resolveZone(what string) string {
+	for i, z := range w.config.Settings.Zones {
+		if z == w.partitionLeader().config.Zone {
+			switch n := len(w.config.Settings.Zones); what {
+			case "leader-zone":
 				return "zone-" + z
 			case "next-zone":
-				return "zone-" + w.conf.Settings.Zones[(i+1)%n]
+				return "zone-" + w.config.Settings.Zones[(i+1)%n]
 			case "third-zone":
-				return "zone-" + w.conf.Settings.Zones[(i+2)%n]
+				return "zone-" + w.config.Settings.Zones[(i+2)%n]
 			}
 		}
 	}
@@ -346,66 +348,67 @@
 
 func init() { // the functions refer to the table
 	actions = map[string]func(*World, *line){
-		"submit":        (*World).actSubmit,
-		"resubmit":      (*World).actResubmit,
-		"cancel":        (*World).actCancel,
-		"cancel-now":    (*World).actCancelNow,
-		"cancel-at-end": (*World).actCancelAtEnd,
-		"odd":           (*World).actOdd,
-		"looks":         (*World).actLooks,
-		"strangers":     (*World).actStrangers,
-		"crash":         (*World).actCrash,
-		"start":         (*World).actStart,
-		"roll":          (*World).actRoll,
-		"pause":         (*World).actPause,
-		"alone":         (*World).actAlone,
-		"cut":           (*World).actCut,
-		"state":         (*World).actState,
-		"cloud":         (*World).actCloud,
-		"worker":        (*World).actWorker,
-	}
-}
-
-func (w *World) known(l *line) error {
+		"submit":          (*World).actSubmit,
+		"resubmit":        (*World).actResubmit,
+		"cancel":          (*World).actCancel,
+		"cancel-now":      (*World).actCancelNow,
+		"cancel-at-end":   (*World).actCancelAtEnd,
+		"odd-requests":    (*World).actOddRequests,
+		"verify-reads":    (*World).actVerifyReads,
+		"unknown-lookups": (*World).actUnknownLookups,
+		"crash":           (*World).actCrash,
+		"start":           (*World).actStart,
+		"roll":            (*World).actRoll,
+		"pause":           (*World).actPause,
+		"isolate":         (*World).actIsolate,
+		"cut":             (*World).actCut,
+		"store":           (*World).actStore,
+		"cloud":           (*World).actCloud,
+		"agent":           (*World).actAgent,
+	}
+}
+
+func (w *World) checkAction(l *line) error {
 	if actions[l.word(0)] == nil {
 		return fmt.Errorf("unknown action %q", l.word(0))
 	}
 	return nil
 }
 
-// lengthOf is how long a trouble lasts.
-func lengthOf(l *line) micros.Time { return l.secs("for", 10) }
+// durationOf is how long a trouble lasts.
+func durationOf(l *line) micros.Time { return l.seconds("for", 10) }
 
 // harmless actions bring no trouble, so nothing has to calm down after them.
-var harmless = map[string]bool{"submit": true, "resubmit": true, "cancel": true, "strangers": true, "looks": true, "odd": true}
+var harmless = map[string]bool{"submit": true, "resubmit": true, "cancel": true, "unknown-lookups": true, "verify-reads": true,
+	"odd-requests": true}
 
 // act carries out one line.
 func (w *World) act(l *line) {
 	if !harmless[l.word(0)] {
-		end := lengthOf(l) + l.secs("back", 0) + l.secs("by", 0) + l.secs("notice", 0)
+		end := durationOf(l) + l.seconds("back", 0) + l.seconds("by", 0) + l.seconds("notice", 0)
 		if l.word(0) == "roll" {
-			end += micros.Time(len(w.nodes)) * l.secs("every", 10)
+			end += micros.Time(len(w.nodes)) * l.seconds("every", 10)
 		}
-		w.calm = max(w.calm, w.now+end)
+		w.faultsOver = max(w.faultsOver, w.now+end)
 	}
 	actions[l.word(0)](w, l)
 }
 
 func (w *World) actResubmit(l *line) {
 	if j := w.users.jobs[l.word(1)]; j != nil {
-		if len(l.set) > 0 { // with other words than the first time
-			j.body = w.users.parse(j.ref, l.set).body
+		if len(l.settings) > 0 { // with other words than the first time
+			j.body = w.users.newJob(j.ref, l.settings).body
 		}
 		w.users.submit(j)
 	}
 }
 
 func (w *World) actCancel(l *line) {
-	for i := range int(l.num("jobs", 1)) {
+	for i := range int(l.number("jobs", 1)) {
 		n, _ := strconv.Atoi(strings.TrimPrefix(l.word(1), "wk-"))
 		if j := w.users.jobs[fmt.Sprintf("wk-%06d", n+i)]; j != nil {
-			for _, n := range w.nodesFor(l.set["via"]) {
-				w.users.connectTo(j, n)
+			for _, n := range w.nodesFor(l.settings["via"]) {
+				w.users.pinConnection(j, n)
 			}
 			w.users.cancel(j)
 		}
@@ -413,35 +416,35 @@
 }
 
 func (w *World) actCancelNow(l *line) {
-	w.users.cancelNow(int(l.num("n", 4)), l.secs("hang", 0))
+	w.users.cancelNow(int(l.number("n", 4)), l.seconds("hang", 0))
 }
 
 func (w *World) actCancelAtEnd(l *line) {
-	length := lengthOf(l)
-	w.users.cancelShare, w.users.cancelUntil = l.num("share", 0.5), w.now+length
+	length := durationOf(l)
+	w.users.cancelShare, w.users.cancelUntil = l.number("share", 0.5), w.now+length
 }
 
-func (w *World) actOdd(l *line) {
-	length := lengthOf(l)
-	w.users.odd(w.now + length)
+func (w *World) actOddRequests(l *line) {
+	length := durationOf(l)
+	w.users.sendOddRequests(w.now + length)
 }
 
-func (w *World) actLooks(l *line) {
-	length := lengthOf(l)
-	w.users.looksUntil = w.now + length
+func (w *World) actVerifyReads(l *line) {
+	length := durationOf(l)
+	w.users.verifyReadsUntil = w.now + length
 }
 
-func (w *World) actStrangers(l *line) {
-	for i := range int(l.num("n", 10)) {
-		w.after(micros.Time(i)*5*micros.Millisecond, func() { w.users.stranger(fmt.Sprintf("wk-9%05d", i)) })
+func (w *World) actUnknownLookups(l *line) {
+	for i := range int(l.number("n", 10)) {
+		w.after(micros.Time(i)*5*micros.Millisecond, func() { w.users.lookUpUnknown(fmt.Sprintf("wk-9%05d", i)) })
 	}
 }
 
 func (w *World) actCrash(l *line) {
 	for _, n := range w.nodesFor(l.word(1)) {
 		n.crash()
-		if l.set["back"] != "" {
-			w.after(l.secs("back", 3), n.start)
+		if l.settings["back"] != "" {
+			w.after(l.seconds("back", 3), n.start)
 		}
 	}
 }
@@ -454,23 +457,23 @@
 
 func (w *World) actRoll(l *line) {
 	for i, n := range w.nodes {
-		w.after(micros.Time(i)*l.secs("every", 10), func() {
+		w.after(micros.Time(i)*l.seconds("every", 10), func() {
 			n.crash()
-			if l.set["next"] != "" { // with settings that tell of smaller limits to come
-				n.conf = n.next
+			if l.settings["next"] != "" { // with settings that tell of smaller limits to come
+				n.config = n.nextConfig
 			}
-			w.after(l.secs("back", 3), n.start)
+			w.after(l.seconds("back", 3), n.start)
 		})
 	}
 }
 
 func (w *World) actPause(l *line) {
-	length := lengthOf(l)
+	length := durationOf(l)
 	for _, n := range w.nodesFor(l.word(1)) {
 		n.paused = true
-		life := n.life
+		life := n.incarnation
 		w.after(length, func() {
-			if n.life == life && n.paused {
+			if n.incarnation == life && n.paused {
 				n.paused = false
 				in := n.inbox
 				n.inbox = nil
@@ -480,11 +483,11 @@
 	}
 }
 
-func (w *World) actAlone(l *line) {
-	length := lengthOf(l)
+func (w *World) actIsolate(l *line) {
+	length := durationOf(l)
 	for _, n := range w.nodesFor(l.word(1)) {
 		hold := l.word(2) == "hold"
-		w.startCut(&cut{a: n.name, b: "state", hold: hold}, length)
+		w.startCut(&cut{a: n.name, b: "store", hold: hold}, length)
 		for _, o := range w.nodes {
 			if o != n {
 				w.startCut(&cut{a: n.name, b: o.name, hold: hold}, length)
@@ -494,7 +497,7 @@
 }
 
 func (w *World) actCut(l *line) {
-	length := lengthOf(l)
+	length := durationOf(l)
 	hold := l.word(len(l.words)-1) == "hold"
 	var ends [2][]string
 	for i := range 2 {
@@ -503,14 +506,14 @@
 			ends[i] = []string{""}
 			continue
 		}
-		if what = w.zoneWord(what); w.zoned && strings.HasPrefix(what, "zone-") {
+		if what = w.resolveZone(what); w.zoned && strings.HasPrefix(what, "zone-") {
 			ends[i] = []string{what}
 			continue
 		}
 		for _, n := range w.nodesFor(what) {
 			ends[i] = append(ends[i], n.name)
 		}
-		for _, m := range w.cloud.pick(what) {
+		for _, m := range w.cloud.machinesMatching(what) {
 			ends[i] = append(ends[i], m.name)
 		}
 		if len(ends[i]) == 0 {
@@ -526,44 +529,44 @@
 	}
 }
 
-func (w *World) actWorker(l *line) {
-	length := lengthOf(l)
-	for _, m := range w.cloud.pick(l.word(1)) {
+func (w *World) actAgent(l *line) {
+	length := durationOf(l)
+	for _, m := range w.cloud.machinesMatching(l.word(1)) {
 		switch l.word(2) {
 		case "die":
 			m.vanish()
 		case "hang":
 			m.hang(length)
-		case "sick":
-			m.sick = true
-		case "oneway": // its reports arrive, nothing reaches it
-			w.startCut(&cut{a: m.name, into: true}, length)
-		case "mute": // it reaches no controller; direct commands reach it
-			m.mute = true
-			w.after(length, func() { m.mute = false })
-		case "stubborn": // its tasks do not end when they are stopped
-			m.stubborn = true
-			w.after(length, func() { m.stubborn = false })
-		case "kept": // its reports come again when a queue gets a new holder
-			m.keptUntil = w.now + length
-		case "copies":
-			m.copies, m.copyBy, m.copyUntil = int(l.num("n", 1)), l.secs("by", 8), w.now+length
+		case "faulty":
+			m.faulty = true
+		case "partition-inbound": // its heartbeats arrive, nothing reaches it
+			w.startCut(&cut{a: m.name, inbound: true}, length)
+		case "partition-outbound": // it reaches no controller; direct commands reach it
+			m.outboundPartitioned = true
+			w.after(length, func() { m.outboundPartitioned = false })
+		case "ignore-kills": // its tasks do not end when they are stopped
+			m.ignoresKills = true
+			w.after(length, func() { m.ignoresKills = false })
+		case "replay-heartbeats": // they come again when a partition gets a new leader
+			m.replayUntil = w.now + length
+		case "duplicate-heartbeats":
+			m.duplicates, m.duplicateDelay, m.duplicateUntil = int(l.number("n", 1)), l.seconds("by", 8), w.now+length
 		case "restart":
-			m.restart(l.secs("back", 0.3))
-		case "late":
-			m.late = l.secs("by", 8)
-			w.after(length, func() { m.late = 0 })
+			m.restart(l.seconds("back", 0.3))
+		case "delay-commands":
+			m.commandDelay = l.seconds("by", 8)
+			w.after(length, func() { m.commandDelay = 0 })
 		case "slow":
-			m.speed *= l.num("factor", 3)
-		case "take":
-			notice := l.secs("notice", 0)
+			m.speed *= l.number("factor", 3)
+		case "preempt":
+			notice := l.seconds("notice", 0)
 			if notice > 0 {
-				m.recall = w.now + notice
-				m.changed()
+				m.preemptedAt = w.now + notice
+				m.heartbeatSoon()
 			}
 			w.after(notice, func() {
 				m.vanish()
-				m.deleted = true
+				m.terminated = true
 			})
 		}
 	}
@@ -571,11 +574,11 @@
 
 // actSubmit submits a number of jobs, one every so often, or in a chain.
 func (w *World) actSubmit(l *line) {
-	for i := range int(l.num("jobs", 1)) {
-		if l.set["chain"] != "" && i > 0 {
+	for i := range int(l.number("jobs", 1)) {
+		if l.settings["chain"] != "" && i > 0 {
 			return // submitted when the one before is accepted
 		}
-		w.after(micros.Time(i)*l.secs("every", 0.2), func() { w.submitJob(l, i) })
+		w.after(micros.Time(i)*l.seconds("every", 0.2), func() { w.submitJob(l, i) })
 	}
 }
 
@@ -583,24 +586,24 @@
 func (w *World) submitJob(l *line, i int) {
 	n, _ := strconv.Atoi(strings.TrimPrefix(l.word(1), "wk-"))
 	ref := fmt.Sprintf("wk-%06d", n+i)
-	fields := l.set
-	if classes := int(l.num("classes", 0)); classes > 0 { // so many, in turn
-		fields = maps.Clone(l.set)
-		fields["class"] = fmt.Sprintf("%s-%d", l.set["class"], i%classes)
+	fields := l.settings
+	if classes := int(l.number("classes", 0)); classes > 0 { // so many, in turn
+		fields = maps.Clone(l.settings)
+		fields["class"] = fmt.Sprintf("%s-%d", l.settings["class"], i%classes)
 	}
-	j := w.users.parse(ref, fields)
-	w.state.recall(j)
+	j := w.users.newJob(ref, fields)
+	w.store.restoreCompletion(j)
 	w.users.submit(j)
-	if share := l.num("cancelled", 0); share > 0 && w.rng.Float64() < share {
-		w.after(micros.Second+w.rng.Int64N(15*micros.Second), func() {
+	if share := l.number("cancelled", 0); share > 0 && w.random.Float64() < share {
+		w.after(micros.Second+w.random.Int64N(15*micros.Second), func() {
 			if !j.toldDone {
 				w.users.cancel(j)
 			}
 		})
 	}
-	if l.set["chain"] != "" && i+1 < int(l.num("jobs", 1)) {
-		next := &line{no: l.no, words: l.words, set: maps.Clone(l.set)}
-		next.set["waits"] = ref
+	if l.settings["chain"] != "" && i+1 < int(l.number("jobs", 1)) {
+		next := &line{lineNumber: l.lineNumber, words: l.words, settings: maps.Clone(l.settings)}
+		next.settings["depends_on"] = ref
 		w.whenAccepted(j, func() { w.submitJob(next, i+1) })
 	}
 }
@@ -614,68 +617,68 @@
 	w.after(5*micros.Millisecond, func() { w.whenAccepted(j, then) })
 }
 
-func (w *World) actState(l *line) {
-	length := lengthOf(l)
-	s := w.state
+func (w *World) actStore(l *line) {
+	length := durationOf(l)
+	s := w.store
 	share, _ := strconv.ParseFloat(l.word(2), 64)
 	switch l.word(1) {
 	case "down":
 		s.outage(true)
 		w.after(length, func() { s.outage(false) })
-	case "down-for":
+	case "refuse":
 		for _, n := range w.nodesFor(l.word(2)) {
-			s.downFor[n.name] = true
-			w.after(length, func() { delete(s.downFor, n.name); s.wake() })
+			s.refusedMembers[n.name] = true
+			w.after(length, func() { delete(s.refusedMembers, n.name); s.answerWatches() })
 		}
 	case "load":
 		s.load(l.word(2))
 	case "write": // as somebody who does not keep to any form
 		s.write(l.word(2), l.word(3))
 	case "limits": // from now on
-		s.txnOps, s.valueMax, s.writeRPS = int(l.num("ops", 4)), int(l.num("kb", 2)*1024), l.num("write_rps", 18)
+		s.maxOperations, s.maxValueBytes, s.writeRPS = int(l.number("ops", 4)), int(l.number("kb", 2)*1024), l.number("write_rps", 18)
 	case "delay": // transactions that set this key
-		s.delayed[l.word(2)] = l.secs("by", 60)
-		w.after(length, func() { delete(s.delayed, l.word(2)) })
+		s.delayedKeys[l.word(2)] = l.seconds("by", 60)
+		w.after(length, func() { delete(s.delayedKeys, l.word(2)) })
 	case "slow":
-		s.slow = micros.FromSeconds(share)
-		w.after(length, func() { s.slow = 0 })
-	case "lose":
-		s.loseShare = share
-		w.after(length, func() { s.loseShare = 0 })
-	case "late":
-		s.lateShare = share
-		w.after(length, func() { s.lateShare = 0 })
+		s.delay = micros.FromSeconds(share)
+		w.after(length, func() { s.delay = 0 })
+	case "lose-replies":
+		s.lostReplyShare = share
+		w.after(length, func() { s.lostReplyShare = 0 })
+	case "commit-late":
+		s.lateCommitShare = share
+		w.after(length, func() { s.lateCommitShare = 0 })
 	}
 }
 
 func (w *World) actCloud(l *line) {
-	length := lengthOf(l)
+	length := durationOf(l)
 	c := w.cloud
 	v, _ := strconv.ParseFloat(l.word(2), 64)
 	switch l.word(1) {
 	case "down":
 		c.down = true
 		w.after(length, func() { c.down = false })
-	case "late":
-		c.late = micros.FromSeconds(v)
-		w.after(length, func() { c.late = 0 })
-	case "slowly":
-		c.slowly = micros.FromSeconds(v)
-		w.after(length, func() { c.slowly = 0 })
-	case "neverup":
-		c.neverUp = v
-		w.after(length, func() { c.neverUp = 0 })
-	case "slowboot":
-		c.slowBoot = v
-		w.after(length, func() { c.slowBoot = 1 })
+	case "create-late":
+		c.createDelay = micros.FromSeconds(v)
+		w.after(length, func() { c.createDelay = 0 })
+	case "reply-late":
+		c.createReplyDelay = micros.FromSeconds(v)
+		w.after(length, func() { c.createReplyDelay = 0 })
+	case "never-boot":
+		c.neverBootShare = v
+		w.after(length, func() { c.neverBootShare = 0 })
+	case "slow-boot":
+		c.bootFactor = v
+		w.after(length, func() { c.bootFactor = 1 })
 	case "full":
-		for _, t := range c.types {
+		for _, t := range c.instanceTypes {
 			if l.word(2) == "" || t.name == l.word(2) {
-				old := t.room
-				t.room = map[string]int{}
+				old := t.capacity
+				t.capacity = map[string]int{}
 				w.after(length, func() {
 					for k, n := range old {
-						t.room[k] += n
+						t.capacity[k] += n
 					}
 				})
 			}
--- a/internal/scenario/state_test.go
+++ b/internal/scenario/state_test.go
@@ -14,75 +14,75 @@
 	"pipitlatch/internal/workload"
 )
 
-type stateKey struct {
-	value  json.RawMessage
-	stamp  uint64
-	permit uint64
+type storedRecord struct {
+	value       json.RawMessage
+	modRevision uint64
+	leaseID     uint64
 }
 
-type stateEvent struct {
-	stamp  uint64
-	key    string
-	value  json.RawMessage
-	delete bool
+type storeChange struct {
+	modRevision uint64
+	key         string
+	value       json.RawMessage
+	delete      bool
 }
 
-type watcher struct {
-	from  string
-	under string
-	after uint64
-	reply func(int, []byte)
-	done  bool
+type pendingWatch struct {
+	member        string
+	prefix        string
+	afterRevision uint64
+	reply         func(int, []byte)
+	answered      bool
 }
 
-// stateService is a stand-in of the state service.
-type stateService struct {
-	w        *World
-	keys     map[string]stateKey
-	ledger   uint64
-	log      []stateEvent
-	keep     int
-	permits  map[uint64]micros.Time // ends
-	ttl      map[uint64]micros.Time
-	next     uint64
-	watchers []*watcher
-
-	down      bool
-	downFor   map[string]bool
-	slow      micros.Time
-	loseShare float64 // of transactions: executed, but not answered
-	lateShare float64 // of transactions: executed late, and not answered
-	txnOps    int
-	valueMax  int
-	writeRPS  float64 // 0: the pace is not enforced
-	writeLeft float64
-	writeAt   micros.Time
-	tooLarge  int                    // requests refused for their size
-	delayed   map[string]micros.Time // transactions that set a key: carried out so much later, and not answered
-	largest   map[string]writeSize   // of the transactions carried out, by kind
-	loaded    *storage.Cache         // of records that an earlier deployment left
+// keyValueStore is a stand-in of the state service.
+type keyValueStore struct {
+	w            *World
+	keys         map[string]storedRecord
+	revision     uint64
+	changes      []storeChange
+	historyLimit int
+	leaseExpiry  map[uint64]micros.Time // ends
+	leaseTTL     map[uint64]micros.Time
+	lastLeaseID  uint64
+	watches      []*pendingWatch
+
+	down            bool
+	refusedMembers  map[string]bool
+	delay           micros.Time
+	lostReplyShare  float64 // of transactions: executed, but not answered
+	lateCommitShare float64 // of transactions: executed late, and not answered
+	maxOperations   int
+	maxValueBytes   int
+	writeRPS        float64 // 0: the pace is not enforced
+	writeTokens     float64
+	writeTokensAt   micros.Time
+	tooLarge        int                    // requests refused for their size
+	delayedKeys     map[string]micros.Time // transactions that set a key: carried out so much later, and not answered
+	largest         map[string]writeSize   // of the transactions carried out, by kind
+	loaded          *storage.Cache         // of records that an earlier deployment left
 }
 
-func newState(w *World) *stateService {
-	s := &stateService{w: w, keys: map[string]stateKey{}, keep: 10_000, permits: map[uint64]micros.Time{}, ttl: map[uint64]micros.Time{},
-		downFor: map[string]bool{}, delayed: map[string]micros.Time{}, largest: map[string]writeSize{}, txnOps: w.conf.Settings.State.TxnOps, valueMax: int(w.conf.Settings.State.ValueKB * 1024)}
-	s.sweep()
-	return s
+func newKeyValueStore(w *World) *keyValueStore {
+	store := &keyValueStore{w: w, keys: map[string]storedRecord{}, historyLimit: 10_000, leaseExpiry: map[uint64]micros.Time{}, leaseTTL: map[uint64]micros.Time{},
+		refusedMembers: map[string]bool{}, delayedKeys: map[string]micros.Time{}, largest: map[string]writeSize{}, maxOperations: w.config.Settings.State.TxnOps, maxValueBytes: int(w.config.Settings.State.ValueKB * 1024)}
+	store.expireLeases()
+	return store
 }
 
-// sweep ends permits.
-func (s *stateService) sweep() {
+// expireLeases revokes the leases that nobody kept alive.
+func (s *keyValueStore) expireLeases() {
 	if !s.down {
-		for _, id := range sortedU64(s.permits) {
-			if s.w.now > s.permits[id] {
-				s.end(id)
+		for _, id := range sortedIDs(s.leaseExpiry) {
+			if s.w.now > s.leaseExpiry[id] {
+				s.revokeLease(id)
 			}
 		}
 	}
-	s.w.after(50*micros.Millisecond, s.sweep)
+	s.w.after(50*micros.Millisecond, s.expireLeases)
 }
 
-func sortedU64[V any](m map[uint64]V) []uint64 {
+func sortedIDs[V any](m map[uint64]V) []uint64 {
 	out := make([]uint64, 0, len(m))
 	for k := range m {
 		out = append(out, k)
@@ -91,11 +91,11 @@
 	return out
 }
 
-func (s *stateService) end(id uint64) {
-	delete(s.permits, id)
+func (s *keyValueStore) revokeLease(id uint64) {
+	delete(s.leaseExpiry, id)
 	var gone []string
 	for k, v := range s.keys {
-		if v.permit == id {
+		if v.leaseID == id {
 			gone = append(gone, k)
 		}
 	}
@@ -103,66 +103,66 @@
 	if len(gone) == 0 {
 		return
 	}
-	s.ledger++
+	s.revision++
 	for _, k := range gone {
 		delete(s.keys, k)
-		s.log = append(s.log, stateEvent{stamp: s.ledger, key: k, delete: true})
+		s.changes = append(s.changes, storeChange{modRevision: s.revision, key: k, delete: true})
 	}
-	s.wake()
+	s.answerWatches()
 }
 
-// outage begins or ends an outage for all. After one, permits have their full
+// outage begins or ends an outage for all. After one, leases have their full
 // time again.
-func (s *stateService) outage(down bool) {
+func (s *keyValueStore) outage(down bool) {
 	s.down = down
 	if !down {
-		for id := range s.permits {
-			s.permits[id] = s.w.now + s.ttl[id]
+		for id := range s.leaseExpiry {
+			s.leaseExpiry[id] = s.w.now + s.leaseTTL[id]
 		}
-		s.wake()
+		s.answerWatches()
 	}
 }
 
-func (s *stateService) refused(from string) bool { return s.down || s.downFor[from] }
+func (s *keyValueStore) refuses(from string) bool { return s.down || s.refusedMembers[from] }
 
-func (s *stateService) wake() {
-	if len(s.log) > 2*s.keep {
-		s.log = append([]stateEvent(nil), s.log[len(s.log)-s.keep:]...)
+func (s *keyValueStore) answerWatches() {
+	if len(s.changes) > 2*s.historyLimit {
+		s.changes = append([]storeChange(nil), s.changes[len(s.changes)-s.historyLimit:]...)
 	}
-	var rest []*watcher
-	for _, x := range s.watchers {
-		if x.done {
+	var rest []*pendingWatch
+	for _, x := range s.watches {
+		if x.answered {
 			continue
 		}
-		if s.refused(x.from) || !s.answer(x, false) {
+		if s.refuses(x.member) || !s.answerWatch(x, false) {
 			rest = append(rest, x)
 		}
 	}
-	s.watchers = rest
+	s.watches = rest
 }
 
-func (s *stateService) answer(x *watcher, timeUp bool) bool {
+func (s *keyValueStore) answerWatch(x *pendingWatch, timeUp bool) bool {
 	type change struct {
-		Set    string          `json:"set,omitempty"`
-		V      json.RawMessage `json:"v,omitempty"`
-		Delete string          `json:"delete,omitempty"`
-		Stamp  uint64          `json:"stamp"`
+		Set         string          `json:"set,omitempty"`
+		Value       json.RawMessage `json:"v,omitempty"`
+		Delete      string          `json:"delete,omitempty"`
+		ModRevision uint64          `json:"stamp"`
 	}
 	changes := []change{}
-	for _, e := range s.log {
-		if e.stamp > x.after && strings.HasPrefix(e.key, x.under) {
+	for _, e := range s.changes {
+		if e.modRevision > x.afterRevision && strings.HasPrefix(e.key, x.prefix) {
 			if e.delete {
-				changes = append(changes, change{Delete: e.key, Stamp: e.stamp})
+				changes = append(changes, change{Delete: e.key, ModRevision: e.modRevision})
 			} else {
-				changes = append(changes, change{Set: e.key, V: e.value, Stamp: e.stamp})
+				changes = append(changes, change{Set: e.key, Value: e.value, ModRevision: e.modRevision})
 			}
 		}
 	}
 	if len(changes) == 0 && !timeUp {
 		return false
 	}
-	x.done = true
-	x.reply(200, encode(map[string]any{"ledger": s.ledger, "log": changes}))
+	x.answered = true
+	x.reply(200, encode(map[string]any{"ledger": s.revision, "log": changes}))
 	return true
 }
 
@@ -174,10 +174,10 @@
 	return b
 }
 
-func (s *stateService) handle(from string, r protocol.HTTPRequest, reply func(int, []byte)) {
-	delay := 1*micros.Millisecond + s.w.rng.Int64N(3*micros.Millisecond) + s.slow
+func (s *keyValueStore) handle(from string, r protocol.HTTPRequest, reply func(int, []byte)) {
+	delay := 1*micros.Millisecond + s.w.random.Int64N(3*micros.Millisecond) + s.delay
 	s.w.after(delay, func() {
-		if s.refused(from) {
+		if s.refuses(from) {
 			reply(503, []byte(`{"error":"unavailable"}`))
 			return
 		}
@@ -185,7 +185,7 @@
 	})
 }
 
-func (s *stateService) serve(from string, r protocol.HTTPRequest, reply func(int, []byte)) {
+func (s *keyValueStore) serve(from string, r protocol.HTTPRequest, reply func(int, []byte)) {
 	u, err := url.Parse(r.Path)
 	if err != nil {
 		reply(400, nil)
@@ -194,25 +194,25 @@
 	q := u.Query()
 	switch {
 	case r.Method == "GET" && u.Path == "/store":
-		s.list(q, reply)
+		s.listRecords(q, reply)
 	case r.Method == "GET" && strings.HasPrefix(u.Path, "/store/"):
 		key := strings.TrimPrefix(u.Path, "/store/")
 		if v, ok := s.keys[key]; ok {
-			reply(200, encode(map[string]any{"key": key, "v": v.value, "stamp": v.stamp, "permit": v.permit}))
+			reply(200, encode(map[string]any{"key": key, "v": v.value, "stamp": v.modRevision, "permit": v.leaseID}))
 		} else {
-			reply(404, encode(map[string]any{"ledger": s.ledger}))
+			reply(404, encode(map[string]any{"ledger": s.revision}))
 		}
 	case r.Method == "GET" && u.Path == "/changes":
 		s.watch(from, q, reply)
 	case r.Method == "POST" && u.Path == "/grants":
-		s.grant(r.Body, reply)
+		s.grantLease(r.Body, reply)
 	case r.Method == "POST" && strings.HasSuffix(u.Path, "/touch"):
 		id, _ := strconv.ParseUint(strings.TrimSuffix(strings.TrimPrefix(u.Path, "/grants/"), "/touch"), 10, 64)
-		if _, ok := s.permits[id]; !ok {
+		if _, ok := s.leaseExpiry[id]; !ok {
 			reply(404, []byte(`{}`))
 			return
 		}
-		s.permits[id] = s.w.now + s.ttl[id]
+		s.leaseExpiry[id] = s.w.now + s.leaseTTL[id]
 		reply(200, encode(map[string]any{"permit": id}))
 	case r.Method == "POST" && u.Path == "/commit":
 		s.transact(r.Body, reply)
@@ -221,36 +221,36 @@
 	}
 }
 
-func (s *stateService) watch(from string, q url.Values, reply func(int, []byte)) {
+func (s *keyValueStore) watch(from string, q url.Values, reply func(int, []byte)) {
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
 	block, _ := strconv.ParseInt(q.Get("block_ms"), 10, 64)
-	if len(s.log) > s.keep {
-		s.log = append([]stateEvent(nil), s.log[len(s.log)-s.keep:]...)
+	if len(s.changes) > s.historyLimit {
+		s.changes = append([]storeChange(nil), s.changes[len(s.changes)-s.historyLimit:]...)
 	}
-	if len(s.log) == s.keep && s.log[0].stamp > after+1 {
+	if len(s.changes) == s.historyLimit && s.changes[0].modRevision > after+1 {
 		reply(410, nil)
 		return
 	}
-	x := &watcher{from: from, under: q.Get("under"), after: after, reply: reply}
-	if s.answer(x, block == 0) {
+	x := &pendingWatch{member: from, prefix: q.Get("under"), afterRevision: after, reply: reply}
+	if s.answerWatch(x, block == 0) {
 		return
 	}
-	s.watchers = append(s.watchers, x)
+	s.watches = append(s.watches, x)
 	var timeUp func()
 	timeUp = func() {
-		if x.done {
+		if x.answered {
 			return
 		}
-		if s.refused(from) {
+		if s.refuses(from) {
 			s.w.after(100*micros.Millisecond, timeUp) // stays open
 			return
 		}
-		s.answer(x, true)
+		s.answerWatch(x, true)
 	}
 	s.w.after(block*micros.Millisecond, timeUp)
 }
 
-func (s *stateService) grant(body []byte, reply func(int, []byte)) {
+func (s *keyValueStore) grantLease(body []byte, reply func(int, []byte)) {
 	var g struct {
 		TTL int64 `json:"ttl_ms"`
 	}
@@ -258,23 +258,23 @@
 		reply(400, nil)
 		return
 	}
-	s.next++
-	s.ttl[s.next] = g.TTL * micros.Millisecond
-	s.permits[s.next] = s.w.now + s.ttl[s.next]
-	reply(200, encode(map[string]any{"permit": s.next}))
+	s.lastLeaseID++
+	s.leaseTTL[s.lastLeaseID] = g.TTL * micros.Millisecond
+	s.leaseExpiry[s.lastLeaseID] = s.w.now + s.leaseTTL[s.lastLeaseID]
+	reply(200, encode(map[string]any{"permit": s.lastLeaseID}))
 }
 
 // transact commits: at once, or late, or without an answer.
-func (s *stateService) transact(body []byte, reply func(int, []byte)) {
-	if by := s.delayOf(body); by > 0 {
+func (s *keyValueStore) transact(body []byte, reply func(int, []byte)) {
+	if by := s.commitDelay(body); by > 0 {
 		s.w.after(by, func() { s.commit(body) })
 		return
 	}
-	switch x := s.w.rng.Float64(); {
-	case x < s.loseShare:
+	switch x := s.w.random.Float64(); {
+	case x < s.lostReplyShare:
 		s.commit(body)
-	case x < s.loseShare+s.lateShare:
-		s.w.after(micros.Second+s.w.rng.Int64N(20*micros.Second), func() {
+	case x < s.lostReplyShare+s.lateCommitShare:
+		s.w.after(micros.Second+s.w.random.Int64N(20*micros.Second), func() {
 			if !s.down {
 				s.commit(body)
 			}
@@ -284,7 +284,7 @@
 	}
 }
 
-func (s *stateService) list(q url.Values, reply func(int, []byte)) {
+func (s *keyValueStore) listRecords(q url.Values, reply func(int, []byte)) {
 	var keys []string
 	for k := range s.keys {
 		if strings.HasPrefix(k, q.Get("under")) && k > q.Get("after") {
@@ -300,181 +300,181 @@
 	keys = keys[:min(page, len(keys))]
 	rows := []map[string]any{}
 	for _, k := range keys {
-		rows = append(rows, map[string]any{"key": k, "v": s.keys[k].value, "stamp": s.keys[k].stamp})
+		rows = append(rows, map[string]any{"key": k, "v": s.keys[k].value, "stamp": s.keys[k].modRevision})
 	}
-	reply(200, encode(map[string]any{"rows": rows, "has_next": more, "ledger": s.ledger}))
+	reply(200, encode(map[string]any{"rows": rows, "has_next": more, "ledger": s.revision}))
 }
 
 // transaction is the body of a commit.
 type transaction struct {
-	If []struct {
-		Key   string `json:"key"`
-		Stamp uint64 `json:"stamp"`
+	Compares []struct {
+		Key         string `json:"key"`
+		ModRevision uint64 `json:"stamp"`
 	} `json:"if"`
 	Writes []struct {
 		Set    string          `json:"set"`
-		V      json.RawMessage `json:"v"`
-		Permit uint64          `json:"permit"`
+		Value  json.RawMessage `json:"v"`
+		Lease  uint64          `json:"permit"`
 		Delete string          `json:"delete"`
 	} `json:"writes"`
 }
 
-// delayOf is how much later a transaction is carried out, by the keys that it sets.
-func (s *stateService) delayOf(body []byte) micros.Time {
+// commitDelay is how much later a transaction is carried out, by the keys that it sets.
+func (s *keyValueStore) commitDelay(body []byte) micros.Time {
 	var t transaction
-	if len(s.delayed) == 0 || json.Unmarshal(body, &t) != nil {
+	if len(s.delayedKeys) == 0 || json.Unmarshal(body, &t) != nil {
 		return 0
 	}
 	by := micros.Time(0)
 	for _, x := range t.Writes {
-		by = max(by, s.delayed[x.Set])
+		by = max(by, s.delayedKeys[x.Set])
 	}
 	return by
 }
 
 // writeSize is how large a transaction is in everything that the service limits.
-type writeSize struct{ operations, conditions, value, body int }
+type writeSize struct{ operations, compares, value, body int }
 
-// keyKind is the part of a key that says what its record is.
-func keyKind(key string) string {
+// recordKind is the part of a key that says what its record is.
+func recordKind(key string) string {
 	kind, _, _ := strings.Cut(strings.TrimPrefix(key, "pl/"), "/")
 	return kind
 }
 
 // measure notes the size of a transaction under what it sets and deletes.
-func (s *stateService) measure(t *transaction, body int) {
+func (s *keyValueStore) measure(t *transaction, body int) {
 	kinds := map[string]bool{}
-	size := writeSize{operations: len(t.Writes), conditions: len(t.If), body: body}
+	size := writeSize{operations: len(t.Writes), compares: len(t.Compares), body: body}
 	for _, x := range t.Writes {
 		if x.Delete != "" {
-			kinds["delete "+keyKind(x.Delete)] = true
+			kinds["delete "+recordKind(x.Delete)] = true
 		} else {
-			kinds["set "+keyKind(x.Set)] = true
+			kinds["set "+recordKind(x.Set)] = true
 		}
-		size.value = max(size.value, len(x.V))
+		size.value = max(size.value, len(x.Value))
 	}
 	for kind := range kinds {
 		had := s.largest[kind]
-		s.largest[kind] = writeSize{max(had.operations, size.operations), max(had.conditions, size.conditions),
+		s.largest[kind] = writeSize{max(had.operations, size.operations), max(had.compares, size.compares),
 			max(had.value, size.value), max(had.body, size.body)}
 	}
 }
 
-func (s *stateService) commit(body []byte) (int, []byte) {
+func (s *keyValueStore) commit(body []byte) (int, []byte) {
 	var t transaction
-	if json.Unmarshal(body, &t) != nil || len(t.Writes) > s.txnOps || len(t.If) > 4*s.txnOps || len(body) > 64<<10 {
+	if json.Unmarshal(body, &t) != nil || len(t.Writes) > s.maxOperations || len(t.Compares) > 4*s.maxOperations || len(body) > 64<<10 {
 		s.tooLarge++
 		return 400, []byte(`{"error":"malformed"}`)
 	}
 	if s.writeRPS > 0 {
-		s.writeLeft = min(s.writeRPS, s.writeLeft+s.writeRPS*micros.Seconds(s.w.now-s.writeAt))
-		s.writeAt = s.w.now
-		if s.writeLeft < float64(len(t.Writes)) {
+		s.writeTokens = min(s.writeRPS, s.writeTokens+s.writeRPS*micros.Seconds(s.w.now-s.writeTokensAt))
+		s.writeTokensAt = s.w.now
+		if s.writeTokens < float64(len(t.Writes)) {
 			return 429, []byte(`{"error":"too many changes"}`)
 		}
-		s.writeLeft -= float64(len(t.Writes))
+		s.writeTokens -= float64(len(t.Writes))
 	}
 	var failed []string
-	for _, c := range t.If {
-		if s.keys[c.Key].stamp != c.Stamp {
+	for _, c := range t.Compares {
+		if s.keys[c.Key].modRevision != c.ModRevision {
 			failed = append(failed, c.Key)
 		}
 	}
 	if len(failed) > 0 {
-		return 409, encode(map[string]any{"failed": failed, "ledger": s.ledger})
+		return 409, encode(map[string]any{"failed": failed, "ledger": s.revision})
 	}
 	for _, x := range t.Writes {
-		if len(x.V) > s.valueMax {
+		if len(x.Value) > s.maxValueBytes {
 			s.tooLarge++
 			return 400, []byte(`{"error":"value too large"}`)
 		}
-		if x.Set != "" && x.Permit != 0 {
-			if _, ok := s.permits[x.Permit]; !ok {
+		if x.Set != "" && x.Lease != 0 {
+			if _, ok := s.leaseExpiry[x.Lease]; !ok {
 				return 400, []byte(`{"error":"no such lease"}`)
 			}
 		}
 	}
 	if len(t.Writes) > 0 {
-		s.ledger++
+		s.revision++
 		s.measure(&t, len(body))
 	}
 	for _, x := range t.Writes {
 		if x.Delete != "" {
 			if _, ok := s.keys[x.Delete]; ok {
 				delete(s.keys, x.Delete)
-				s.log = append(s.log, stateEvent{stamp: s.ledger, key: x.Delete, delete: true})
+				s.changes = append(s.changes, storeChange{modRevision: s.revision, key: x.Delete, delete: true})
 			}
 			continue
 		}
-		s.keys[x.Set] = stateKey{x.V, s.ledger, x.Permit}
-		s.log = append(s.log, stateEvent{stamp: s.ledger, key: x.Set, value: x.V})
+		s.keys[x.Set] = storedRecord{x.Value, s.revision, x.Lease}
+		s.changes = append(s.changes, storeChange{modRevision: s.revision, key: x.Set, value: x.Value})
 	}
-	s.wake()
-	return 200, encode(map[string]any{"ledger": s.ledger})
+	s.answerWatches()
+	return 200, encode(map[string]any{"ledger": s.revision})
 }
 
 // write sets a key, whatever its record should look like.
-func (s *stateService) write(key, value string) {
-	s.ledger++
-	s.keys[key] = stateKey{value: json.RawMessage(value), stamp: s.ledger}
-	s.log = append(s.log, stateEvent{stamp: s.ledger, key: key, value: json.RawMessage(value)})
-	s.wake()
+func (s *keyValueStore) write(key, value string) {
+	s.revision++
+	s.keys[key] = storedRecord{value: json.RawMessage(value), modRevision: s.revision}
+	s.changes = append(s.changes, storeChange{modRevision: s.revision, key: key, value: json.RawMessage(value)})
+	s.answerWatches()
 }
 
-// left is what a deployment left in the state service, and said to its siblings.
-type left struct {
-	Ledger uint64 `json:"ledger"`
-	Rows   []struct {
-		Key   string          `json:"key"`
-		V     json.RawMessage `json:"v"`
-		Stamp uint64          `json:"stamp"`
+// recordedDeployment is what an earlier deployment left in the store, and said to its peers.
+type recordedDeployment struct {
+	Revision uint64 `json:"ledger"`
+	Rows     []struct {
+		Key         string          `json:"key"`
+		Value       json.RawMessage `json:"v"`
+		ModRevision uint64          `json:"stamp"`
 	} `json:"rows"`
 	Status [][]byte `json:"status"`
 }
 
-func readLeft(file string) (*left, error) {
+func readRecordedDeployment(file string) (*recordedDeployment, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	var d left
+	var d recordedDeployment
 	return &d, json.Unmarshal(raw, &d)
 }
 
 // load puts records in place that an earlier deployment left, whose processes and
 // machines are gone.
-func (s *stateService) load(file string) {
-	d, err := readLeft(file)
+func (s *keyValueStore) load(file string) {
+	d, err := readRecordedDeployment(file)
 	if err != nil {
 		s.w.breakRule("bench", "%v", err)
 		return
 	}
 	s.loaded = storage.NewCache(storage.Keys{Prefix: "pl/"})
-	s.next++
-	s.permits[s.next] = s.w.now + micros.Second // of the processes that were registered
+	s.lastLeaseID++
+	s.leaseExpiry[s.lastLeaseID] = s.w.now + micros.Second // of the processes that were registered
 	for _, r := range d.Rows {
-		permit := uint64(0)
+		leaseID := uint64(0)
 		if strings.HasPrefix(r.Key, "pl/node/") || r.Key == "pl/leader" {
-			permit = s.next
+			leaseID = s.lastLeaseID
 		}
-		s.keys[r.Key] = stateKey{r.V, r.Stamp, permit}
+		s.keys[r.Key] = storedRecord{r.Value, r.ModRevision, leaseID}
 		key := strings.Replace(r.Key, "pl/~over/", "pl/job/", 1)
-		if _, _, err := s.loaded.Apply(storage.Item{Key: key, Value: r.V, ModRevision: r.Stamp}); err != nil {
+		if _, _, err := s.loaded.Apply(storage.Item{Key: key, Value: r.Value, ModRevision: r.ModRevision}); err != nil {
 			s.w.breakRule("bench", "%v", err)
 		}
 	}
-	s.ledger = d.Ledger
-	s.w.cloud.next = 900 // names are never used twice
+	s.revision = d.Revision
+	s.w.cloud.lastMachineNumber = 900 // names are never used twice
 }
 
-// recall gives a job's user what was done before the records were left.
-func (s *stateService) recall(j *userJob) {
+// restoreCompletion gives a job's user what was done before the records were left.
+func (s *keyValueStore) restoreCompletion(j *userJob) {
 	if s.loaded == nil || s.loaded.Jobs[j.ref] == nil {
 		return
 	}
 	e := s.loaded.Jobs[j.ref]
-	j.wantCancel = e.Job.Phase == workload.Cancelled
-	for t := range j.shards {
+	j.cancelRequested = e.Job.Phase == workload.Cancelled
+	for t := range j.taskCount {
 		if e.Job.Phase == workload.Done || (e.Completed != nil && e.Completed.Has(t)) {
 			j.done[t] = true
 		}
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -18,8 +18,8 @@
 func (d *deployment) submit(set map[string]string) *userJob {
 	var j *userJob
 	d.with(func(w *World) {
-		j = w.users.parse(fmt.Sprintf("wk-%06d", len(d.jobs)+1), set)
-		j.sent, j.first = true, w.now
+		j = w.users.newJob(fmt.Sprintf("wk-%06d", len(d.jobs)+1), set)
+		j.sent, j.submittedAt = true, w.now
 		w.users.jobs[j.ref] = j
 		w.users.order = append(w.users.order, j.ref)
 		d.jobs = append(d.jobs, j)
@@ -43,7 +43,7 @@
 	for i := range seconds * 2 {
 		j := d.submit(stage)
 		if i%6 == 5 {
-			time.AfterFunc(time.Duration(rand.IntN(3000))*time.Millisecond, func() { d.with(func(*World) { j.wantCancel = true }) })
+			time.AfterFunc(time.Duration(rand.IntN(3000))*time.Millisecond, func() { d.with(func(*World) { j.cancelRequested = true }) })
 		}
 		if pipelines && i%2 == 1 {
 			d.people.Go(func() {
@@ -64,7 +64,7 @@
 		}
 		d.with(func(*World) { accepted = before.accepted != 0 })
 	}
-	return d.submit(map[string]string{"tasks": "2", "cores": "1", "ram": "1", "runs": "1", "spot": "yes", "image": "i", "size": "0.1", "waits": waits})
+	return d.submit(map[string]string{"tasks": "2", "cores": "1", "ram": "1", "runs": "1", "spot": "yes", "image": "i", "size": "0.1", "depends_on": waits})
 }
 
 // user submits a job and asks for it until it is over, at a node drawn each time.
@@ -90,14 +90,14 @@
 	}
 	for !over() && ctx.Err() == nil {
 		accepted, cancel := false, false
-		d.with(func(*World) { accepted, cancel = j.accepted != 0, j.wantCancel })
+		d.with(func(*World) { accepted, cancel = j.accepted != 0, j.cancelRequested })
 		switch {
 		case !accepted:
 			call("POST", "/submissions", j.body, func(u *users, status int, answer []byte) {
 				switch status {
 				case 200, 201:
 					j.accepted = u.w.now
-					u.hear(j, answer)
+					u.receiveStatus(j, answer)
 				case 400, 422:
 					u.w.breakRule("refused", "%s: %d %s", j.ref, status, answer)
 				}
@@ -105,14 +105,14 @@
 		case cancel:
 			call("POST", "/submissions/"+j.ref+"/abort", nil, func(u *users, status int, answer []byte) {
 				if status == 200 {
-					u.hear(j, answer)
+					u.receiveStatus(j, answer)
 				}
 			})
 		default:
 			call("GET", "/submissions/"+j.ref, nil, func(u *users, status int, answer []byte) {
 				switch status {
 				case 200:
-					u.hear(j, answer)
+					u.receiveStatus(j, answer)
 				case 404:
 					u.w.breakRule("forgotten", "%s: accepted, then 404", j.ref)
 				}
@@ -132,40 +132,40 @@
 	fair      bool // fair admission is on in the new version, which the older does not know
 	order     [3]int
 	back      time.Duration // until a process that ended is back
-	trouble   func(d *deployment, upgraded int)
+	fault     func(d *deployment, upgraded int)
 }
 
-// holderEnds has the holder, of whichever version, end and come back as it was.
-func holderEnds(d *deployment, upgraded int) {
+// partitionLeaderRestarts has the holder, of whichever version, end and come back as it was.
+func partitionLeaderRestarts(d *deployment, upgraded int) {
 	if upgraded == 3 {
 		return
 	}
-	h := d.holder()
+	h := d.partitionLeader()
 	d.t.Logf("with %d of 3 upgraded, %s ends as the holder", upgraded, h)
 	d.restart(h, d.version[h], time.Second)
 }
 
-// quickReturn is the same within a fraction of a second, for a process before its turn.
-func quickReturn(d *deployment, upgraded int) {
+// quickRestart is the same within a fraction of a second, for a process before its turn.
+func quickRestart(d *deployment, upgraded int) {
 	if upgraded == 3 {
 		return
 	}
-	h := d.holder()
+	h := d.partitionLeader()
 	d.restart(h, d.version[h], 100*time.Millisecond)
 }
 
-// stateTroubles are an outage for all, then a refusal of the holder alone.
-func stateTroubles(d *deployment, upgraded int) {
+// storeFaults are an outage for all, then a refusal of the holder alone.
+func storeFaults(d *deployment, upgraded int) {
 	switch upgraded {
 	case 1:
-		d.stateOutage(5 * time.Second)
+		d.storeOutage(5 * time.Second)
 	case 2:
-		d.stateRefuses(d.holder(), 5*time.Second)
+		d.storeRefuses(d.partitionLeader(), 5*time.Second)
 	}
 }
 
-// allEnd has all processes end at once and come back as they were.
-func allEnd(d *deployment, upgraded int) {
+// allRestart has all processes end at once and come back as they were.
+func allRestart(d *deployment, upgraded int) {
 	if upgraded == 3 {
 		return
 	}
@@ -185,7 +185,7 @@
 		d.submit(map[string]string{"tasks": "1", "cores": "1", "ram": "1", "runs": "1", "spot": "yes", "image": "i", "size": "0.1",
 			"class": fmt.Sprint("burst-", upgraded)})
 	}
-	holderEnds(d, upgraded)
+	partitionLeaderRestarts(d, upgraded)
 }
 
 // TestRollingUpgrade upgrades three real processes one by one under load, from the version
@@ -195,12 +195,12 @@
 func TestRollingUpgrade(t *testing.T) {
 	production, pipelines, current := programAt(t, productionCommit(t)), programAt(t, pipelineCommit), build(t, repositoryRoot)
 	for _, u := range []upgrade{
-		{"production/holder_ends", false, false, [3]int{0, 1, 2}, time.Second, holderEnds},
-		{"production/quick_return", false, false, [3]int{2, 1, 0}, 100 * time.Millisecond, quickReturn},
-		{"production/state_troubles", false, false, [3]int{1, 0, 2}, time.Second, stateTroubles},
-		{"pipelines/all_end", true, false, [3]int{1, 2, 0}, time.Second, allEnd},
-		{"pipelines/state_troubles", true, false, [3]int{0, 2, 1}, 100 * time.Millisecond, stateTroubles},
-		{"pipelines/holder_ends", true, false, [3]int{2, 0, 1}, time.Second, holderEnds},
+		{"production/holder_ends", false, false, [3]int{0, 1, 2}, time.Second, partitionLeaderRestarts},
+		{"production/quick_return", false, false, [3]int{2, 1, 0}, 100 * time.Millisecond, quickRestart},
+		{"production/state_troubles", false, false, [3]int{1, 0, 2}, time.Second, storeFaults},
+		{"pipelines/all_end", true, false, [3]int{1, 2, 0}, time.Second, allRestart},
+		{"pipelines/state_troubles", true, false, [3]int{0, 2, 1}, 100 * time.Millisecond, storeFaults},
+		{"pipelines/holder_ends", true, false, [3]int{2, 0, 1}, time.Second, partitionLeaderRestarts},
 		{"production/burst", false, true, [3]int{0, 2, 1}, time.Second, burst},
 	} {
 		old := production
@@ -231,10 +231,12 @@
 	for i, n := range u.order {
 		d.restart(nodeName(n), current, u.back)
 		if i == 2 {
-			d.with(func(w *World) { w.state.txnOps, w.state.valueMax, w.state.writeRPS, w.state.tooLarge = 4, 2048, 18, 0 })
+			d.with(func(w *World) {
+				w.store.maxOperations, w.store.maxValueBytes, w.store.writeRPS, w.store.tooLarge = 4, 2048, 18, 0
+			})
 		}
 		d.load(3, u.pipelines)
-		u.trouble(d, i+1)
+		u.fault(d, i+1)
 		d.load(3, u.pipelines)
 	}
 	u.playPipeline(d, current)
@@ -256,12 +258,12 @@
 // holder's end in the midst, and one that is cancelled at its head.
 func (u *upgrade) playPipeline(d *deployment, current string) {
 	first := d.submitAccepted(map[string]string{"tasks": "4", "cores": "1", "runs": "3", "image": "i", "size": "0.1"})
-	second := d.submitAccepted(map[string]string{"tasks": "4", "cores": "1", "runs": "2", "image": "i", "size": "0.1", "waits": first.ref})
-	d.submitAccepted(map[string]string{"tasks": "2", "cores": "1", "runs": "1", "image": "i", "size": "0.1", "waits": second.ref + "," + first.ref})
+	second := d.submitAccepted(map[string]string{"tasks": "4", "cores": "1", "runs": "2", "image": "i", "size": "0.1", "depends_on": first.ref})
+	d.submitAccepted(map[string]string{"tasks": "2", "cores": "1", "runs": "1", "image": "i", "size": "0.1", "depends_on": second.ref + "," + first.ref})
 	head := d.submitAccepted(map[string]string{"tasks": "1", "cores": "1", "runs": "300", "image": "i", "size": "0.1"})
-	tail := d.submitAccepted(map[string]string{"tasks": "1", "cores": "1", "runs": "1", "image": "i", "size": "0.1", "waits": head.ref})
-	d.restart(d.holder(), current, 500*time.Millisecond)
-	d.with(func(*World) { head.wantCancel = true })
+	tail := d.submitAccepted(map[string]string{"tasks": "1", "cores": "1", "runs": "1", "image": "i", "size": "0.1", "depends_on": head.ref})
+	d.restart(d.partitionLeader(), current, 500*time.Millisecond)
+	d.with(func(*World) { head.cancelRequested = true })
 	d.load(3, true)
 	d.until("what waits on a cancelled job is cancelled", func(*World) bool { return tail.cancelled != 0 })
 }
@@ -310,8 +312,8 @@
 		if long.starts > 6 || service.starts > 3 {
 			d.t.Errorf("tasks were lost for the upgrade alone: %d starts of 6, %d of 3 replicas", long.starts, service.starts)
 		}
-		if w.state.tooLarge > 0 {
-			d.t.Errorf("%d requests were refused for their size", w.state.tooLarge)
+		if w.store.tooLarge > 0 {
+			d.t.Errorf("%d requests were refused for their size", w.store.tooLarge)
 		}
 		for _, b := range w.broken {
 			d.t.Errorf("rule broken: %s", b)
--- a/internal/scenario/users_test.go
+++ b/internal/scenario/users_test.go
@@ -14,167 +14,167 @@
 
 // userJob is a job as its user knows it.
 type userJob struct {
-	ref           string
-	shape         string
-	owner         string
-	class         string
-	ignores       bool        // its user comes back after a second, whatever it was told
-	everywhere    bool        // its user asks at every node in the same instant
-	retryAfter    micros.Time // as it was last told
-	created       int         // answers that it was accepted anew
-	shards        int
-	cores, ram    float64
-	bundle        string
-	sizeGB        float64
-	hulls         []string
-	berth         string
-	oneZone       bool
-	apart         bool
-	loaners       bool
-	runs          micros.Time // true run time
-	odd           float64     // times that for every third task
-	snapshotEvery float64
-	snapshotS     float64
-	mistaken      bool
-	body          []byte
+	ref                string
+	shape              string
+	team               string
+	class              string
+	ignoresRetryAfter  bool        // its user comes back after a second, whatever it was told
+	submitsEverywhere  bool        // its user asks at every node in the same instant
+	retryAfter         micros.Time // as it was last told
+	timesAccepted      int         // answers that it was accepted anew
+	taskCount          int
+	cores, ram         float64
+	image              string
+	imageGB            float64
+	instanceTypes      []string
+	zone               string
+	oneZone            bool
+	apart              bool
+	spotAllowed        bool
+	runTime            micros.Time // true run time
+	thirdTaskFactor    float64     // times that for every third task
+	checkpointInterval float64
+	checkpointS        float64
+	alwaysFails        bool
+	body               []byte
 
-	conn        *balancer // the connection it keeps
-	connLife    int
-	asked       micros.Time // first question since the last answer; 0: none
-	sent        bool
-	first       micros.Time
-	accepted    micros.Time // 0: not yet
-	refused     int
-	done        map[int]bool
-	wantCancel  bool
-	cancelled   micros.Time // when its user was told
-	toldDone    bool
-	lastPhase   string
-	starts      int
-	firstStart  micros.Time
-	doneAt      micros.Time // when its user was first told
-	lost        bool        // reported as forgotten
-	stuckSince  micros.Time // it waits though there is room; 0: it does not
-	offAfter    micros.Time // how long after its user was told a task was on a machine
-	waitsOn     []string    // jobs that it needs
-	replicaTime micros.Time
+	connection            *balancer // the connection it keeps
+	connectionIncarnation int
+	unansweredSince       micros.Time // first question since the last answer; 0: none
+	sent                  bool
+	submittedAt           micros.Time
+	accepted              micros.Time // 0: not yet
+	refused               int
+	done                  map[int]bool
+	cancelRequested       bool
+	cancelled             micros.Time // when its user was told
+	toldDone              bool
+	lastPhase             string
+	starts                int
+	firstStart            micros.Time
+	doneAt                micros.Time // when its user was first told
+	reportedForgotten     bool        // reported as forgotten
+	starvedSince          micros.Time // it waits though there is room; 0: it does not
+	onMachineAfterCancel  micros.Time // how long after its user was told a task was on a machine
+	dependencies          []string    // jobs that it needs
+	replicaTime           micros.Time
 }
 
 // users submit, poll and cancel, and hold every answer against the rules.
 type users struct {
-	w          *World
-	jobs       map[string]*userJob
-	order      []string
-	strange    int // polls for jobs that nobody submitted
-	balance    []*balancer
-	startCount int
+	w              *World
+	jobs           map[string]*userJob
+	order          []string
+	unknownLookups int // polls for jobs that nobody submitted
+	balancers      []*balancer
+	startCount     int
 
-	cancelShare float64 // of jobs that end, cancelled at that moment
-	cancelUntil micros.Time
-	looksUntil  micros.Time // users look closely until then
-	oddJobs     int
+	cancelShare      float64 // of jobs that end, cancelled at that moment
+	cancelUntil      micros.Time
+	verifyReadsUntil micros.Time // users look closely until then
+	oddRequests      int
 }
 
 func newUsers(w *World) *users {
 	u := &users{w: w, jobs: map[string]*userJob{}}
 	for _, n := range w.nodes {
-		u.balance = append(u.balance, &balancer{n: n, pause: 3 * micros.Second})
+		u.balancers = append(u.balancers, &balancer{node: n, readmissionDelay: 3 * micros.Second})
 	}
-	w.after(200*micros.Millisecond, u.probe)
-	u.watch()
+	w.after(200*micros.Millisecond, u.probeHealth)
+	u.checkContinuously()
 	return u
 }
 
 // balancer is the load balancer's view of one node.
 type balancer struct {
-	n       *node
-	healthy bool
-	ever    bool
-	last    []bool // results of probes, the newest last
-	removed micros.Time
-	pause   micros.Time
+	node             *node
+	healthy          bool
+	everHealthy      bool
+	recentProbes     []bool // results of probes, the newest last
+	removedAt        micros.Time
+	readmissionDelay micros.Time
 }
 
-// probe asks every node once a second whether it is well.
-func (u *users) probe() {
+// probeHealth asks every node once a second whether it is well.
+func (u *users) probeHealth() {
 	w := u.w
-	for _, b := range u.balance {
-		n := b.n
+	for _, b := range u.balancers {
+		n := b.node
 		ok := n.up() && !n.paused && n.core.Healthy() && w.cutBetween("users", n.name) == nil
-		b.last = append(b.last, ok)
-		b.last = b.last[max(0, len(b.last)-6):]
-		k := len(b.last)
+		b.recentProbes = append(b.recentProbes, ok)
+		b.recentProbes = b.recentProbes[max(0, len(b.recentProbes)-6):]
+		k := len(b.recentProbes)
 		bad := 0
-		for _, ok := range b.last {
+		for _, ok := range b.recentProbes {
 			if !ok {
 				bad++
 			}
 		}
 		switch {
-		case b.healthy && (bad >= 3 || (k >= 2 && !b.last[k-1] && !b.last[k-2])):
-			if b.removed > 0 && w.now-b.removed < 120*micros.Second {
-				b.pause = min(60*micros.Second, 2*b.pause)
+		case b.healthy && (bad >= 3 || (k >= 2 && !b.recentProbes[k-1] && !b.recentProbes[k-2])):
+			if b.removedAt > 0 && w.now-b.removedAt < 120*micros.Second {
+				b.readmissionDelay = min(60*micros.Second, 2*b.readmissionDelay)
 			} else {
-				b.pause = 3 * micros.Second
+				b.readmissionDelay = 3 * micros.Second
 			}
-			b.healthy, b.removed = false, w.now
-		case !b.healthy && ok && (!b.ever || (k >= 2 && b.last[k-2] && w.now-b.removed >= b.pause)):
-			b.healthy, b.ever, b.last = true, true, nil
+			b.healthy, b.removedAt = false, w.now
+		case !b.healthy && ok && (!b.everHealthy || (k >= 2 && b.recentProbes[k-2] && w.now-b.removedAt >= b.readmissionDelay)):
+			b.healthy, b.everHealthy, b.recentProbes = true, true, nil
 		}
 	}
-	w.after(micros.Second, u.probe)
+	w.after(micros.Second, u.probeHealth)
 }
 
 // connect finds the node of a user's connection: the one it has, while that node
 // lives and has not been unhealthy for long, or a healthy one.
 func (u *users) connect(j *userJob) *balancer {
 	w := u.w
-	if j != nil && j.conn != nil {
-		b := j.conn
-		if b.n.life == j.connLife && b.n.up() && (b.healthy || w.now-b.removed < 5*micros.Second) {
+	if j != nil && j.connection != nil {
+		b := j.connection
+		if b.node.incarnation == j.connectionIncarnation && b.node.up() && (b.healthy || w.now-b.removedAt < 5*micros.Second) {
 			return b
 		}
-		j.conn = nil
+		j.connection = nil
 	}
 	var list []*balancer
-	for _, b := range u.balance {
-		if b.healthy && b.n.up() {
+	for _, b := range u.balancers {
+		if b.healthy && b.node.up() {
 			list = append(list, b)
 		}
 	}
 	if len(list) == 0 {
 		return nil
 	}
-	b := list[w.rng.IntN(len(list))]
+	b := list[w.random.IntN(len(list))]
 	if j != nil {
-		j.conn, j.connLife = b, b.n.life
+		j.connection, j.connectionIncarnation = b, b.node.incarnation
 	}
 	return b
 }
 
-// ask sends a request on the job's connection and calls then with the status; 0:
+// request sends a request on the job's connection and calls then with the status; 0:
 // none.
-func (u *users) ask(j *userJob, patience micros.Time, input func(messages.RequestID) messages.Input, then func(status int, body []byte)) {
+func (u *users) request(j *userJob, patience micros.Time, input func(messages.RequestID) messages.Input, then func(status int, body []byte)) {
 	w := u.w
 	b := u.connect(j)
 	if b == nil {
 		w.after(10*micros.Millisecond, func() { then(0, nil) })
 		return
 	}
-	n := b.n
+	n := b.node
 	over := false
 	end := func(status int, body []byte) {
 		if !over {
 			over = true
 			if status == 0 && j != nil {
-				j.conn = nil // given up with its request
+				j.connection = nil // given up with its request
 			}
 			then(status, body)
 		}
 	}
 	w.after(patience, func() { end(0, nil) })
 	w.send("users", n.name, func() {
-		n.ask(input, func(a messages.Response) {
+		n.request(input, func(a messages.Response) {
 			status, body := 503, []byte(nil)
 			switch a.Kind {
 			case messages.JobAccepted:
@@ -200,14 +200,14 @@
 	})
 }
 
-// askElsewhere sends a submission to all nodes but the one that its user is connected to.
-func (u *users) askElsewhere(j *userJob, input func(messages.RequestID) messages.Input) {
-	for _, b := range u.balance {
-		if j.conn == b || !b.n.up() {
+// submitElsewhere sends a submission to all nodes but the one that its user is connected to.
+func (u *users) submitElsewhere(j *userJob, input func(messages.RequestID) messages.Input) {
+	for _, b := range u.balancers {
+		if j.connection == b || !b.node.up() {
 			continue
 		}
-		u.w.send("users", b.n.name, func() {
-			b.n.ask(input, func(a messages.Response) {
+		u.w.send("users", b.node.name, func() {
+			b.node.request(input, func(a messages.Response) {
 				if a.Kind == messages.JobAccepted {
 					u.accepted(j, 201)
 				}
@@ -219,33 +219,33 @@
 // accepted notes that a job was accepted: anew once at most.
 func (u *users) accepted(j *userJob, status int) {
 	if status == 201 {
-		if j.created++; j.created > 1 {
+		if j.timesAccepted++; j.timesAccepted > 1 {
 			u.w.breakRule("accepted_twice", "%s: 201 a second time", j.ref)
 		}
 	}
 	if j.accepted == 0 {
 		j.accepted = u.w.now
-		u.lookClosely(j)
-		u.w.after(u.w.rng.Int64N(5*micros.Second), func() { u.poll(j) })
+		u.verifyReads(j)
+		u.w.after(u.w.random.Int64N(5*micros.Second), func() { u.poll(j) })
 	}
 }
 
-// comeBack is when a user submits again that was refused.
-func (u *users) comeBack(j *userJob) micros.Time {
+// retryDelay is when a user submits again that was refused.
+func (u *users) retryDelay(j *userJob) micros.Time {
 	wait := micros.Second
-	if !j.ignores {
+	if !j.ignoresRetryAfter {
 		// Retry-After is in whole seconds, and up to 30 s of it is honoured.
 		whole := (j.retryAfter + micros.Second - 1) / micros.Second * micros.Second
 		wait = max(wait, min(whole, 30*micros.Second))
 	}
-	return wait + u.w.rng.Int64N(micros.Second/2)
+	return wait + u.w.random.Int64N(micros.Second/2)
 }
 
 func (u *users) submit(j *userJob) {
 	if u.jobs[j.ref] == nil {
 		u.jobs[j.ref] = j
 		u.order = append(u.order, j.ref)
-		j.first = u.w.now
+		j.submittedAt = u.w.now
 	}
 	j.sent = true
 	body := j.body
@@ -258,83 +258,83 @@
 		return s
 	}
 	j.retryAfter = 0
-	u.ask(j, 5*micros.Second, input, func(status int, body []byte) {
+	u.request(j, 5*micros.Second, input, func(status int, body []byte) {
 		switch status {
 		case 200, 201:
 			u.accepted(j, status)
-			u.hear(j, body)
+			u.receiveStatus(j, body)
 		case 400, 422:
 			j.refused = status
 			if j.accepted != 0 {
 				u.w.breakRule("forgotten", "%s: accepted, then answered %d", j.ref, status)
 			}
 		default:
-			if wait := u.comeBack(j); u.w.now+wait-j.first < 60*micros.Second {
+			if wait := u.retryDelay(j); u.w.now+wait-j.submittedAt < 60*micros.Second {
 				u.w.after(wait, func() { u.submit(j) })
 			}
 		}
 	})
-	if j.everywhere {
-		u.askElsewhere(j, input)
+	if j.submitsEverywhere {
+		u.submitElsewhere(j, input)
 	}
 }
 
 func (u *users) poll(j *userJob) {
-	if j.asked == 0 && (j.toldDone || j.cancelled != 0) && u.w.rng.IntN(3) > 0 {
+	if j.unansweredSince == 0 && (j.toldDone || j.cancelled != 0) && u.w.random.IntN(3) > 0 {
 		u.w.after(15*micros.Second, func() { u.poll(j) })
 		return
 	}
-	if j.asked == 0 {
-		j.asked = u.w.now
+	if j.unansweredSince == 0 {
+		j.unansweredSince = u.w.now
 	}
-	u.ask(j, 2*micros.Second, func(id messages.RequestID) messages.Input {
+	u.request(j, 2*micros.Second, func(id messages.RequestID) messages.Input {
 		return &messages.Lookup{Request: id, ID: j.ref}
 	}, func(status int, body []byte) {
 		switch status {
 		case 200:
-			u.hear(j, body)
+			u.receiveStatus(j, body)
 		case 404:
 			if j.accepted != 0 {
 				u.w.breakRule("forgotten", "%s: accepted, then answered 404", j.ref)
 			}
 		}
-		u.w.after(4500*micros.Millisecond+u.w.rng.Int64N(micros.Second), func() { u.poll(j) })
+		u.w.after(4500*micros.Millisecond+u.w.random.Int64N(micros.Second), func() { u.poll(j) })
 	})
 }
 
 func (u *users) cancel(j *userJob) {
-	j.wantCancel = true
-	u.ask(j, 5*micros.Second, func(id messages.RequestID) messages.Input {
+	j.cancelRequested = true
+	u.request(j, 5*micros.Second, func(id messages.RequestID) messages.Input {
 		return &messages.Cancel{Request: id, ID: j.ref}
 	}, func(status int, body []byte) {
 		if status == 200 {
-			u.hear(j, body)
+			u.receiveStatus(j, body)
 			return
 		}
 		if status == 404 && j.accepted != 0 {
 			u.w.breakRule("forgotten", "%s: accepted, then answered 404 when cancelled", j.ref)
 		}
-		u.w.after(micros.Second+u.w.rng.Int64N(micros.Second/2), func() { u.cancel(j) })
+		u.w.after(micros.Second+u.w.random.Int64N(micros.Second/2), func() { u.cancel(j) })
 	})
 }
 
-// stranger polls for a job that nobody submitted.
-func (u *users) stranger(ref string) {
-	u.ask(nil, 2*micros.Second, func(id messages.RequestID) messages.Input {
+// lookUpUnknown polls for a job that nobody submitted.
+func (u *users) lookUpUnknown(ref string) {
+	u.request(nil, 2*micros.Second, func(id messages.RequestID) messages.Input {
 		return &messages.Lookup{Request: id, ID: ref}
-	}, func(status int, _ []byte) { u.strangerTold(ref, status) })
+	}, func(status int, _ []byte) { u.checkUnknownLookup(ref, status) })
 }
 
-// strangerTold checks the answer to a question for a job that nobody submitted.
-func (u *users) strangerTold(ref string, status int) {
-	u.strange++
+// checkUnknownLookup checks the answer to a question for a job that nobody submitted.
+func (u *users) checkUnknownLookup(ref string, status int) {
+	u.unknownLookups++
 	if status == 200 && u.jobs[ref] == nil {
 		u.w.breakRule("invented", "%s: 200 for a job nobody submitted", ref)
 	}
 }
 
-// hear holds what a user is told against what it was told before and the truth.
-func (u *users) hear(j *userJob, body []byte) {
+// receiveStatus holds what a user is told against what it was told before and the truth.
+func (u *users) receiveStatus(j *userJob, body []byte) {
 	var s protocol.JobState
 	if json.Unmarshal(body, &s) != nil || s.Ref != j.ref {
 		u.w.breakRule("bench", "%s: bad answer %s", j.ref, body)
@@ -347,51 +347,51 @@
 		u.w.breakRule("went_back", "%s: cancelled, then %s", j.ref, s.Phase)
 	}
 	if s.Phase == "queued" || s.Phase == "running" {
-		if at := u.cancelledBefore(j, map[string]bool{}); at != 0 && u.w.now-max(at, j.first) > micros.FromSeconds(u.w.conf.Settings.Workers.CancelS) {
+		if at := u.dependencyCancelledAt(j, map[string]bool{}); at != 0 && u.w.now-max(at, j.submittedAt) > micros.FromSeconds(u.w.config.Settings.Workers.CancelS) {
 			u.w.breakRule("orphaned", "%s is called %s though a job before it was cancelled", j.ref, s.Phase)
 		}
 	}
-	j.lastPhase, j.asked = s.Phase, 0
+	j.lastPhase, j.unansweredSince = s.Phase, 0
 	switch s.Phase {
 	case "done":
 		if j.doneAt == 0 {
 			j.doneAt = u.w.now
-			u.lookClosely(j)
+			u.verifyReads(j)
 		}
 		j.toldDone = true
-		if len(j.done) < j.shards {
-			u.w.breakRule("not_done", "%s: told done with %d of %d tasks", j.ref, len(j.done), j.shards)
+		if len(j.done) < j.taskCount {
+			u.w.breakRule("not_done", "%s: told done with %d of %d tasks", j.ref, len(j.done), j.taskCount)
 		}
 	case "cancelled":
 		if j.cancelled == 0 {
 			j.cancelled = u.w.now
-			u.lookClosely(j)
+			u.verifyReads(j)
 		}
-		if !j.wantCancel && !u.cancelAskedBefore(j, map[string]bool{}) {
+		if !j.cancelRequested && !u.dependencyCancelRequested(j, map[string]bool{}) {
 			u.w.breakRule("went_back", "%s: cancelled, but not by its user", j.ref)
 		}
 	}
 }
 
-// started checks the rules for a start.
-func (u *users) started(m *machine, t *workerTask, n int) {
+// checkStart checks the rules for a start.
+func (u *users) checkStart(m *machine, t *agentTask, n int) {
 	u.startCount++
 	j := t.job
 	j.starts++
 	if j.firstStart == 0 {
 		j.firstStart = u.w.now
 	}
-	cancelS := micros.FromSeconds(u.w.conf.Settings.Workers.CancelS)
-	for _, ref := range j.waitsOn {
-		if n := u.jobs[ref]; n != nil && len(n.done) < n.shards {
+	cancelS := micros.FromSeconds(u.w.config.Settings.Workers.CancelS)
+	for _, ref := range j.dependencies {
+		if n := u.jobs[ref]; n != nil && len(n.done) < n.taskCount {
 			u.w.breakRule("too_early", "%s starts on %s before %s is done", t.id, m.name, ref)
 		}
 	}
 	if j.cancelled != 0 && u.w.now-j.cancelled > cancelS {
 		u.w.breakRule("ran_cancelled", "%s starts on %s", t.id, m.name)
 	}
-	if (m.spot && !j.loaners) || (j.berth != "" && j.berth != m.zone) || (j.hulls != nil && !contains(j.hulls, m.kind.name)) {
-		u.w.breakRule("wrong_place", "%s starts on %s: %s in %s, spot %v", t.id, m.name, m.kind.name, m.zone, m.spot)
+	if (m.spot && !j.spotAllowed) || (j.zone != "" && j.zone != m.zone) || (j.instanceTypes != nil && !contains(j.instanceTypes, m.instanceType.name)) {
+		u.w.breakRule("wrong_place", "%s starts on %s: %s in %s, spot %v", t.id, m.name, m.instanceType.name, m.zone, m.spot)
 	}
 	inZone := 0
 	for _, o := range u.w.cloud.sorted() {
@@ -412,8 +412,8 @@
 			}
 		}
 	}
-	if j.apart && inZone+1 > (j.shards+1)/2 {
-		u.w.breakRule("wrong_place", "%s: %d of %d tasks in %s", t.id, inZone+1, j.shards, m.zone)
+	if j.apart && inZone+1 > (j.taskCount+1)/2 {
+		u.w.breakRule("wrong_place", "%s: %d of %d tasks in %s", t.id, inZone+1, j.taskCount, m.zone)
 	}
 	use := 0.0
 	for _, o := range u.w.cloud.sorted() {
@@ -421,14 +421,14 @@
 			continue
 		}
 		for _, x := range o.tasks {
-			if x.on() && x.job.owner == j.owner {
+			if x.on() && x.job.team == j.team {
 				use += x.job.cores
 			}
 		}
 	}
-	for _, team := range u.w.conf.Settings.Teams {
-		if team.Name == j.owner && team.CPUsMax > 0 && use > team.CPUsMax+1e-6 {
-			u.w.breakRule("quota", "%s uses %v of %v cores", j.owner, use, team.CPUsMax)
+	for _, team := range u.w.config.Settings.Teams {
+		if team.Name == j.team && team.CPUsMax > 0 && use > team.CPUsMax+1e-6 {
+			u.w.breakRule("quota", "%s uses %v of %v cores", j.team, use, team.CPUsMax)
 		}
 	}
 }
@@ -442,26 +442,26 @@
 	return false
 }
 
-// forgottenAfter is how long after all troubles a job may go without an answer.
-const forgottenAfter = 75 * micros.Second
+// answerTimeout is how long after all troubles a job may go without an answer.
+const answerTimeout = 75 * micros.Second
 
-// watch checks, ten times a second, that cancelled tasks are gone in time, and
+// checkContinuously checks, ten times a second, that cancelled tasks are gone in time, and
 // counts replicas.
-func (u *users) watch() {
+func (u *users) checkContinuously() {
 	const every = 100 * micros.Millisecond
-	cancelS := micros.FromSeconds(u.w.conf.Settings.Workers.CancelS)
+	cancelS := micros.FromSeconds(u.w.config.Settings.Workers.CancelS)
 	if u.w.cloud != nil {
 		for _, m := range u.w.cloud.sorted() {
 			if m.gone {
 				continue
 			}
-			for _, id := range m.ids() {
+			for _, id := range m.sortedTaskKeys() {
 				t := m.tasks[id]
 				if !t.on() {
 					continue
 				}
 				if t.job.cancelled != 0 {
-					t.job.offAfter = u.w.now - t.job.cancelled
+					t.job.onMachineAfterCancel = u.w.now - t.job.cancelled
 				}
 				if t.job.cancelled != 0 && u.w.now-t.job.cancelled > cancelS {
 					u.w.breakRule("ran_cancelled", "%s is on %s", t.id, m.name)
@@ -472,20 +472,20 @@
 	}
 	for _, ref := range u.order {
 		j := u.jobs[ref]
-		if j.accepted != 0 && !j.lost && j.asked != 0 && u.w.now-max(j.asked, u.w.calm) > forgottenAfter {
-			j.lost = true
-			u.w.breakRule("forgotten", "%s: no question about it was answered since %.3f", ref, micros.Seconds(j.asked))
+		if j.accepted != 0 && !j.reportedForgotten && j.unansweredSince != 0 && u.w.now-max(j.unansweredSince, u.w.faultsOver) > answerTimeout {
+			j.reportedForgotten = true
+			u.w.breakRule("forgotten", "%s: no question about it was answered since %.3f", ref, micros.Seconds(j.unansweredSince))
 		}
 	}
 	if u.w.now%micros.Second < every {
-		u.watchRoom()
-		u.watchBlocks()
+		u.checkStarvation()
+		u.checkBlocks()
 	}
-	u.w.after(every, u.watch)
+	u.w.after(every, u.checkContinuously)
 }
 
-// parse reads a job from fields such as tasks=8 cores=4.
-func (u *users) parse(ref string, fields map[string]string) *userJob {
+// newJob reads a job from fields such as tasks=8 cores=4.
+func (u *users) newJob(ref string, fields map[string]string) *userJob {
 	num := func(k string, d float64) float64 {
 		if v, err := strconv.ParseFloat(fields[k], 64); err == nil {
 			return v
@@ -498,21 +498,21 @@
 		}
 		return d
 	}
-	j := &userJob{ref: ref, shape: str("shape", "array"), owner: str("team", u.w.conf.Settings.Teams[0].Name), shards: int(num("tasks", 1)),
-		cores: num("cores", 4), ram: num("ram", 4), bundle: str("image", "img-1"), sizeGB: num("size", 1), berth: fields["zone"],
-		oneZone: fields["one_zone"] != "", apart: fields["apart"] != "", loaners: fields["spot"] != "",
-		runs: micros.FromSeconds(num("runs", 20)), snapshotEvery: num("snapshot", 0), snapshotS: num("save", 0),
-		odd: num("odd", 1), mistaken: fields["mistaken"] != "", done: map[int]bool{}}
-	j.class, j.ignores, j.everywhere = str("class", "class-1"), fields["ignores"] != "", fields["everywhere"] != ""
+	j := &userJob{ref: ref, shape: str("shape", "array"), team: str("team", u.w.config.Settings.Teams[0].Name), taskCount: int(num("tasks", 1)),
+		cores: num("cores", 4), ram: num("ram", 4), image: str("image", "img-1"), imageGB: num("size", 1), zone: fields["zone"],
+		oneZone: fields["one_zone"] != "", apart: fields["apart"] != "", spotAllowed: fields["spot"] != "",
+		runTime: micros.FromSeconds(num("runs", 20)), checkpointInterval: num("snapshot", 0), checkpointS: num("save", 0),
+		thirdTaskFactor: num("third_task_factor", 1), alwaysFails: fields["always_fails"] != "", done: map[int]bool{}}
+	j.class, j.ignoresRetryAfter, j.submitsEverywhere = str("class", "class-1"), fields["ignores_retry_after"] != "", fields["submits_everywhere"] != ""
 	if v := fields["types"]; v != "" {
-		j.hulls = strings.Split(v, ",")
+		j.instanceTypes = strings.Split(v, ",")
 	}
-	b := map[string]any{"ref": ref, "jobclass": j.class, "owner": j.owner, "shape": j.shape, "rank": str("rank", "standard"),
-		"shards": j.shards, "cores": j.cores, "gpus": 0, "ram_gb": j.ram, "bundle": j.bundle, "size_gb": j.sizeGB, "hulls": j.hulls,
-		"berth": nil, "one_zone": j.oneZone, "apart": j.apart, "loaners": j.loaners, "expect_s": num("expect", micros.Seconds(j.runs)),
-		"snapshot_every_s": j.snapshotEvery, "snapshot_s": j.snapshotS, "due_s": nil, "surprise": true}
-	if j.berth != "" {
-		b["berth"] = j.berth
+	b := map[string]any{"ref": ref, "jobclass": j.class, "owner": j.team, "shape": j.shape, "rank": str("rank", "standard"),
+		"shards": j.taskCount, "cores": j.cores, "gpus": 0, "ram_gb": j.ram, "bundle": j.image, "size_gb": j.imageGB, "hulls": j.instanceTypes,
+		"berth": nil, "one_zone": j.oneZone, "apart": j.apart, "loaners": j.spotAllowed, "expect_s": num("expect", micros.Seconds(j.runTime)),
+		"snapshot_every_s": j.checkpointInterval, "snapshot_s": j.checkpointS, "due_s": nil, "surprise": true}
+	if j.zone != "" {
+		b["berth"] = j.zone
 	}
 	if d := num("due", 0); d > 0 {
 		b["due_s"] = d
@@ -520,23 +520,23 @@
 	if j.shape == "service" {
 		b["expect_s"] = 0
 	}
-	if j.hulls == nil {
+	if j.instanceTypes == nil {
 		b["hulls"] = nil
 	}
-	if v := fields["waits"]; v != "" {
-		j.waitsOn = refList(v)
-		b["waits_on"] = j.waitsOn
+	if v := fields["depends_on"]; v != "" {
+		j.dependencies = parseJobRefs(v)
+		b["waits_on"] = j.dependencies
 	}
 	j.body = encode(b)
 	return j
 }
 
-// open lists jobs that were accepted and are neither done nor cancelled.
-func (u *users) open() []string {
+// unfinished lists jobs that were accepted and are neither done nor cancelled.
+func (u *users) unfinished() []string {
 	var out []string
 	for _, ref := range u.order {
 		j := u.jobs[ref]
-		if j.accepted != 0 && !j.toldDone && j.cancelled == 0 && j.shape == "array" && !j.mistaken && u.cancelledBefore(j, map[string]bool{}) == 0 {
+		if j.accepted != 0 && !j.toldDone && j.cancelled == 0 && j.shape == "array" && !j.alwaysFails && u.dependencyCancelledAt(j, map[string]bool{}) == 0 {
 			out = append(out, ref)
 		}
 	}
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -13,58 +13,58 @@
 	"pipitlatch/internal/protocol"
 )
 
-type workerTask struct {
-	id     string
-	try    uint64
-	phase  string
-	cause  string
-	stored bool
-	job    *userJob
-	life   int
+type agentTask struct {
+	id           string
+	attempt      uint64
+	phase        string
+	cause        string
+	checkpointed bool
+	job          *userJob
+	generation   int
 }
 
 // machine is a rented machine with its worker agent.
 type machine struct {
-	w       *World
-	name    string
-	address string
-	kind    *machineType
-	zone    string
-	spot    bool
-	rented  micros.Time
-	speed   float64
-
-	booted  bool
-	gone    bool
-	goneAt  micros.Time
-	deleted bool
-	hung    bool
-	thaw    []func()
-	sick    bool
-	late    micros.Time // commands sent straight to it are delayed by up to this
-	recall  micros.Time // when it is taken; 0: no notice
-	off     bool        // between two runs of the worker
-	life    int         // counts them
-
-	mute      bool        // its reports reach nobody
-	stubborn  bool        // stops have no effect
-	keptUntil micros.Time // reports are kept until then, for the next holder
-	copies    int         // of every report
-	copyBy    micros.Time // copies of its reports come up to this late
-	copyUntil micros.Time // reports are copied until then
-
-	tenure   uint64
-	tick     uint64
-	warrant  uint64
-	answered micros.Time // when the last answered report was sent
-	steward  string      // node it reports to
-	inFlight bool
-	report   int // counts report timers
-	lastSent micros.Time
-	warned   micros.Time // last time a higher token counted as a change
-	tasks    map[string]*workerTask
-	images   []cachedImage          // most recently used last
-	arriving map[string]micros.Time // images being fetched: when they will be there
+	w            *World
+	name         string
+	address      string
+	instanceType *instanceType
+	zone         string
+	spot         bool
+	createdAt    micros.Time
+	speed        float64
+
+	booted           bool
+	gone             bool
+	goneAt           micros.Time
+	terminated       bool
+	hung             bool
+	whenResumed      []func()
+	faulty           bool
+	commandDelay     micros.Time // commands sent straight to it are delayed by up to this
+	preemptedAt      micros.Time // when it is taken; 0: no notice
+	agentDown        bool        // between two runs of the worker
+	agentIncarnation int         // counts them
+
+	outboundPartitioned bool        // its reports reach nobody
+	ignoresKills        bool        // stops have no effect
+	replayUntil         micros.Time // reports are kept until then, for the next holder
+	duplicates          int         // of every report
+	duplicateDelay      micros.Time // copies of its reports come up to this late
+	duplicateUntil      micros.Time // reports are copied until then
+
+	agentEpoch       uint64
+	sequence         uint64
+	fencingToken     uint64
+	acknowledgedAt   micros.Time // when the last answered report was sent
+	controller       string      // node it reports to
+	inFlight         bool
+	heartbeatTimer   int // counts report timers
+	lastHeartbeatAt  micros.Time
+	tokenAnnouncedAt micros.Time // last time a higher token counted as a change
+	tasks            map[string]*agentTask
+	images           []cachedImage          // most recently used last
+	imageArrivals    map[string]micros.Time // images being fetched: when they will be there
 }
 
 func (m *machine) boot() {
@@ -72,48 +72,48 @@
 		return
 	}
 	m.booted = true
-	m.tenure = 1
-	m.answered = m.w.now
-	m.steward = m.w.nodes[m.w.rng.IntN(len(m.w.nodes))].name
+	m.agentEpoch = 1
+	m.acknowledgedAt = m.w.now
+	m.controller = m.w.nodes[m.w.random.IntN(len(m.w.nodes))].name
 	m.watchLease()
-	m.sendReport()
+	m.sendHeartbeat()
 }
 
-// restart ends the worker and begins it anew under its old name: tenure, tick and
-// token start again.
+// restart ends the agent and begins it anew under its old name: agent epoch, sequence and
+// fencing token start again.
 func (m *machine) restart(back micros.Time) {
 	if m.gone || !m.booted {
 		return
 	}
-	m.off = true
-	m.life++
-	m.report++
-	m.tasks, m.images, m.arriving = map[string]*workerTask{}, nil, map[string]micros.Time{}
+	m.agentDown = true
+	m.agentIncarnation++
+	m.heartbeatTimer++
+	m.tasks, m.images, m.imageArrivals = map[string]*agentTask{}, nil, map[string]micros.Time{}
 	m.w.after(back, func() {
-		m.off, m.inFlight, m.hung, m.thaw = false, false, false, nil
-		m.tenure, m.tick, m.warrant, m.warned = 1, 0, 0, 0
-		m.answered = m.w.now
-		m.steward = m.w.nodes[m.w.rng.IntN(len(m.w.nodes))].name
-		m.do(m.sendReport)
+		m.agentDown, m.inFlight, m.hung, m.whenResumed = false, false, false, nil
+		m.agentEpoch, m.sequence, m.fencingToken, m.tokenAnnouncedAt = 1, 0, 0, 0
+		m.acknowledgedAt = m.w.now
+		m.controller = m.w.nodes[m.w.random.IntN(len(m.w.nodes))].name
+		m.run(m.sendHeartbeat)
 	})
 }
 
 func (m *machine) vanish() {
 	m.gone = true
 	m.goneAt = m.w.now
-	m.tasks = map[string]*workerTask{}
+	m.tasks = map[string]*agentTask{}
 }
 
-// do runs something on the machine: later, if it hangs.
-func (m *machine) do(run func()) {
-	if m.gone || m.off {
+// run runs something on the machine: later, if it hangs.
+func (m *machine) run(run func()) {
+	if m.gone || m.agentDown {
 		return
 	}
 	if m.hung {
-		m.thaw = append(m.thaw, run)
+		m.whenResumed = append(m.whenResumed, run)
 		return
 	}
-	m.expire()
+	m.expireLease()
 	run()
 }
 
@@ -121,23 +121,23 @@
 	m.hung = true
 	m.w.after(length, func() {
 		m.hung = false
-		late := m.thaw
-		m.thaw = nil
+		late := m.whenResumed
+		m.whenResumed = nil
 		for _, run := range late {
-			m.do(run)
+			m.run(run)
 		}
 	})
 }
 
-// expire ends the session if its lease has run out.
-func (m *machine) expire() {
-	if m.w.now-m.answered <= micros.FromSeconds(m.w.conf.Settings.Workers.LeaseS) {
+// expireLease ends the session if its lease has run out.
+func (m *machine) expireLease() {
+	if m.w.now-m.acknowledgedAt <= micros.FromSeconds(m.w.config.Settings.Workers.LeaseS) {
 		return
 	}
-	m.tasks = map[string]*workerTask{}
-	m.tenure++
-	m.tick = 0
-	m.answered = m.w.now
+	m.tasks = map[string]*agentTask{}
+	m.agentEpoch++
+	m.sequence = 0
+	m.acknowledgedAt = m.w.now
 }
 
 func (m *machine) watchLease() {
@@ -145,16 +145,16 @@
 		if m.gone {
 			return
 		}
-		if m.off {
+		if m.agentDown {
 			m.watchLease()
 			return
 		}
-		m.expire() // a hanging machine can only go on within its lease
+		m.expireLease() // a hanging machine can only go on within its lease
 		m.watchLease()
 	})
 }
 
-func (m *machine) ids() []string {
+func (m *machine) sortedTaskKeys() []string {
 	out := make([]string, 0, len(m.tasks))
 	for id := range m.tasks {
 		out = append(out, id)
@@ -165,7 +165,7 @@
 	return out
 }
 
-func (m *machine) runs(job string) bool {
+func (m *machine) runsTaskOf(job string) bool {
 	for _, t := range m.tasks {
 		if strings.HasPrefix(t.id, job+"/") && t.on() {
 			return true
@@ -175,83 +175,83 @@
 }
 
 // on tells whether the task counts as being on its machine.
-func (t *workerTask) on() bool { return t.phase == "running" || t.phase == "saving" }
+func (t *agentTask) on() bool { return t.phase == "running" || t.phase == "saving" }
 
-func (m *machine) body() []byte {
-	m.tick++
+func (m *machine) heartbeat() []byte {
+	m.sequence++
 	shards := []map[string]any{}
-	for _, id := range m.ids() {
+	for _, id := range m.sortedTaskKeys() {
 		t := m.tasks[id]
-		s := map[string]any{"shard": t.id, "try": t.try, "phase": t.phase}
+		s := map[string]any{"shard": t.id, "try": t.attempt, "phase": t.phase}
 		if t.phase == "exited" {
 			s["cause"] = t.cause
-			s["stored"] = t.stored
+			s["stored"] = t.checkpointed
 		}
 		shards = append(shards, s)
 	}
-	r := map[string]any{"host": m.name, "endpoint": m.address, "hull": m.kind.name, "berth": m.zone, "loaners": m.spot,
-		"tenure": m.tenure, "tick": m.tick, "warrant": m.warrant, "recall_s": nil, "shards": shards, "later_field": 1}
-	if m.recall > 0 {
-		r["recall_s"] = micros.Seconds(m.recall - m.w.now)
+	r := map[string]any{"host": m.name, "endpoint": m.address, "hull": m.instanceType.name, "berth": m.zone, "loaners": m.spot,
+		"tenure": m.agentEpoch, "tick": m.sequence, "warrant": m.fencingToken, "recall_s": nil, "shards": shards, "later_field": 1}
+	if m.preemptedAt > 0 {
+		r["recall_s"] = micros.Seconds(m.preemptedAt - m.w.now)
 	}
 	return encode(r)
 }
 
-func (m *machine) scheduleReport(in micros.Time) {
-	m.report++
-	n := m.report
+func (m *machine) scheduleHeartbeat(in micros.Time) {
+	m.heartbeatTimer++
+	n := m.heartbeatTimer
 	m.w.after(in, func() {
-		if n == m.report {
-			m.do(m.sendReport)
+		if n == m.heartbeatTimer {
+			m.run(m.sendHeartbeat)
 		}
 	})
 }
 
-// changed lets a report go out soon.
-func (m *machine) changed() {
+// heartbeatSoon lets a report go out soon.
+func (m *machine) heartbeatSoon() {
 	if !m.inFlight {
-		m.scheduleReport(max(0, m.lastSent+500*micros.Millisecond-m.w.now))
+		m.scheduleHeartbeat(max(0, m.lastHeartbeatAt+500*micros.Millisecond-m.w.now))
 	}
 }
 
-func (m *machine) regular() micros.Time {
-	return micros.FromSeconds(m.w.conf.Settings.Workers.ReportS * (0.75 + 0.5*m.w.rng.Float64()))
+func (m *machine) heartbeatInterval() micros.Time {
+	return micros.FromSeconds(m.w.config.Settings.Workers.ReportS * (0.75 + 0.5*m.w.random.Float64()))
 }
 
-func (m *machine) sendReport() {
+func (m *machine) sendHeartbeat() {
 	if m.inFlight {
 		return
 	}
 	w := m.w
 	m.inFlight = true
-	m.lastSent = w.now
-	sent, tenure, life, over := w.now, m.tenure, m.life, false
-	n := w.node(m.steward)
+	m.lastHeartbeatAt = w.now
+	sent, epoch, life, over := w.now, m.agentEpoch, m.agentIncarnation, false
+	n := w.node(m.controller)
 	end := func(status int, body []byte) {
-		if over || life != m.life {
+		if over || life != m.agentIncarnation {
 			return
 		}
 		over = true
-		m.do(func() { m.answerIn(sent, tenure, status, body) })
+		m.run(func() { m.receiveReply(sent, epoch, status, body) })
 	}
-	raw := m.body()
+	raw := m.heartbeat()
 	w.after(4*micros.Second, func() { end(0, nil) })
-	if w.post != nil {
-		w.post(m, raw, end)
+	if w.sendHeartbeat != nil {
+		w.sendHeartbeat(m, raw, end)
 		return
 	}
-	if m.mute {
+	if m.outboundPartitioned {
 		return // the connection is not made
 	}
-	if w.now < m.keptUntil && len(w.kept) < 1000 {
-		w.kept = append(w.kept, raw)
+	if w.now < m.replayUntil && len(w.replayedHeartbeats) < 1000 {
+		w.replayedHeartbeats = append(w.replayedHeartbeats, raw)
 	}
-	for range m.copies {
-		if w.now >= m.copyUntil {
+	for range m.duplicates {
+		if w.now >= m.duplicateUntil {
 			break
 		}
-		to := w.nodes[w.rng.IntN(len(w.nodes))]
-		w.after(w.rng.Int64N(int64(m.copyBy)), func() { to.copyOf(raw) })
+		to := w.nodes[w.random.IntN(len(w.nodes))]
+		w.after(w.random.Int64N(int64(m.duplicateDelay)), func() { to.receiveDuplicate(raw) })
 	}
 	w.send(m.name, n.name, func() {
 		if !n.up() {
@@ -263,7 +263,7 @@
 			w.breakRule("bench", "a report cannot be read: %v", err)
 			return
 		}
-		n.ask(func(id messages.RequestID) messages.Input {
+		n.request(func(id messages.RequestID) messages.Input {
 			return &messages.HeartbeatRequest{Request: id, Heartbeat: rep}
 		}, func(a messages.Response) {
 			status, body := 503, []byte(nil)
@@ -278,137 +278,137 @@
 	})
 }
 
-// copyOf hands in a copy of a report: nobody waits for the answer.
-func (n *node) copyOf(raw []byte) {
+// receiveDuplicate hands in a copy of a report: nobody waits for the answer.
+func (n *node) receiveDuplicate(raw []byte) {
 	if rep, err := protocol.ParseHeartbeat(raw); err == nil && n.up() {
-		n.ask(func(id messages.RequestID) messages.Input {
+		n.request(func(id messages.RequestID) messages.Input {
 			return &messages.HeartbeatRequest{Request: id, Heartbeat: rep}
 		}, func(messages.Response) {})
 	}
 }
 
-func (m *machine) answerIn(sent micros.Time, tenure uint64, status int, body []byte) {
+func (m *machine) receiveReply(sent micros.Time, epoch uint64, status int, body []byte) {
 	m.inFlight = false
 	nextNode := func() {
 		for i, n := range m.w.nodes {
-			if n.name == m.steward {
-				m.steward = m.w.nodes[(i+1)%len(m.w.nodes)].name
+			if n.name == m.controller {
+				m.controller = m.w.nodes[(i+1)%len(m.w.nodes)].name
 				break
 			}
 		}
-		m.scheduleReport(micros.Second)
+		m.scheduleHeartbeat(micros.Second)
 	}
 	switch status {
 	case 200:
 		var r struct {
-			Warrant uint64 `json:"warrant"`
-			Orders  []workerOrder
+			FencingToken uint64         `json:"warrant"`
+			Commands     []agentCommand `json:"orders"`
 		}
 		if json.Unmarshal(body, &r) != nil {
 			nextNode()
 			return
 		}
-		m.scheduleReport(m.regular())
-		if r.Warrant < m.warrant || tenure != m.tenure {
+		m.scheduleHeartbeat(m.heartbeatInterval())
+		if r.FencingToken < m.fencingToken || epoch != m.agentEpoch {
 			return // dropped; stays with this node
 		}
-		m.answered = max(m.answered, sent)
-		m.see(r.Warrant)
-		m.execute(r.Orders)
+		m.acknowledgedAt = max(m.acknowledgedAt, sent)
+		m.observeToken(r.FencingToken)
+		m.execute(r.Commands)
 	case 421:
 		var r struct {
-			Steward string `json:"steward"`
+			Controller string `json:"steward"`
 		}
 		_ = json.Unmarshal(body, &r)
-		if r.Steward == "" || r.Steward == m.steward || m.w.node(r.Steward) == nil {
+		if r.Controller == "" || r.Controller == m.controller || m.w.node(r.Controller) == nil {
 			nextNode()
 			return
 		}
-		m.steward = r.Steward
-		m.scheduleReport(m.w.rng.Int64N(500 * micros.Millisecond))
+		m.controller = r.Controller
+		m.scheduleHeartbeat(m.w.random.Int64N(500 * micros.Millisecond))
 	default:
 		nextNode()
 	}
 }
 
-func (m *machine) see(warrant uint64) {
-	if warrant > m.warrant {
-		m.warrant = warrant
-		if half := micros.FromSeconds(m.w.conf.Settings.Workers.LeaseS / 2); m.warned == 0 || m.w.now-m.warned > half {
-			m.warned = m.w.now
-			m.changed()
+func (m *machine) observeToken(token uint64) {
+	if token > m.fencingToken {
+		m.fencingToken = token
+		if half := micros.FromSeconds(m.w.config.Settings.Workers.LeaseS / 2); m.tokenAnnouncedAt == 0 || m.w.now-m.tokenAnnouncedAt > half {
+			m.tokenAnnouncedAt = m.w.now
+			m.heartbeatSoon()
 		}
 	}
 }
 
-type workerOrder struct {
-	Verb      string  `json:"verb"`
-	Shard     string  `json:"shard"`
-	Try       uint64  `json:"try"`
-	WindDownS float64 `json:"wind_down_s"`
+type agentCommand struct {
+	Operation    string  `json:"verb"`
+	Task         string  `json:"shard"`
+	Attempt      uint64  `json:"try"`
+	GracePeriodS float64 `json:"wind_down_s"`
 }
 
-// direct delivers what is sent straight to the worker.
-func (m *machine) direct(run func()) {
-	if m.late > 0 {
-		m.w.after(m.w.rng.Int64N(int64(m.late)), func() { m.do(run) })
+// deliverCommand delivers what is sent straight to the worker.
+func (m *machine) deliverCommand(run func()) {
+	if m.commandDelay > 0 {
+		m.w.after(m.w.random.Int64N(int64(m.commandDelay)), func() { m.run(run) })
 		return
 	}
-	m.do(run)
+	m.run(run)
 }
 
-func (m *machine) show(reply func(int, []byte)) {
-	m.direct(func() { reply(200, m.body()) })
+func (m *machine) serveStatus(reply func(int, []byte)) {
+	m.deliverCommand(func() { reply(200, m.heartbeat()) })
 }
 
-func (m *machine) commands(body []byte, reply func(int, []byte)) {
-	m.direct(func() {
+func (m *machine) serveCommands(body []byte, reply func(int, []byte)) {
+	m.deliverCommand(func() {
 		var r struct {
-			Warrant *uint64       `json:"warrant"`
-			Tenure  *uint64       `json:"tenure"`
-			Orders  []workerOrder `json:"orders"`
+			FencingToken *uint64        `json:"warrant"`
+			AgentEpoch   *uint64        `json:"tenure"`
+			Commands     []agentCommand `json:"orders"`
 		}
-		if json.Unmarshal(body, &r) != nil || r.Warrant == nil || r.Tenure == nil {
+		if json.Unmarshal(body, &r) != nil || r.FencingToken == nil || r.AgentEpoch == nil {
 			reply(400, nil)
 			return
 		}
-		if *r.Warrant < m.warrant || *r.Tenure != m.tenure {
-			reply(409, m.body())
+		if *r.FencingToken < m.fencingToken || *r.AgentEpoch != m.agentEpoch {
+			reply(409, m.heartbeat())
 			return
 		}
-		m.see(*r.Warrant)
-		m.execute(r.Orders)
-		reply(200, m.body())
+		m.observeToken(*r.FencingToken)
+		m.execute(r.Commands)
+		reply(200, m.heartbeat())
 	})
 }
 
-func (m *machine) execute(orders []workerOrder) {
+func (m *machine) execute(orders []agentCommand) {
 	for _, o := range orders {
-		key := o.Shard + "#" + strconv.FormatUint(o.Try, 10)
+		key := o.Task + "#" + strconv.FormatUint(o.Attempt, 10)
 		t := m.tasks[key]
-		switch o.Verb {
+		switch o.Operation {
 		case "run":
 			if t == nil {
-				m.runTask(key, o)
+				m.startTask(key, o)
 			}
 		case "kill":
-			if t == nil || t.phase == "exited" || m.stubborn {
+			if t == nil || t.phase == "exited" || m.ignoresKills {
 				continue
 			}
-			if t.phase == "running" && t.job.snapshotEvery > 0 && o.WindDownS >= t.job.snapshotS && o.WindDownS > 0 {
+			if t.phase == "running" && t.job.checkpointInterval > 0 && o.GracePeriodS >= t.job.checkpointS && o.GracePeriodS > 0 {
 				t.phase = "saving"
-				life := t.life
-				m.w.after(micros.FromSeconds(t.job.snapshotS), func() {
-					m.do(func() {
-						if m.tasks[key] == t && t.life == life && t.phase == "saving" {
-							t.stored = true
-							m.exit(t, "stopped")
+				life := t.generation
+				m.w.after(micros.FromSeconds(t.job.checkpointS), func() {
+					m.run(func() {
+						if m.tasks[key] == t && t.generation == life && t.phase == "saving" {
+							t.checkpointed = true
+							m.exitTask(t, "stopped")
 						}
 					})
 				})
 				continue
 			}
-			m.exit(t, "stopped")
+			m.exitTask(t, "stopped")
 		case "forget":
 			if t != nil && t.phase == "exited" {
 				delete(m.tasks, key)
@@ -417,24 +417,24 @@
 	}
 }
 
-func (m *machine) exit(t *workerTask, cause string) {
+func (m *machine) exitTask(t *agentTask, cause string) {
 	t.phase, t.cause = "exited", cause
-	t.life++
-	m.changed()
+	t.generation++
+	m.heartbeatSoon()
 }
 
-func (m *machine) runTask(key string, o workerOrder) {
-	i := strings.LastIndexByte(o.Shard, '/')
-	n, _ := strconv.Atoi(o.Shard[i+1:])
-	j := m.w.users.jobs[o.Shard[:i]]
-	t := &workerTask{id: o.Shard, try: o.Try, phase: "exited", cause: "unknown", job: j}
+func (m *machine) startTask(key string, o agentCommand) {
+	i := strings.LastIndexByte(o.Task, '/')
+	n, _ := strconv.Atoi(o.Task[i+1:])
+	j := m.w.users.jobs[o.Task[:i]]
+	t := &agentTask{id: o.Task, attempt: o.Attempt, phase: "exited", cause: "unknown", job: j}
 	m.tasks[key] = t
-	defer m.changed()
-	if j == nil || n < 0 || n >= j.shards || !j.sent {
+	defer m.heartbeatSoon()
+	if j == nil || n < 0 || n >= j.taskCount || !j.sent {
 		return
 	}
-	cores, ram := m.kind.cores-j.cores, m.kind.ram-j.ram
-	for _, id := range m.ids() { // in order: a sum of fractions depends on it
+	cores, ram := m.instanceType.cores-j.cores, m.instanceType.ramGB-j.ram
+	for _, id := range m.sortedTaskKeys() { // in order: a sum of fractions depends on it
 		other := m.tasks[id]
 		if other == t || other.phase == "exited" {
 			continue
@@ -452,17 +452,17 @@
 	}
 	t.phase, t.cause = "fetching", ""
 	fetch := m.fetchTime(j)
-	life := t.life
+	life := t.generation
 	m.w.after(fetch, func() {
-		m.do(func() {
-			if m.tasks[key] != t || t.life != life || t.phase != "fetching" {
+		m.run(func() {
+			if m.tasks[key] != t || t.generation != life || t.phase != "fetching" {
 				return
 			}
-			m.cache(j)
+			m.cacheImage(j)
 			t.phase = "running"
-			m.w.users.started(m, t, n)
-			m.changed()
-			m.runOut(key, t, n)
+			m.w.users.checkStart(m, t, n)
+			m.heartbeatSoon()
+			m.finishTaskLater(key, t, n)
 		})
 	})
 }
@@ -475,58 +475,58 @@
 
 // fetchTime is how long a task waits for its image: one fetch serves all that wait.
 func (m *machine) fetchTime(j *userJob) micros.Time {
-	if slices.ContainsFunc(m.images, func(c cachedImage) bool { return c.name == j.bundle }) {
+	if slices.ContainsFunc(m.images, func(c cachedImage) bool { return c.name == j.image }) {
 		return 0
 	}
-	if m.arriving[j.bundle] <= m.w.now {
-		m.arriving[j.bundle] = m.w.now + micros.FromSeconds(j.sizeGB/m.kind.fetch)
+	if m.imageArrivals[j.image] <= m.w.now {
+		m.imageArrivals[j.image] = m.w.now + micros.FromSeconds(j.imageGB/m.instanceType.fetchGBPerSecond)
 	}
-	return m.arriving[j.bundle] - m.w.now
+	return m.imageArrivals[j.image] - m.w.now
 }
 
-// cache keeps the images that were used last.
-func (m *machine) cache(j *userJob) {
-	m.images = slices.DeleteFunc(m.images, func(c cachedImage) bool { return c.name == j.bundle })
-	m.images = append(m.images, cachedImage{j.bundle, j.sizeGB})
+// cacheImage keeps the images that were used last.
+func (m *machine) cacheImage(j *userJob) {
+	m.images = slices.DeleteFunc(m.images, func(c cachedImage) bool { return c.name == j.image })
+	m.images = append(m.images, cachedImage{j.image, j.imageGB})
 	sum := 0.0
 	for _, c := range m.images {
 		sum += c.gb
 	}
-	for ; sum > m.kind.cache && len(m.images) > 1; m.images = m.images[1:] {
+	for ; sum > m.instanceType.cacheGB && len(m.images) > 1; m.images = m.images[1:] {
 		sum -= m.images[0].gb
 	}
 }
 
-func (m *machine) runOut(key string, t *workerTask, n int) {
+func (m *machine) finishTaskLater(key string, t *agentTask, n int) {
 	j := t.job
-	life := t.life
-	length := micros.Time(float64(j.runs) * m.speed)
+	life := t.generation
+	length := micros.Time(float64(j.runTime) * m.speed)
 	if n%3 == 2 {
-		length = micros.Time(float64(length) * j.odd)
+		length = micros.Time(float64(length) * j.thirdTaskFactor)
 	}
 	switch {
 	case j.done[n]:
 		length = 0
-	case m.sick || j.mistaken:
+	case m.faulty || j.alwaysFails:
 		length = micros.Second
 	case j.shape == "service":
 		return
 	}
-	failing := m.sick || j.mistaken
+	failing := m.faulty || j.alwaysFails
 	m.w.after(length, func() {
-		m.do(func() {
-			if m.tasks[key] != t || t.life != life || t.phase != "running" {
+		m.run(func() {
+			if m.tasks[key] != t || t.generation != life || t.phase != "running" {
 				return
 			}
 			if failing && !j.done[n] {
-				m.exit(t, "error")
+				m.exitTask(t, "error")
 				return
 			}
 			j.done[n] = true
-			if u := m.w.users; len(j.done) == j.shards && m.w.now < u.cancelUntil && m.w.rng.Float64() < u.cancelShare {
+			if u := m.w.users; len(j.done) == j.taskCount && m.w.now < u.cancelUntil && m.w.random.Float64() < u.cancelShare {
 				u.cancel(j)
 			}
-			m.exit(t, "done")
+			m.exitTask(t, "done")
 		})
 	})
 }
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -15,9 +15,9 @@
 )
 
 type event struct {
-	at  micros.Time
-	seq int
-	run func()
+	at       micros.Time
+	sequence int
+	run      func()
 }
 
 type events []*event
@@ -25,7 +25,7 @@
 // Len is part of heap.Interface, like the methods that follow.
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || (e[i].at == e[j].at && e[i].seq < e[j].seq)
+	return e[i].at < e[j].at || (e[i].at == e[j].at && e[i].sequence < e[j].sequence)
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
@@ -43,46 +43,46 @@
 // cut is an interruption between two hosts, or between one host and all others. An
 // end may be a zone, with all that is in it now or later.
 type cut struct {
-	a, b string // b "": everybody
-	hold bool   // packets are delivered afterwards, instead of never
-	into bool   // only packets to a are lost
-	held []func()
+	a, b    string // b "": everybody
+	hold    bool   // packets are delivered afterwards, instead of never
+	inbound bool   // only packets to a are lost
+	held    []func()
 }
 
 // World is the simulated deployment.
 type World struct {
-	now      micros.Time
-	queue    events
-	seq      int
-	rng      *rand.Rand
-	conf     *config.Config
-	nodes    []*node
-	state    *stateService
-	cloud    *cloud
-	users    *users
-	cuts     []*cut
-	vain     int         // starts sent into a cut
-	calm     micros.Time // when the last trouble so far is over
-	unknown  micros.Time // the longest that a holder did not know all its machines
-	taken    int         // how often a queue got a holder
-	verdicts verdicts
-	kept     [][]byte // reports whose copies come to the next holder
-
-	distance micros.Time // between zones, one way
-	zoned    bool        // controllers are in zones too
-	broken   []string
-	logf     func(string, ...any)
-	digest   *digest // of what leaves the nodes; nil: none
+	now                   micros.Time
+	queue                 events
+	eventSequence         int
+	random                *rand.Rand
+	config                *config.Config
+	nodes                 []*node
+	store                 *keyValueStore
+	cloud                 *cloud
+	users                 *users
+	cuts                  []*cut
+	startsIntoCuts        int         // starts sent into a cut
+	faultsOver            micros.Time // when the last trouble so far is over
+	longestReconciliation micros.Time // the longest that a holder did not know all its machines
+	failovers             int         // how often a queue got a holder
+	verdicts              verdicts
+	replayedHeartbeats    [][]byte // reports whose copies come to the next holder
+
+	interZoneDelay micros.Time // between zones, one way
+	zoned          bool        // controllers are in zones too
+	broken         []string
+	logf           func(string, ...any)
+	digest         *digest // of what leaves the nodes; nil: none
 
 	// With controllers that are real processes: how a worker's report is sent, and
 	// the address it listens at.
-	post   func(m *machine, report []byte, end func(status int, body []byte))
-	listen func(*machine) string
+	sendHeartbeat func(m *machine, report []byte, end func(status int, body []byte))
+	listenAddress func(*machine) string
 }
 
 func (w *World) after(d micros.Time, run func()) {
-	w.seq++
-	heap.Push(&w.queue, &event{w.now + d, w.seq, run})
+	w.eventSequence++
+	heap.Push(&w.queue, &event{w.now + d, w.eventSequence, run})
 }
 
 // run plays until a time.
@@ -105,23 +105,23 @@
 // cutBetween finds what keeps packets from a from reaching b.
 func (w *World) cutBetween(a, b string) *cut {
 	for _, c := range w.cuts {
-		if w.cutOff(c, b, a) || (!c.into && w.cutOff(c, a, b)) {
+		if w.separatedBy(c, b, a) || (!c.inbound && w.separatedBy(c, a, b)) {
 			return c
 		}
 	}
 	return nil
 }
 
-// cutOff tells whether one host is on the one side of a cut and the other on the other.
-func (w *World) cutOff(c *cut, one, other string) bool {
+// separatedBy tells whether one host is on the one side of a cut and the other on the other.
+func (w *World) separatedBy(c *cut, one, other string) bool {
 	if c.b == "" {
-		return w.at(c.a, one) && !w.at(c.a, other)
+		return w.hostIsAt(c.a, one) && !w.hostIsAt(c.a, other)
 	}
-	return w.at(c.a, one) && w.at(c.b, other)
+	return w.hostIsAt(c.a, one) && w.hostIsAt(c.b, other)
 }
 
-// at tells whether a host is at an end of a cut: the host itself, or its zone.
-func (w *World) at(end, host string) bool {
+// hostIsAt tells whether a host is at an end of a cut: the host itself, or its zone.
+func (w *World) hostIsAt(end, host string) bool {
 	zone, ok := strings.CutPrefix(end, "zone-")
 	return end == host || (ok && w.zoneOf(host) == zone)
 }
@@ -129,7 +129,7 @@
 // zoneOf is a host's zone; the state service, the cloud and users are in none.
 func (w *World) zoneOf(host string) string {
 	if n := w.node(host); n != nil {
-		return n.conf.Zone
+		return n.config.Zone
 	}
 	if m := w.cloud.machines[host]; m != nil {
 		return m.zone
@@ -145,10 +145,10 @@
 		}
 		return
 	}
-	delay := 200 + w.rng.Int64N(300)
-	if w.distance > 0 {
+	delay := 200 + w.random.Int64N(300)
+	if w.interZoneDelay > 0 {
 		if a, b := w.zoneOf(from), w.zoneOf(to); a != "" && b != "" && a != b {
-			delay += w.distance
+			delay += w.interZoneDelay
 		}
 	}
 	w.after(delay, run)
@@ -164,27 +164,27 @@
 			}
 		}
 		for _, run := range c.held {
-			w.after(w.rng.Int64N(5*micros.Millisecond), run)
+			w.after(w.random.Int64N(5*micros.Millisecond), run)
 		}
 	})
 }
 
 // node is one controller.
 type node struct {
-	w       *World
-	name    string
-	conf    *config.Config
-	next    *config.Config // the same with smaller limits to come
-	core    *coordination.Core
-	life    int // counts processes
-	paused  bool
-	inbox   []messages.Input // while paused
-	wakeSeq int
-	drift   float64
-	skew    micros.Time
-	calling int // direct calls to workers that are out
-	nextReq messages.RequestID
-	waiting map[messages.RequestID]func(messages.Response)
+	w                  *World
+	name               string
+	config             *config.Config
+	nextConfig         *config.Config // the same with smaller limits to come
+	core               *coordination.Core
+	incarnation        int // counts processes
+	paused             bool
+	inbox              []messages.Input // while paused
+	wakeSequence       int
+	drift              float64
+	skew               micros.Time
+	agentCallsInFlight int // direct calls to workers that are out
+	lastRequestID      messages.RequestID
+	pendingRequests    map[messages.RequestID]func(messages.Response)
 }
 
 func (n *node) up() bool { return n.core != nil }
@@ -193,15 +193,15 @@
 	if n.core != nil {
 		return
 	}
-	n.life++
-	n.core = coordination.New(n.conf, fmt.Sprintf("%s.%d", n.name, n.life))
-	n.waiting = map[messages.RequestID]func(messages.Response){}
-	n.paused, n.inbox, n.calling = false, nil, 0
+	n.incarnation++
+	n.core = coordination.New(n.config, fmt.Sprintf("%s.%d", n.name, n.incarnation))
+	n.pendingRequests = map[messages.RequestID]func(messages.Response){}
+	n.paused, n.inbox, n.agentCallsInFlight = false, nil, 0
 	n.step()
 }
 
 func (n *node) crash() {
-	n.life++
+	n.incarnation++
 	n.core = nil
 }
 
@@ -218,65 +218,65 @@
 	steady := micros.Time(float64(w.now)*n.drift) + 1
 	out := n.core.Step(steady, 1_800_000_000*micros.Second+w.now+n.skew, in...)
 	for _, l := range out.LogRecords {
-		n.hear(l)
+		n.observeLog(l)
 	}
 	for _, a := range out.Responses {
 		w.digest.answer(n, &a)
-		if then := n.waiting[a.Request]; then != nil {
-			delete(n.waiting, a.Request)
+		if then := n.pendingRequests[a.Request]; then != nil {
+			delete(n.pendingRequests, a.Request)
 			then(a)
 		}
 	}
 	for i := range out.StoreCalls {
-		n.callState(out.StoreCalls[i])
+		n.callStore(out.StoreCalls[i])
 	}
 	for i := range out.CloudCalls {
 		n.callCloud(out.CloudCalls[i])
 	}
 	for i := range out.AgentCalls {
-		n.callWorker(out.AgentCalls[i])
+		n.callAgent(out.AgentCalls[i])
 	}
 	for _, p := range out.PeerMessages {
-		n.tell(p)
+		n.sendPeerMessage(p)
 	}
-	n.wakeSeq++
-	seq, life := n.wakeSeq, n.life
+	n.wakeSequence++
+	seq, life := n.wakeSequence, n.incarnation
 	w.after(max(micros.Millisecond, out.NextTick-steady), func() {
-		if n.life == life && n.wakeSeq == seq {
+		if n.incarnation == life && n.wakeSequence == seq {
 			n.step()
 		}
 	})
 }
 
-// hear takes what a controller logs: some of it is held against the rules, or counted.
-func (n *node) hear(l messages.LogRecord) {
+// observeLog takes what a controller logs: some of it is held against the rules, or counted.
+func (n *node) observeLog(l messages.LogRecord) {
 	w := n.w
 	switch {
 	case l.Message == "duplicate task attempt":
 		w.breakRule("conflict", "%s: %v", n.name, l.Attributes)
 	case l.Message == "partition leadership acquired":
-		w.taken++
-		kept := w.kept
-		w.kept = nil
+		w.failovers++
+		kept := w.replayedHeartbeats
+		w.replayedHeartbeats = nil
 		for _, raw := range kept {
 			for _, o := range w.nodes {
-				w.after(w.rng.Int64N(300*micros.Millisecond), func() { o.copyOf(raw) })
+				w.after(w.random.Int64N(300*micros.Millisecond), func() { o.receiveDuplicate(raw) })
 			}
 		}
 	case l.Message == "all machines reconciled" && len(l.Attributes) == 4:
 		if ms, ok := l.Attributes[3].(micros.Time); ok {
-			w.unknown = max(w.unknown, ms*micros.Millisecond)
+			w.longestReconciliation = max(w.longestReconciliation, ms*micros.Millisecond)
 		}
 	}
-	w.hearLog(l)
+	w.observeAdmissionLog(l)
 	w.logf("%10.3f %s %s %v", micros.Seconds(w.now), n.name, l.Message, l.Attributes)
 }
 
-func (n *node) callState(c messages.StoreCall) {
+func (n *node) callStore(c messages.StoreCall) {
 	req := protocol.EncodeStoreRequest(c.Request)
 	n.w.digest.request(n, "state", req, c.Timeout)
-	n.call("state", c.Timeout, func(reply func(int, []byte)) {
-		n.w.state.handle(n.name, req, reply)
+	n.call("store", c.Timeout, func(reply func(int, []byte)) {
+		n.w.store.handle(n.name, req, reply)
 	}, func(status int, body []byte) {
 		r, _ := protocol.DecodeStoreReply(c.Request.Kind, status, body)
 		n.step(&messages.StoreCompletion{Call: c.Call, Reply: r})
@@ -294,7 +294,7 @@
 	})
 }
 
-func (n *node) callWorker(c messages.AgentCall) {
+func (n *node) callAgent(c messages.AgentCall) {
 	w := n.w
 	body := protocol.EncodeCommands(&c)
 	w.digest.command(n, &c, body)
@@ -306,30 +306,30 @@
 	if w.cutBetween(n.name, target) != nil {
 		for _, cmd := range c.Commands {
 			if cmd.Operation == messages.Start {
-				w.vain++
+				w.startsIntoCuts++
 			}
 		}
 	}
-	if n.calling++; n.calling > n.conf.Sockets().Calls {
-		w.breakRule("sockets", "%s: %d calls to workers at once", n.name, n.calling)
+	if n.agentCallsInFlight++; n.agentCallsInFlight > n.config.Sockets().Calls {
+		w.breakRule("sockets", "%s: %d calls to workers at once", n.name, n.agentCallsInFlight)
 	}
 	n.call(target, c.Timeout, func(reply func(int, []byte)) {
 		if m == nil || m.gone || !m.booted {
 			return
 		}
 		if c.StatusOnly {
-			m.show(reply)
+			m.serveStatus(reply)
 		} else {
-			m.commands(body, reply)
+			m.serveCommands(body, reply)
 		}
 	}, func(status int, body []byte) {
-		n.calling--
+		n.agentCallsInFlight--
 		n.step(&messages.AgentCompletion{Call: c.Call, Reply: protocol.DecodeAgent(status, body)})
 	})
 }
 
-// tell sends a message to a sibling, over the wire's form.
-func (n *node) tell(p messages.PeerMessage) {
+// sendPeerMessage sends a message to a peer, over the wire's form.
+func (n *node) sendPeerMessage(p messages.PeerMessage) {
 	raw := protocol.EncodePeerStatus(p.Status)
 	n.w.digest.status(n, p, raw)
 	o := n.w.node(p.To)
@@ -345,9 +345,9 @@
 
 // call sends a request and hands in the answer, or status 0 after the timeout.
 func (n *node) call(to string, timeout micros.Time, handle func(reply func(int, []byte)), done func(int, []byte)) {
-	w, life, over := n.w, n.life, false
+	w, life, over := n.w, n.incarnation, false
 	finish := func(status int, body []byte) {
-		if n.life == life && !over {
+		if n.incarnation == life && !over {
 			over = true
 			done(status, body)
 		}
@@ -360,14 +360,14 @@
 	})
 }
 
-// ask hands a request in and calls then with the answer.
-func (n *node) ask(input func(messages.RequestID) messages.Input, then func(messages.Response)) {
+// request hands a request in and calls then with the answer.
+func (n *node) request(input func(messages.RequestID) messages.Input, then func(messages.Response)) {
 	if n.core == nil {
 		return
 	}
-	n.nextReq++
-	n.waiting[n.nextReq] = then
-	n.step(input(n.nextReq))
+	n.lastRequestID++
+	n.pendingRequests[n.lastRequestID] = then
+	n.step(input(n.lastRequestID))
 }
 
 func (w *World) node(name string) *node {
@@ -379,8 +379,8 @@
 	return nil
 }
 
-// holder is the node that some machines obey now, for scenarios that aim at it.
-func (w *World) holder() *node {
+// partitionLeader is the node that some machines obey now, for scenarios that aim at it.
+func (w *World) partitionLeader() *node {
 	best, most := w.nodes[0], -1
 	for _, n := range w.nodes {
 		if n.core == nil {
@@ -388,7 +388,7 @@
 		}
 		count := 0
 		for _, m := range w.cloud.sorted() {
-			if !m.gone && m.steward == n.name {
+			if !m.gone && m.controller == n.name {
 				count++
 			}
 		}
--- a/internal/scenario/writes_test.go
+++ b/internal/scenario/writes_test.go
@@ -48,7 +48,7 @@
 		for k := range method.Type().NumIn() {
 			args = append(args, reflect.Zero(method.Type().In(k)))
 		}
-		kinds[name] = keyKind(method.Call(args)[0].String())
+		kinds[name] = recordKind(method.Call(args)[0].String())
 	}
 	return kinds
 }
@@ -64,30 +64,30 @@
 	}
 	largest := map[string]writeSize{}
 	for name, text := range map[string]string{
-		"arrays and lists": `cluster seed=5 next=yes cloud_rps=20 memory=0.5 lease=6 cancel=20 report=1 rps=300 write_rps=60
-type small cores=4 ram=32 room=160 spot_room=10 boot=10
-type large n=30 cores=64 ram=512 room=1 spot_room=0 boot=10
+		"arrays and lists": `cluster seed=5 next=yes cloud_rps=20 memory=0.5 lease=6 cancel=20 heartbeat=1 rps=300 write_rps=60
+type small cores=4 ram=32 capacity=160 spot_capacity=10 boot=10
+type large n=30 cores=64 ram=512 capacity=1 spot_capacity=0 boot=10
 machine small n=60 zone=a
-at 0 state limits write_rps=60
+at 0 store limits write_rps=60
 at 0 submit wk-000001 jobs=2 shape=service rank=production cores=4 types=small
 at 0 submit wk-000005 jobs=2 tasks=70 cores=4 runs=30 types=small
-at 5 submit wk-000010 tasks=1030 cores=0.1 ram=0.1 runs=4 odd=20
+at 5 submit wk-000010 tasks=1030 cores=0.1 ram=0.1 runs=4 third_task_factor=20
 at 5 submit wk-001000 jobs=400 every=0.1 cores=0.1 ram=0.1 runs=60
-at 48 submit wk-002000 tasks=2 cores=1 ram=1 runs=3 waits=wk-001000..1399
-at 48 submit wk-002001 tasks=2 cores=1 ram=1 runs=3 waits=wk-001000..1136
-at 50 submit wk-000011 tasks=1030 cores=0.1 ram=0.1 runs=4 odd=20
+at 48 submit wk-002000 tasks=2 cores=1 ram=1 runs=3 depends_on=wk-001000..1399
+at 48 submit wk-002001 tasks=2 cores=1 ram=1 runs=3 depends_on=wk-001000..1136
+at 50 submit wk-000011 tasks=1030 cores=0.1 ram=0.1 runs=4 third_task_factor=20
 at 60 cancel wk-000011
-at 100 crash holder back=2
+at 100 crash partition-leader back=2
 until 400`,
 		"many flows": `cluster seed=5 next=yes fair=yes connections=2000 write_rps=18 teams=alpha:0:0,beta:0:0,gamma:0:0
-type small cores=8 ram=32 room=6 spot_room=0 boot=5 fetch=5
-at 0 state limits write_rps=18
+type small cores=8 ram=32 capacity=6 spot_capacity=0 boot=5 fetch=5
+at 0 store limits write_rps=18
 at 10 submit wk-001000 jobs=900 every=0.03 class=a classes=70 cores=1 ram=1 runs=1 team=alpha
 at 10 submit wk-002000 jobs=900 every=0.03 class=b classes=50 cores=1 ram=1 runs=1 team=beta
 until 60`,
 		"one catalog": `cluster seed=5 next=yes
-type small n=12 cores=8 ram=32 room=2 spot_room=2
-at 0 state limits
+type small n=12 cores=8 ram=32 capacity=2 spot_capacity=2
+at 0 store limits
 at 0 submit wk-000001 jobs=2 tasks=4 cores=4 runs=10
 until 120`,
 	} {
@@ -95,12 +95,12 @@
 		for _, b := range w.broken {
 			t.Errorf("%s: rule broken: %s", name, b)
 		}
-		if w.state.tooLarge > 0 {
-			t.Errorf("%s: %d requests were refused for their size", name, w.state.tooLarge)
+		if w.store.tooLarge > 0 {
+			t.Errorf("%s: %d requests were refused for their size", name, w.store.tooLarge)
 		}
-		for kind, size := range w.state.largest {
+		for kind, size := range w.store.largest {
 			had := largest[kind]
-			largest[kind] = writeSize{max(had.operations, size.operations), max(had.conditions, size.conditions), max(had.value, size.value), max(had.body, size.body)}
+			largest[kind] = writeSize{max(had.operations, size.operations), max(had.compares, size.compares), max(had.value, size.value), max(had.body, size.body)}
 		}
 	}
 	for _, kind := range slices.Sorted(maps.Keys(largest)) {
@@ -123,7 +123,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, _, err := playOnce("", lines, uint64(lines[0].num("seed", 1)), func(string, ...any) {})
+	w, _, err := playOnce("", lines, uint64(lines[0].number("seed", 1)), func(string, ...any) {})
 	if err != nil {
 		t.Fatal(err)
 	}
