--- a/internal/coordination/completion.go
+++ b/internal/coordination/completion.go
@@ -128,3 +128,13 @@
 func segmentWritten(written map[int]*workload.Bitmap, task int) bool {
 	return bitmapHas(written[workload.Segment(task, false)], task) || bitmapHas(written[workload.Segment(task, true)], task)
 }
+
+// completionState is what is to be written down about completed tasks.
+type completionState struct {
+	unpersisted   *workload.Bitmap // completed, not known to be stored
+	dirtySegments map[int]bool     // segments with unpersisted tasks
+	writeInFlight bool
+	nextWriteAt   micros.Time
+}
+
+func bitmapHas(s *workload.Bitmap, t int) bool { return s != nil && s.Has(t) }
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -371,3 +371,13 @@
 	}
 	return micros.FromSeconds(gb * float64(n) / sum)
 }
+
+// dependencyState is what is still to be found out and written down about jobs that depend on
+// others.
+type dependencyState struct {
+	unresolved      map[string]micros.Time // dependencies that are not cached, and when to look them up again
+	lookupsInFlight int
+	cancelled       map[string]bool // jobs cancelled with a dependency, which is to be written down
+	writeInFlight   bool
+	nextWriteAt     micros.Time
+}
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -104,41 +104,6 @@
 		m.lifecycle.preemptAt == 0 && m.address != "" && m.contact.FailedCalls() == 0 && p.core.now-m.contact.LastContact() < p.suspicionTimeout()*3/4 && p.sinceLastRenewal(m) < p.core.config.AgentLease()/2
 }
 
-func (p *partitionLeader) tick() {
-	now := p.core.now
-	if now-p.lastTick > micros.Second {
-		// This process did not run for a while: the silence was ours.
-		p.detector.RestartSilence(now)
-		for _, m := range p.machines {
-			m.contact.DiscountSilence(now - p.suspicionTimeout()/2)
-		}
-	}
-	for _, m := range p.machines {
-		if m.record.Spot && m.agent.HeardFrom() && m.drain.reason == notDraining {
-			p.core.spot.time += now - p.lastTick
-		}
-	}
-	p.lastTick = now
-	p.checkZones()
-	p.detector.UpdateNetworkSuspicion(now)
-	if !p.core.term.Valid(now) {
-		return
-	}
-	for _, m := range slices.Clone(p.machines) {
-		p.checkMachine(m)
-	}
-	p.drainOverdueKills()
-	p.sendProbes()
-	p.persistMachineUse()
-	for _, j := range p.sortedJobs {
-		p.persistCompleted(j)
-	}
-	p.lookUpDependencies()
-	p.persistDependencyCancellations()
-	p.schedule()
-	p.sendCommands()
-}
-
 func (p *partitionLeader) checkMachine(m *machine) {
 	now := p.core.now
 	if m.instanceType == nil && p.core.catalog != nil {
