--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -50,11 +50,8 @@
 		pendingTasks:   workload.NewBitmap(tasks),
 		activeAttempts: map[int]*attempt{},
 		attempts:       map[*attempt]struct{}{},
-		completion: completionState{
-			unpersisted:   workload.NewBitmap(tasks),
-			dirtySegments: map[int]bool{},
-		},
-		preemptedOnce: workload.NewBitmap(tasks),
+		completion:     newCompletionState(tasks),
+		preemptedOnce:  workload.NewBitmap(tasks),
 	}
 	for t := range tasks {
 		if !j.taskCompleted(t) {
@@ -68,22 +65,11 @@
 
 // taskCompleted tells whether a task is completed, stored or not.
 func (j *job) taskCompleted(task int) bool {
-	return j.completion.unpersisted.Has(task) || (j.record.Completed != nil && j.record.Completed.Has(task))
+	return j.completion.taskCompleted(task, j.record.Completed)
 }
 
 // completedCount is how many tasks are completed, stored or not.
-func (j *job) completedCount() int {
-	n := j.completion.unpersisted.Len()
-	if j.record.Completed != nil {
-		n += j.record.Completed.Len()
-		for t := j.completion.unpersisted.Next(0); t >= 0; t = j.completion.unpersisted.Next(t + 1) {
-			if j.record.Completed.Has(t) {
-				n--
-			}
-		}
-	}
-	return n
-}
+func (j *job) completedCount() int { return j.completion.count(j.record.Completed) }
 
 // runningCount is how many tasks run now.
 func (j *job) runningCount() int {
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -204,17 +204,11 @@
 	}
 	key := c.keys.Job(in.ID)
 	gone := e.Job.Tombstone(workload.Cancelled)
-	var ranges []string // of finished tasks, which nobody needs any more
-	for _, chunk := range sortedKeys(e.CompletedRevisions) {
-		if len(ranges)+1 < c.config.Settings.StateLimits().TxnOps {
-			ranges = append(ranges, c.keys.CompletedSegment(in.ID, chunk))
-		}
-	}
 	// done and cancelled exclude each other by the record's version.
 	sent := c.callStore(&storage.Request{Kind: storage.Txn,
 		Compares: []storage.Compare{{Key: key, ModRevision: e.ModRevision}},
 		Puts:     []storage.Put{{Key: key, Value: storage.Encode(gone)}},
-		Deletes:  ranges,
+		Deletes:  c.completedSegmentKeys(in.ID, e), // nobody needs them any more
 	}, storage.Urgent, storeTimeout, func(r *storage.Reply) {
 		switch {
 		case r.Outcome == storage.OK:
