--- /dev/null
+++ b/internal/coordination/responses.go
@@ -0,0 +1,79 @@
+package coordination
+
+import (
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/micros"
+)
+
+// defaultRetryAfter is when a client that was turned away may try again.
+const defaultRetryAfter = micros.Second
+
+// unavailableReason is why a request cannot be served now, as the client is told.
+type unavailableReason string
+
+const (
+	// storeUnavailable: the key-value store did not answer, or is known to be out of reach.
+	storeUnavailable unavailableReason = "the state service does not answer"
+	// olderVersionRunning: a member might become partition leader that cannot read the record.
+	olderVersionRunning unavailableReason = "an older version is still running"
+	// concurrentChange: the job's record changed meanwhile.
+	concurrentChange unavailableReason = "try again"
+)
+
+// String returns the reason as the client gets it. The texts are part of the wire protocol.
+func (r unavailableReason) String() string { return string(r) }
+
+// unschedulableReason is why a job can never run, as its user is told.
+type unschedulableReason string
+
+const (
+	schedulable        unschedulableReason = "" // no reason
+	unknownTeam        unschedulableReason = "unknown team"
+	exceedsTeamLimit   unschedulableReason = "needs more than the team's limit"
+	fitsNoInstanceType unschedulableReason = "a task fits no allowed machine type"
+	recordTooLarge     unschedulableReason = "its description is too long to be kept"
+	dependsOnItself    unschedulableReason = "it waits on itself"
+
+	// The reasons below are followed by the id of the dependency, see dependency.
+
+	dependsOnUnknownJob unschedulableReason = "it waits on a job that was never accepted"
+	// dependsOnService: a service ends only by cancellation, so that the job could never run.
+	dependsOnService unschedulableReason = "it waits on a service"
+)
+
+// String returns the reason as the user gets it. The texts are part of the wire protocol.
+func (r unschedulableReason) String() string { return string(r) }
+
+// dependency is the reason with the id of the dependency that it is about.
+func (r unschedulableReason) dependency(id string) unschedulableReason {
+	return r + ": " + unschedulableReason(id)
+}
+
+func (c *Core) respond(response messages.Response) {
+	c.output.Responses = append(c.output.Responses, response)
+}
+
+// respondUnavailable tells a client to come back later.
+func (c *Core) respondUnavailable(request messages.RequestID, reason unavailableReason) {
+	c.respond(messages.Response{
+		Request:    request,
+		Kind:       messages.ServiceUnavailable,
+		Text:       reason.String(),
+		RetryAfter: defaultRetryAfter,
+	})
+}
+
+// respondWritesExhausted tells a user that the store's budget of writes has no room for a change now.
+func (c *Core) respondWritesExhausted(request messages.RequestID) {
+	c.respond(messages.Response{
+		Request:    request,
+		Kind:       messages.Overloaded,
+		Text:       "too many changes",
+		RetryAfter: defaultRetryAfter,
+	})
+}
+
+// respondNotFound tells a user that there is no such job.
+func (c *Core) respondNotFound(request messages.RequestID) {
+	c.respond(messages.Response{Request: request, Kind: messages.JobNotFound})
+}
