--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -95,10 +95,7 @@
 			interval:         minPlanInterval,
 			preemptionFailed: map[preemptionShape]bool{},
 		},
-		dependencies: dependencyState{
-			unresolved: map[string]micros.Time{},
-			cancelled:  map[string]bool{},
-		},
+		dependencies:  newDependencyState(),
 		lastTick:      c.now,
 		useWriteAfter: map[string]micros.Time{},
 	}
@@ -266,7 +263,7 @@
 	j := p.jobs[id]
 	active := record != nil && record.Job.Phase == workload.Active && p.core.partitionOfJob(record.Job) == p.partition
 	if active && record.CancelledByDependency {
-		p.dependencies.cancelled[id] = true
+		p.dependencies.addCancelled(id)
 		active = false
 	}
 	switch {
