--- a/internal/coordination/agent_calls.go
+++ b/internal/coordination/agent_calls.go
@@ -17,10 +17,10 @@
 	var rest, failing []*machine
 	for _, m := range p.machines {
 		switch {
-		case len(m.commands.outbox) == 0 || m.commands.callInFlight:
+		case m.commands.Empty() || m.commands.CallInFlight():
 		case m.contact.FailedCalls() > 0:
 			failing = append(failing, m)
-		case !slices.ContainsFunc(m.commands.outbox, func(c messages.Command) bool { return c.Operation == messages.Stop || p.isService(c.Job) }):
+		case !m.commands.ContainsFunc(func(c messages.Command) bool { return c.Operation == messages.Stop || p.isService(c.Job) }):
 			rest = append(rest, m)
 		case p.core.availableAgentCalls(false) > 0:
 			p.sendOutbox(m)
@@ -58,7 +58,7 @@
 		if i >= room {
 			break
 		}
-		if m.commands.callInFlight {
+		if m.commands.CallInFlight() {
 			continue
 		}
 		m.contact.Probed(p.core.now)
@@ -70,12 +70,10 @@
 
 // sendOutbox sends what waits for a machine.
 func (p *partitionLeader) sendOutbox(m *machine) {
-	if m.commands.callInFlight || len(m.commands.outbox) == 0 || !m.agent.Acknowledged(p.lease.fencingToken) || !m.agent.HeardFrom() || m.address == "" || p.core.now < m.commands.nextCallAt {
+	if !m.commands.Ready(p.core.now) || !m.agent.Acknowledged(p.lease.fencingToken) || !m.agent.HeardFrom() || m.address == "" {
 		return
 	}
-	n := min(len(m.commands.outbox), maxCommandsPerMessage)
-	batch := slices.Clone(m.commands.outbox[:n])
-	m.commands.outbox = slices.Delete(m.commands.outbox, 0, n)
+	batch := m.commands.TakeBatch(maxCommandsPerMessage)
 	for i := range batch {
 		a := m.attempts[batch[i].AttemptID]
 		if a != nil && batch[i].Operation == messages.Start {
@@ -87,11 +85,11 @@
 }
 
 func (p *partitionLeader) callMachine(m *machine, batch []messages.Command, show bool) {
-	m.commands.callInFlight = true
+	m.commands.CallStarted()
 	position, sentAt := m.agent.Position(), p.core.now
 	p.core.callAgent(messages.AgentCall{Machine: m.id, Address: m.address, FencingToken: p.lease.fencingToken, AgentEpoch: position.Epoch, Commands: batch, StatusOnly: show,
 		Timeout: micros.Second}, func(r *messages.AgentReply) {
-		m.commands.callInFlight = false
+		m.commands.CallEnded()
 		if p.core.partitions[p.partition] != p || p.machine(m.id) != m {
 			return
 		}
@@ -107,15 +105,15 @@
 			a.start.inFlight--
 			if r.Heartbeat == nil && m.agent.Epoch() == position.Epoch {
 				a.start.unanswered++ // it may still be executed, even minutes later
-				m.commands.hasUnansweredStarts = true
+				m.commands.StartUnanswered()
 			}
 		}
 		if r.Heartbeat == nil {
 			m.contact.CallFailed(sentAt)
-			m.commands.nextCallAt = p.core.now + m.contact.CallBackoff()
+			m.commands.DelayUntil(p.core.now + m.contact.CallBackoff())
 			if m.agent.Epoch() == position.Epoch {
 				// The same attempts again: repeating them is safe.
-				m.commands.outbox = append(p.commandsToRetry(m, batch), m.commands.outbox...)
+				m.commands.Retry(p.commandsToRetry(m, batch))
 			}
 			return
 		}
--- a/internal/coordination/attempt.go
+++ b/internal/coordination/attempt.go
@@ -123,8 +123,7 @@
 	if a.stop.orderedAt == 0 {
 		a.stop.orderedAt = p.core.now
 	}
-	a.machine.commands.outbox = append(a.machine.commands.outbox,
-		messages.Command{Operation: messages.Stop, AttemptID: a.id, GracePeriod: gracePeriod})
+	a.machine.commands.Add(messages.Command{Operation: messages.Stop, AttemptID: a.id, GracePeriod: gracePeriod})
 }
 
 // revoke takes back an attempt whose start command was not sent yet.
@@ -132,7 +131,5 @@
 	p.release(a)
 	p.requeue(a)
 	a.unindex()
-	a.machine.commands.outbox = slices.DeleteFunc(a.machine.commands.outbox, func(c messages.Command) bool {
-		return c.AttemptID == a.id
-	})
+	a.machine.commands.Withdraw(a.id)
 }
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -116,7 +116,7 @@
 			continue
 		}
 		for _, o := range p.machines {
-			if o.instanceType == nil || !p.schedulable(o) || o.record.Spot && !a.job.Spot || (!o.hasImage(a.job.Image) && !bare) || !a.job.AllowsInstanceType(o.record.InstanceType) ||
+			if o.instanceType == nil || !p.schedulable(o) || o.record.Spot && !a.job.Spot || (!o.images.Has(a.job.Image) && !bare) || !a.job.AllowsInstanceType(o.record.InstanceType) ||
 				(a.job.Zone != "" && a.job.Zone != o.record.Zone) || a.job.OneZone || a.job.Spread || !a.resources.Fits(p.freeResources(o)) {
 				continue
 			}
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -141,7 +141,7 @@
 
 // mayProbe tells whether a machine can be probed, and was not within the last second.
 func (p *partitionLeader) mayProbe(m *machine) bool {
-	return m.address != "" && !m.commands.callInFlight && p.core.now-m.contact.LastProbe() > micros.Second
+	return m.address != "" && !m.commands.CallInFlight() && p.core.now-m.contact.LastProbe() > micros.Second
 }
 
 // inheritUnreachableZones takes over the zones that the last partition leader, as far as it told,
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -90,7 +90,7 @@
 func (p *partitionLeader) observeReplyReceipt(m *machine, h *messages.Heartbeat) {
 	exchangeBroken := h.FencingToken < p.lease.acquiredToken || h.AgentEpoch > m.agent.Epoch()
 	if m.contact.ObserveNextHeartbeat(exchangeBroken, p.core.now) {
-		m.commands.nextCallAt = 0
+		m.commands.EndDelay()
 	}
 }
 
@@ -324,8 +324,7 @@
 	case messages.ExitCompleted:
 		if a.startedHere && a.runningSince > 0 {
 			if j.runtime.samples >= 2 { // against its siblings: the owner's estimate says little
-				a.machine.runtime.ratioTotal += min(20, float64(p.core.now-a.runningSince)*float64(j.runtime.samples)/float64(max(1, j.runtime.total)))
-				a.machine.runtime.samples++
+				a.machine.runtime.Observe(float64(p.core.now-a.runningSince) * float64(j.runtime.samples) / float64(max(1, j.runtime.total)))
 			}
 			p.core.runtimes.Observe(j.Class, j.Estimate, p.core.now-a.runningSince)
 			j.runtime.total += p.core.now - a.runningSince
--- a/internal/coordination/large_bench_test.go
+++ b/internal/coordination/large_bench_test.go
@@ -56,7 +56,7 @@
 			for b.Loop() {
 				c.now += 50 * micros.Millisecond
 				for i, m := range h.machines {
-					m.commands.callInFlight = true
+					m.commands.CallStarted()
 					if i%3 != 0 {
 						m.contact.Reached(c.now)
 						m.contact.Replied(c.now)
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -23,11 +23,11 @@
 	contact   agents.Contact
 	lifecycle machineLifecycle
 	drain     drainState
-	runtime   runtimeRatio
+	runtime   agents.RuntimeRatio
 
 	attempts map[messages.AttemptID]*attempt
-	images   []image // most recently used last
-	commands commandQueue
+	images   agents.ImageCache
+	commands agents.CommandQueue
 }
 
 // machineLifecycle is when the machine came, was last used, and will be taken.
@@ -45,26 +45,6 @@
 	since  micros.Time
 }
 
-// runtimeRatio adds up the run times of the machine's completed tasks over those of the other
-// tasks of their jobs.
-type runtimeRatio struct {
-	ratioTotal float64
-	samples    int
-}
-
-// commandQueue holds the commands that wait to be sent to the machine's agent.
-type commandQueue struct {
-	outbox              []messages.Command
-	callInFlight        bool
-	nextCallAt          micros.Time
-	hasUnansweredStarts bool // some start command got no reply
-}
-
-type image struct {
-	name string
-	gb   float64
-}
-
 func (p *partitionLeader) machine(id string) *machine {
 	i, ok := slices.BinarySearchFunc(p.machines, id, func(m *machine, id string) int { return cmp.Compare(m.id, id) })
 	if !ok {
@@ -73,28 +53,15 @@
 	return p.machines[i]
 }
 
-func (m *machine) hasImage(name string) bool {
-	return slices.ContainsFunc(m.images, func(i image) bool { return i.name == name })
-}
-
-// useImage keeps the machine's most recently used images, as its cache does.
+// useImage notes that a task with this image was started on the machine. What its cache holds
+// is not known before its instance type is.
 func (m *machine) useImage(name string, gb float64) {
 	if name == "" {
 		return
 	}
-	m.images = slices.DeleteFunc(m.images, func(i image) bool { return i.name == name })
-	m.images = append(m.images, image{name, gb})
-	if m.instanceType == nil {
-		return
-	}
-	for sum := 0.0; ; sum = 0 {
-		for _, i := range m.images {
-			sum += i.gb
-		}
-		if sum <= m.instanceType.CacheGB || len(m.images) <= 1 {
-			return
-		}
-		m.images = m.images[1:]
+	m.images.Use(name, gb)
+	if m.instanceType != nil {
+		m.images.Evict(m.instanceType.CacheGB)
 	}
 }
 
@@ -149,7 +116,7 @@
 			p.startDrain(m, drainCannotReport)
 		case p.core.faults.MachineAtFault(m.id):
 			p.startDrain(m, drainQuarantined)
-		case m.runtime.samples >= minRuntimeSamples && m.slowness() > maxSlowness:
+		case m.runtime.IsSlow():
 			p.startDrain(m, drainSlow)
 		case p.hasUnresolvedStart(m):
 			// A start that is no longer wanted may still arrive: only the end of the
@@ -188,7 +155,7 @@
 // hasUnresolvedStart tells whether a start was sent in vain, is no longer wanted, and
 // has not been settled for a good part of a worker's lease.
 func (p *partitionLeader) hasUnresolvedStart(m *machine) bool {
-	if !m.commands.hasUnansweredStarts {
+	if !m.commands.HasUnansweredStarts() {
 		return false
 	}
 	for _, a := range m.attempts {
@@ -211,23 +178,6 @@
 	p.core.log(messages.LevelInfo, "machine draining", "machine", m.id, "reason", reason, "attempts", len(m.attempts))
 }
 
-const (
-	// minRuntimeSamples is how many tasks must have completed before a machine is judged.
-	minRuntimeSamples = 3
-	// maxSlowness is how much slower than its peers a machine may be: sound ones of a
-	// type differ by a tenth, estimates by more.
-	maxSlowness = 2.5
-)
-
-// slowness is the machine's run times against those of the same jobs elsewhere;
-// what lies within the spread of sound machines counts as none.
-func (m *machine) slowness() float64 {
-	if s := (2 + m.runtime.ratioTotal) / float64(2+m.runtime.samples); s > 1.3 {
-		return s
-	}
-	return 1
-}
-
 // useWriteInterval is how long machines that boot after others of their block wait to be
 // marked together.
 const useWriteInterval = 300 * micros.Millisecond
@@ -270,7 +220,7 @@
 // kept there alone. A start without an answer may still be carried out late, but not after
 // the deletion, and before it the worker knows the attempt, so that it has no effect.
 func (p *partitionLeader) terminable(m *machine) bool {
-	if m.commands.callInFlight || len(m.commands.outbox) > 0 {
+	if m.commands.CallInFlight() || !m.commands.Empty() {
 		return false
 	}
 	for _, a := range m.attempts {
--- a/internal/coordination/objective_preemption.go
+++ b/internal/coordination/objective_preemption.go
@@ -88,7 +88,7 @@
 			(m.record.Spot && !j.Spot) || !j.Resources.Fits(m.instanceType.Capacity) {
 			continue
 		}
-		if !m.hasImage(j.Image) && (m.instanceType.FetchGBps <= 0 || now+micros.FromSeconds(j.ImageGB/m.instanceType.FetchGBps) > by) {
+		if !m.images.Has(j.Image) && (m.instanceType.FetchGBps <= 0 || now+micros.FromSeconds(j.ImageGB/m.instanceType.FetchGBps) > by) {
 			continue
 		}
 		found = append(found, p.victimsOn(m, r, borrowed, limited)...)
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -249,7 +249,7 @@
 		p.requeue(a)
 		a.unindex()
 	}
-	m.commands.outbox = nil
+	m.commands.Clear()
 	if m.lifecycle.idleSince == 0 {
 		m.lifecycle.idleSince = p.core.now
 	}
--- a/internal/coordination/planning.go
+++ b/internal/coordination/planning.go
@@ -221,8 +221,8 @@
 			// Boot times vary; one that is overdue is taken to be there soon.
 			from = max(now+2*micros.Second, m.lifecycle.addedAt+m.instanceType.Boot)
 		}
-		pm := &scheduling.Machine{Index: i, Type: m.instanceType, Zone: m.record.Zone, Spot: m.record.Spot, Up: up, Slowness: m.slowness(),
-			Timeline: scheduling.NewTimeline(from, m.instanceType.Capacity), HasImage: m.hasImage}
+		pm := &scheduling.Machine{Index: i, Type: m.instanceType, Zone: m.record.Zone, Spot: m.record.Spot, Up: up, Slowness: m.runtime.Slowness(),
+			Timeline: scheduling.NewTimeline(from, m.instanceType.Capacity), HasImage: m.images.Has}
 		if m.record.Spot {
 			pm.LossRate = p.core.spot.rate()
 		}
@@ -323,7 +323,7 @@
 	j.activeAttempts[t] = a
 	j.pendingTasks.Remove(t)
 	p.reserve(a)
-	m.commands.outbox = append(m.commands.outbox, messages.Command{Operation: messages.Start, AttemptID: a.id})
+	m.commands.Add(messages.Command{Operation: messages.Start, AttemptID: a.id})
 	// Other tasks of the image need not wait for it as long.
 	m.useImage(j.Image, j.ImageGB)
 	return true
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -93,7 +93,7 @@
 		cost += micros.Seconds(p.lostWork(a)) + 1
 		take = append(take, a)
 	}
-	if !m.hasImage(j.Image) && m.instanceType.FetchGBps > 0 {
+	if !m.images.Has(j.Image) && m.instanceType.FetchGBps > 0 {
 		cost += 20 * j.ImageGB / m.instanceType.FetchGBps
 	}
 	return take, cost, j.Resources.Fits(free)
