--- a/internal/coordination/objective_preemption.go
+++ b/internal/coordination/objective_preemption.go
@@ -14,7 +14,7 @@
 func (p *partitionLeader) startDeadline(r rankedJob) (micros.Time, bool) {
 	within, found := micros.Max, false
 	for _, o := range p.core.config.Settings.Objectives {
-		if (o.Kind == "wait" && o.Class == r.job.Class) || (o.Kind == "guarantee" && r.Guaranteed) {
+		if (o.Kind == "wait" && o.Class == r.job.Class) || (o.Kind == "guarantee" && r.WithinGuarantee) {
 			within, found = min(within, micros.FromSeconds(o.WithinS)), true
 		}
 	}
@@ -147,7 +147,7 @@
 		return false // it would miss its own deadline for it
 	}
 	return a.job.Priority < r.job.Priority ||
-		(r.Guaranteed && a.job.Priority == r.job.Priority && a.job.Team != r.job.Team && borrowed[a.job.Team] >= a.resources.CPU)
+		(r.WithinGuarantee && a.job.Priority == r.job.Priority && a.job.Team != r.job.Team && borrowed[a.job.Team] >= a.resources.CPU)
 }
 
 // occupiedFor is the time that an attempt has taken its room, which stopping it loses.
--- a/internal/coordination/planning.go
+++ b/internal/coordination/planning.go
@@ -28,7 +28,7 @@
 // rankedJob is a job with its place in the order.
 type rankedJob struct {
 	job    *job
-	queued *scheduling.Queued
+	queued *scheduling.QueuedJob
 	scheduling.Precedence
 }
 
@@ -90,15 +90,15 @@
 // services by priority and age, arrays by the index, after what is guaranteed.
 func (p *partitionLeader) rankJobs(silent bool) (services, arrays []rankedJob) {
 	now := p.core.now
-	var queue []*scheduling.Queued
+	var queue []*scheduling.QueuedJob
 	for _, j := range p.sortedJobs {
 		j.runtime.estimate = 0
 		if !p.startable(j, silent) {
 			continue
 		}
 		r := rankedJob{job: j, queued: p.indexInput(j)}
-		r.Precedence = scheduling.Precedence{Guaranteed: p.withinGuarantee(j), Behind: p.lagBeyondBound(j), NearObjective: p.nearObjective(j), Ready: j.readySince, Queued: r.queued}
-		j.plannedWithinGuarantee = j.plannedWithinGuarantee || r.Guaranteed
+		r.Precedence = scheduling.Precedence{WithinGuarantee: p.withinGuarantee(j), Lag: p.lagBeyondBound(j), NearObjective: p.nearObjective(j), ReadySince: j.readySince, Queued: r.queued}
+		j.plannedWithinGuarantee = j.plannedWithinGuarantee || r.WithinGuarantee
 		if j.Kind == workload.Service {
 			services = append(services, r)
 		} else {
@@ -165,10 +165,10 @@
 
 // indexInput is what the index needs of a job's waiting tasks. A job with no
 // deadline takes d = arrival + 2p.
-func (p *partitionLeader) indexInput(j *job) *scheduling.Queued {
+func (p *partitionLeader) indexInput(j *job) *scheduling.QueuedJob {
 	estimate := p.estimate(j)
 	after := p.inheritFromDependents(j.ID)
-	q := &scheduling.Queued{Weight: scheduling.Weight(max(j.Priority, after.priority)), Estimate: estimate, Count: j.pendingTasks.Len()}
+	q := &scheduling.QueuedJob{Weight: scheduling.Weight(max(j.Priority, after.priority)), Estimate: estimate, Count: j.pendingTasks.Len()}
 	due := micros.Max // time of day
 	if j.Deadline > 0 {
 		due = j.Submitted + j.Deadline
@@ -231,7 +231,7 @@
 				continue
 			}
 			if a.job != nil && a.job.Kind == workload.Service {
-				pm.Services++
+				pm.Replicas++
 			}
 			pm.Timeline.Reserve(a.resources, from, p.remaining(a))
 		}
@@ -279,9 +279,9 @@
 // placementRequest is the planner's request for one job.
 func (p *partitionLeader) placementRequest(r rankedJob, count int) *scheduling.Request {
 	j := r.job
-	q := &scheduling.Request{Job: j.Job, Weight: r.queued.Weight, Estimate: r.queued.Estimate, Due: r.queued.Due, Count: count, Now: p.core.now, InZone: map[string]int{}, Pack: p.packLimit()}
+	q := &scheduling.Request{Job: j.Job, Weight: r.queued.Weight, Estimate: r.queued.Estimate, Due: r.queued.Due, Count: count, Now: p.core.now, TasksByZone: map[string]int{}, PackLimit: p.packLimit()}
 	for _, a := range j.activeAttempts {
-		q.InZone[a.machine.record.Zone]++
+		q.TasksByZone[a.machine.record.Zone]++
 		if j.OneZone {
 			q.Zone = a.machine.record.Zone
 		}
--- /dev/null
+++ b/internal/coordination/scheduling/place_test.go
@@ -0,0 +1,119 @@
+package scheduling
+
+import (
+	"testing"
+
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
+)
+
+// machine is an ordinary or a spot machine of eight CPUs in zone a, in use until a time.
+func machine(index int, spot bool, busyUntil micros.Time) *Machine {
+	instanceType := &workload.InstanceType{
+		Name:      "m",
+		Capacity:  workload.Resources{CPU: 8000, Mem: 64_000},
+		FetchGBps: 0.5,
+	}
+	m := &Machine{
+		Index:    index,
+		Type:     instanceType,
+		Zone:     "a",
+		Spot:     spot,
+		Timeline: NewTimeline(0, instanceType.Capacity),
+		HasImage: func(string) bool { return true },
+		Slowness: 1,
+		Up:       true,
+	}
+	if busyUntil > 0 {
+		m.Timeline.Reserve(need(8), 0, busyUntil)
+	}
+	return m
+}
+
+// place places tasks of a job from time 0 on.
+func place(j *workload.Job, estimate, due micros.Time, count int, machines ...*Machine) (slots []Slot, placed int) {
+	r := &Request{Job: j, Weight: 2, Estimate: estimate, Due: due, Count: count, TasksByZone: map[string]int{}}
+	placed = Place(r, machines, func(slot Slot) { slots = append(slots, slot) })
+	return slots, placed
+}
+
+func TestPlaceTakesTheLeastTardyGap(t *testing.T) {
+	j := &workload.Job{Resources: need(8), Tasks: 9, Spot: true}
+	// Machine 1 is free at 30 s, machine 2 at 12 s: 5 s late against 23 s late.
+	slots, _ := place(j, 10*s, 17*s, 1, machine(1, false, 30*s), machine(2, false, 12*s))
+	if slots[0].Machine.Index != 2 || slots[0].Start != 12*s {
+		t.Errorf("got machine %d at %d s", slots[0].Machine.Index, slots[0].Start/s)
+	}
+	near(t, "tardiness", slots[0].Tardiness, 10)
+}
+
+func TestPlaceLeavesTasksWithoutAGapWaiting(t *testing.T) {
+	j := &workload.Job{Resources: need(8), Tasks: 9, Spot: true}
+	full := machine(1, false, 0)
+	full.Timeline.Reserve(need(1), 0, Forever)
+	if _, placed := place(j, 10*s, 20*s, 1, full); placed != 0 {
+		t.Errorf("placed %d without a gap", placed)
+	}
+}
+
+func TestPlaceAvoidsSpotForTightTasks(t *testing.T) {
+	j := &workload.Job{Resources: need(4), Tasks: 9, Spot: true}
+	spot, ordinary := machine(1, true, 0), machine(2, false, 0)
+	spot.LossRate = 0.01
+	for _, c := range []struct {
+		name string
+		due  micros.Time
+		want *Machine
+	}{
+		{"a tight task goes to an ordinary machine", 11 * s, ordinary},
+		{"a task with slack goes to a spot machine", 100 * s, spot},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if slots, _ := place(j, 10*s, c.due, 1, spot, ordinary); slots[0].Machine != c.want {
+				t.Errorf("got machine %d, want %d", slots[0].Machine.Index, c.want.Index)
+			}
+		})
+	}
+}
+
+// The service among them has a place for as many tasks as fit at once: its tasks do not end.
+func TestPlaceKeepsConstraints(t *testing.T) {
+	inZone := func(zone string, m *Machine) *Machine {
+		m.Zone = zone
+		return m
+	}
+	for _, c := range []struct {
+		name  string
+		job   workload.Job
+		count int
+		want  int
+	}{
+		{"no spot machine without leave", workload.Job{Resources: need(4), Tasks: 4, Zone: "b"}, 4, 0},
+		{"its zone alone", workload.Job{Kind: workload.Service, Resources: need(4), Tasks: 4, Zone: "a"}, 4, 2},
+		{"its instance types alone", workload.Job{Resources: need(4), Tasks: 4, InstanceTypes: []string{"l"}}, 4, 0},
+		{"what fits into the capacity alone", workload.Job{Resources: need(9), Tasks: 4, Spot: true}, 4, 0},
+		{"spread over two zones", workload.Job{Resources: need(1), Tasks: 5, Spread: true, Spot: true}, 5, 5},
+		{"half of a spread job in one zone", workload.Job{Resources: need(1), Tasks: 5, Spread: true, Zone: "a"}, 5, 3},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, placed := place(&c.job, s, 9*s, c.count, machine(1, false, 0), inZone("b", machine(2, true, 0)))
+			if placed != c.want {
+				t.Errorf("placed %d of %d tasks, want %d", placed, c.count, c.want)
+			}
+		})
+	}
+}
+
+func TestPlaceKeepsAOneZoneJobInOneZone(t *testing.T) {
+	a, b := machine(1, false, 0), machine(2, true, 0)
+	b.Zone = "b"
+	slots, placed := place(&workload.Job{Resources: need(4), Tasks: 4, OneZone: true, Spot: true}, s, 9*s, 4, a, b)
+	for _, slot := range slots {
+		if slot.Machine.Zone != slots[0].Machine.Zone {
+			t.Error("tasks in two zones")
+		}
+	}
+	if placed == 0 {
+		t.Error("nothing was placed")
+	}
+}
--- a/internal/coordination/scheduling/precedence_test.go
+++ b/internal/coordination/scheduling/precedence_test.go
@@ -12,25 +12,30 @@
 
 // TestPrecedence: each exception goes before all that come after it, whatever these say.
 func TestPrecedence(t *testing.T) {
-	low, high := &Queued{Index: 1}, &Queued{Index: 9}
-	order := []Precedence{
-		{Guaranteed: true, Queued: high},
-		{Guaranteed: true, Queued: low},
-		{Behind: admission.Lag{Team: 9, Class: 1}, Queued: low},
-		{Behind: admission.Lag{Team: 5, Class: 8}, Queued: low},
-		{Behind: admission.Lag{Team: 5, Class: 7}, Queued: high, NearObjective: true},
-		{Behind: admission.Lag{Class: 3}, Queued: low},
-		{NearObjective: true, Ready: 10, Queued: low},
-		{NearObjective: true, Ready: 20, Queued: high},
-		{Ready: 1, Queued: high},
-		{Ready: 30, Queued: low},
+	low, high := &QueuedJob{Index: 1}, &QueuedJob{Index: 9}
+	order := []struct {
+		name       string
+		precedence Precedence
+	}{
+		{"within guarantee, high index", Precedence{WithinGuarantee: true, Queued: high}},
+		{"within guarantee, low index", Precedence{WithinGuarantee: true, Queued: low}},
+		{"team furthest behind", Precedence{Lag: admission.Lag{Team: 9, Class: 1}, Queued: low}},
+		{"team behind, class further", Precedence{Lag: admission.Lag{Team: 5, Class: 8}, Queued: low}},
+		{"team behind, class less", Precedence{Lag: admission.Lag{Team: 5, Class: 7}, Queued: high, NearObjective: true}},
+		{"class behind", Precedence{Lag: admission.Lag{Class: 3}, Queued: low}},
+		{"near objective, ready first", Precedence{NearObjective: true, ReadySince: 10, Queued: low}},
+		{"near objective, ready later", Precedence{NearObjective: true, ReadySince: 20, Queued: high}},
+		{"high index, ready first", Precedence{ReadySince: 1, Queued: high}},
+		{"low index, ready later", Precedence{ReadySince: 30, Queued: low}},
 	}
 	for i, p := range order {
-		for k, o := range order {
-			if got := p.Compare(o); (got < 0) != (i < k) || (got > 0) != (i > k) {
-				t.Errorf("%d against %d: %d", i, k, got)
+		t.Run(p.name, func(t *testing.T) {
+			for k, o := range order {
+				if got := p.precedence.Compare(o.precedence); (got < 0) != (i < k) || (got > 0) != (i > k) {
+					t.Errorf("against %q: got %d", o.name, got)
+				}
 			}
-		}
+		})
 	}
 }
 
@@ -38,9 +43,13 @@
 func TestPrecedenceIsAnOrder(t *testing.T) {
 	draw := rapid.Custom(func(t *rapid.T) Precedence {
 		small := rapid.Int64Range(0, 2)
-		return Precedence{Guaranteed: rapid.Bool().Draw(t, "guaranteed"), NearObjective: rapid.Bool().Draw(t, "objective"),
-			Behind: admission.Lag{Team: small.Draw(t, "team"), Class: small.Draw(t, "class")}, Ready: micros.Time(small.Draw(t, "ready")),
-			Queued: &Queued{Index: float64(small.Draw(t, "index"))}}
+		return Precedence{
+			WithinGuarantee: rapid.Bool().Draw(t, "within guarantee"),
+			NearObjective:   rapid.Bool().Draw(t, "near objective"),
+			Lag:             admission.Lag{Team: small.Draw(t, "team"), Class: small.Draw(t, "class")},
+			ReadySince:      micros.Time(small.Draw(t, "ready")),
+			Queued:          &QueuedJob{Index: float64(small.Draw(t, "index"))},
+		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		list := rapid.SliceOfN(draw, 2, 12).Draw(t, "jobs")
--- a/internal/coordination/scheduling/reference_test.go
+++ b/internal/coordination/scheduling/reference_test.go
@@ -16,10 +16,10 @@
 	for ; placed < r.Count; placed++ {
 		var best candidate
 		for _, m := range machines {
-			if (r.Zone != "" && m.Zone != r.Zone) || (r.Job.Spread && r.InZone[m.Zone] >= r.Job.SpreadLimit()) {
+			if !mayTakeAnother(r, m.Zone) {
 				continue
 			}
-			if c := r.candidate(m); better(r.Job, r.Pack, &c, &best) {
+			if c := r.candidate(m); better(r.Job, r.PackLimit, &c, &best) {
 				best = c
 			}
 		}
@@ -29,9 +29,9 @@
 		m := best.slot.Machine
 		m.Timeline.Reserve(r.Job.Resources, best.slot.Start, best.slot.Length)
 		if r.Job.Kind == workload.Service {
-			m.Services++
+			m.Replicas++
 		}
-		r.InZone[m.Zone]++
+		r.TasksByZone[m.Zone]++
 		if r.Job.OneZone {
 			r.Zone = m.Zone
 		}
@@ -40,21 +40,40 @@
 	return placed
 }
 
+// mayTakeAnother says again, for the reference, what a job's placed tasks allow of a zone.
+func mayTakeAnother(r *Request, zone string) bool {
+	return (r.Zone == "" || zone == r.Zone) && (!r.Job.Spread || r.TasksByZone[zone] < r.Job.SpreadLimit())
+}
+
 // drawnFleet draws machines of three sizes, some of them busy for a while.
 func drawnFleet(t *rapid.T) []*Machine {
 	var out []*Machine
 	for i := range rapid.IntRange(1, 30).Draw(t, "machines") {
-		kind := &workload.InstanceType{Name: "m", FetchGBps: 0.5,
-			Capacity: workload.Resources{CPU: 8000 << rapid.IntRange(0, 2).Draw(t, "size"), Mem: 64_000}}
+		size := rapid.IntRange(0, 2).Draw(t, "size")
+		instanceType := &workload.InstanceType{
+			Name:      "m",
+			Capacity:  workload.Resources{CPU: 8000 << size, Mem: 64_000},
+			FetchGBps: 0.5,
+		}
 		image := rapid.Bool().Draw(t, "image")
-		m := &Machine{Index: i, Type: kind, Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
-			Timeline: NewTimeline(0, kind.Capacity), HasImage: func(string) bool { return image }, Slowness: 1, Up: true,
-			Services: rapid.IntRange(0, 3).Draw(t, "replicas")}
+		m := &Machine{
+			Index:    i,
+			Type:     instanceType,
+			Zone:     rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"),
+			Spot:     rapid.Bool().Draw(t, "spot"),
+			Timeline: NewTimeline(0, instanceType.Capacity),
+			HasImage: func(string) bool { return image },
+			Slowness: 1,
+			Up:       true,
+			Replicas: rapid.IntRange(0, 3).Draw(t, "replicas"),
+		}
 		if m.Spot {
 			m.LossRate = 0.002
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "running") {
-			m.Timeline.Reserve(need(int64(rapid.IntRange(1, 4).Draw(t, "cpu"))), 0, micros.Time(rapid.IntRange(1, 60).Draw(t, "left"))*s)
+			cpu := rapid.Int64Range(1, 4).Draw(t, "cpu")
+			remaining := rapid.Int64Range(1, 60).Draw(t, "remaining") * s
+			m.Timeline.Reserve(need(cpu), 0, remaining)
 		}
 		out = append(out, m)
 	}
@@ -76,25 +95,35 @@
 func TestPlaceLikeThePlainOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := drawnFleet(t)
-		j := &workload.Job{Resources: need(int64(rapid.IntRange(1, 6).Draw(t, "need"))), Tasks: 40, Spot: rapid.Bool().Draw(t, "loaners"),
-			Image: "i", ImageGB: 2, Spread: rapid.Bool().Draw(t, "spread"), OneZone: rapid.Bool().Draw(t, "one zone")}
+		j := &workload.Job{
+			Resources: need(rapid.Int64Range(1, 6).Draw(t, "need")),
+			Tasks:     40,
+			Spot:      rapid.Bool().Draw(t, "spot"),
+			Image:     "i",
+			ImageGB:   2,
+			Spread:    rapid.Bool().Draw(t, "spread"),
+			OneZone:   rapid.Bool().Draw(t, "one zone"),
+		}
 		if rapid.Bool().Draw(t, "service") {
 			j.Kind = workload.Service
 		}
 		request := func() *Request {
-			return &Request{Job: j, Weight: 2, Estimate: 12 * s, Due: 30 * s, Count: 40, InZone: map[string]int{}, Pack: 2}
+			return &Request{
+				Job: j, Weight: 2, Estimate: 12 * s, Due: 30 * s, Count: 40, TasksByZone: map[string]int{}, PackLimit: 2,
+			}
 		}
 		var got, want []Slot
-		other := copyFleet(fleet)
-		n := Place(request(), fleet, func(x Slot) { got = append(got, x) })
-		m := plainPlace(request(), other, func(x Slot) { want = append(want, x) })
-		if n != m {
-			t.Fatalf("placed %d, the plain one %d", n, m)
+		fleetForReference := copyFleet(fleet)
+		placed := Place(request(), fleet, func(slot Slot) { got = append(got, slot) })
+		expected := plainPlace(request(), fleetForReference, func(slot Slot) { want = append(want, slot) })
+		if placed != expected {
+			t.Fatalf("placed %d, the plain one %d", placed, expected)
 		}
 		for i := range got {
-			if got[i].Machine.Index != want[i].Machine.Index || got[i].Start != want[i].Start || got[i].Length != want[i].Length {
-				t.Fatalf("task %d: machine %d at %d, the plain one machine %d at %d", i, got[i].Machine.Index, got[i].Start,
-					want[i].Machine.Index, want[i].Start)
+			g, w := got[i], want[i]
+			if g.Machine.Index != w.Machine.Index || g.Start != w.Start || g.Length != w.Length {
+				t.Fatalf("task %d: machine %d at %d, the plain one machine %d at %d",
+					i, g.Machine.Index, g.Start, w.Machine.Index, w.Start)
 			}
 		}
 	})
@@ -112,7 +141,8 @@
 		placed := 0
 		for range 20 {
 			j := &workload.Job{Resources: need(2), Tasks: 100, Spot: true}
-			placed += Place(&Request{Job: j, Weight: 2, Estimate: 20 * s, Due: 60 * s, Count: 100, InZone: map[string]int{}}, fleet, func(Slot) {})
+			r := &Request{Job: j, Weight: 2, Estimate: 20 * s, Due: 60 * s, Count: 100, TasksByZone: map[string]int{}}
+			placed += Place(r, fleet, func(Slot) {})
 		}
 		if placed != 2000 {
 			b.Fatal(placed)
--- /dev/null
+++ b/internal/coordination/scheduling/timeline_test.go
@@ -0,0 +1,42 @@
+package scheduling
+
+import (
+	"fmt"
+	"testing"
+
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
+)
+
+// need is what a task of a number of CPUs needs.
+func need(cpu int64) workload.Resources { return workload.Resources{CPU: cpu * 1000, Mem: 1000} }
+
+func TestTimelineGaps(t *testing.T) {
+	tl := NewTimeline(0, need(8))
+	tl.steps[0].free.Mem = 64_000
+	tl.Reserve(need(6), 0, 10*s)       // 2 free until 10
+	tl.Reserve(need(4), 20*s, 10*s)    // 8 free 10..20, 4 free 20..30
+	tl.Reserve(need(8), 40*s, Forever) // none from 40 on
+	for _, c := range []struct {
+		cpu          int64
+		from, length micros.Time
+		want         micros.Time
+		found        bool
+	}{
+		{2, 0, 40 * s, 0, true},
+		{2, 0, 41 * s, 0, false},
+		{4, 0, 30 * s, 10 * s, true},
+		{8, 0, 10 * s, 10 * s, true},
+		{8, 0, 11 * s, 0, false},
+		{8, 15 * s, 5 * s, 15 * s, true},
+		{8, 16 * s, 5 * s, 30 * s, true},
+		{1, 0, Forever, 0, false},
+	} {
+		t.Run(fmt.Sprintf("%d CPUs for %d s from %d s", c.cpu, c.length/s, c.from/s), func(t *testing.T) {
+			got, found := tl.Gap(need(c.cpu), c.from, c.length)
+			if found != c.found || (found && got != c.want) {
+				t.Errorf("got %d s %v, want %d s %v", got/s, found, c.want/s, c.found)
+			}
+		})
+	}
+}
