--- /dev/null
+++ b/internal/coordination/fleet_log.go
@@ -0,0 +1,89 @@
+package coordination
+
+import (
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/micros"
+)
+
+const (
+	// fleetLogInterval is how often the state of the fleet is logged.
+	fleetLogInterval = 10 * micros.Second
+	// milli is how many of the unit that CPUs are counted in make one.
+	milli = 1000
+)
+
+// fleetUsage is what a part of the fleet does. CPU is in thousandths.
+type fleetUsage struct {
+	machines, booting, draining                int
+	cpu, cpuBooting                            int64
+	cpuForServices, cpuForRunning, cpuStarting int64
+}
+
+// add counts a machine.
+func (u *fleetUsage) add(m *machine) {
+	u.machines++
+	u.cpu += m.instanceType.Capacity.CPU
+	if !m.agent.HeardFrom() {
+		u.booting++
+		u.cpuBooting += m.instanceType.Capacity.CPU
+	}
+	if m.drain.reason != notDraining {
+		u.draining++
+	}
+	for _, a := range m.attempts {
+		switch {
+		case a.state == messages.Exited:
+		case a.isReplica():
+			u.cpuForServices += a.resources.CPU
+		case a.state == messages.Fetching:
+			u.cpuStarting += a.resources.CPU
+		default:
+			u.cpuForRunning += a.resources.CPU
+		}
+	}
+}
+
+// logFleet logs what the partition's machines do, ordinary and spot ones apart.
+func (p *partitionLeader) logFleet(services, arrays []rankedJob) {
+	if p.core.now-p.plan.fleetLoggedAt < fleetLogInterval {
+		return
+	}
+	p.plan.fleetLoggedAt = p.core.now
+	waiting := waitingTasks(services) + waitingTasks(arrays)
+	var ordinary, spot fleetUsage
+	for _, m := range p.machines {
+		switch {
+		case m.instanceType == nil:
+		case m.record.Spot:
+			spot.add(m)
+		default:
+			ordinary.add(m)
+		}
+	}
+	p.logFleetUsage(false, &ordinary, waiting)
+	p.logFleetUsage(true, &spot, waiting)
+}
+
+func (p *partitionLeader) logFleetUsage(spot bool, u *fleetUsage, waiting int) {
+	p.core.log(messages.LevelDebug, "fleet summary",
+		"partition", p.partition,
+		"spot", spot,
+		"machines", u.machines,
+		"booting", u.booting,
+		"draining", u.draining,
+		"cpu", u.cpu/milli,
+		"cpu_booting", u.cpuBooting/milli,
+		"cpu_services", u.cpuForServices/milli,
+		"cpu_running", u.cpuForRunning/milli,
+		"cpu_starting", u.cpuStarting/milli,
+		"tasks_waiting", waiting)
+}
+
+// waitingTasks is how many tasks of the jobs still wait.
+func waitingTasks(jobs []rankedJob) int {
+	n := 0
+	for _, r := range jobs {
+		n += r.job.pendingTasks.Len()
+	}
+	return n
+}
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -7,7 +7,6 @@
 	"pipitlatch/internal/coordination/agents"
 	"pipitlatch/internal/coordination/failuredetector"
 	"pipitlatch/internal/coordination/messages"
-	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 	"pipitlatch/internal/workload"
@@ -53,21 +52,6 @@
 	acquiredAt    micros.Time
 }
 
-// planState is what the planner keeps from one plan to the next.
-type planState struct {
-	stale            bool // something changed since the last plan
-	lastRunAt        micros.Time
-	interval         micros.Time              // until the next plan
-	serviceReplicas  int                      // tasks of services, running or not, as of lastRunAt
-	preemptionFailed map[preemptionShape]bool // in this plan
-	capacityRequests []provisioning.CapacityRequest
-	// unreconciledUsage is what unreconciled machines may be running, in this plan.
-	unreconciledUsage workload.Resources
-	inheritedUrgency  map[string]inheritedUrgency // in this plan
-	allReconciled     bool                        // all machines are, or were, reconciled
-	fleetLoggedAt     micros.Time
-}
-
 // consolidationState paces the moves that free machines.
 type consolidationState struct {
 	lastPassAt     micros.Time // last search for machines that are not needed
@@ -88,13 +72,9 @@
 			formerLeaders: stored.Value.FormerLeaders,
 			acquiredAt:    c.now,
 		},
-		jobs:      map[string]*job{},
-		teamUsage: map[string]workload.Resources{},
-		plan: planState{
-			stale:            true,
-			interval:         minPlanInterval,
-			preemptionFailed: map[preemptionShape]bool{},
-		},
+		jobs:          map[string]*job{},
+		teamUsage:     map[string]workload.Resources{},
+		plan:          newPlanState(),
 		dependencies:  newDependencyState(),
 		lastTick:      c.now,
 		useWriteAfter: map[string]micros.Time{},
--- /dev/null
+++ b/internal/coordination/plan_state_test.go
@@ -0,0 +1,59 @@
+package coordination
+
+import (
+	"testing"
+
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
+)
+
+func TestPlanIsDue(t *testing.T) {
+	const lastRunAt = 100 * micros.Second
+	for _, c := range []struct {
+		name       string
+		age        micros.Time
+		lastTook   micros.Time
+		staleSince bool
+		want       bool
+	}{
+		{name: "not before the shortest interval", age: minPlanInterval - 1, staleSince: true, want: false},
+		{name: "after the shortest interval", age: minPlanInterval, staleSince: true, want: true},
+		{name: "not without a change", age: minPlanInterval, want: false},
+		{name: "without a change after the longest interval", age: maxPlanInterval, want: true},
+		{name: "not before a twentieth of the time was spent", age: 20*6*micros.Millisecond - 1,
+			lastTook: 6 * micros.Millisecond, staleSince: true, want: false},
+		{name: "once a twentieth of the time was spent", age: 20 * 6 * micros.Millisecond,
+			lastTook: 6 * micros.Millisecond, staleSince: true, want: true},
+		{name: "after the longest interval, however long the last plan took", age: maxPlanInterval,
+			lastTook: 10 * micros.Second, want: true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newPlanState()
+			s.begin(lastRunAt)
+			s.took(c.lastTook)
+			s.stale = c.staleSince
+			if got := s.due(lastRunAt + c.age); got != c.want {
+				t.Errorf("due %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// TestPlanBeginsAnew: what one plan found out does not hold for the next.
+func TestPlanBeginsAnew(t *testing.T) {
+	s := newPlanState()
+	s.serviceReplicas = 3
+	s.unreconciledUsage = workload.Resources{CPU: 1}
+	s.preemptionFailed[preemptionShape{priority: workload.High}] = true
+	s.inheritedUrgency = map[string]inheritedUrgency{"job": {}}
+	s.begin(micros.Second)
+	if s.stale || s.lastRunAt != micros.Second {
+		t.Errorf("stale %v, begun at %d", s.stale, s.lastRunAt)
+	}
+	if s.serviceReplicas != 0 || s.unreconciledUsage != (workload.Resources{}) {
+		t.Errorf("kept %d replicas, usage %+v", s.serviceReplicas, s.unreconciledUsage)
+	}
+	if len(s.preemptionFailed) != 0 || len(s.inheritedUrgency) != 0 {
+		t.Errorf("kept %v, %v", s.preemptionFailed, s.inheritedUrgency)
+	}
+}
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -126,20 +126,20 @@
 // headroomRequests asks for room to take up the services of the machine that holds most of
 // them, and some growth, at once: free room, or room that arrays can be stopped
 // for. Exception to the design, which plans for tasks that are there.
-func (p *partitionLeader) headroomRequests() []provisioning.CapacityRequest {
+func (p *partitionLeader) headroomRequest() (request provisioning.CapacityRequest, needed bool) {
 	survey := p.surveyHeadroom(true)
 	kind, missing := survey.service, survey.missing(nil)
 	if missing > 0 {
-		return []provisioning.CapacityRequest{p.capacityRequest(kind, missing)}
+		return p.capacityRequest(kind, missing), true
 	}
 	m := p.oversized(kind)
 	if m == nil {
-		return nil
+		return request, false
 	}
 	// Room on smaller machines for what keeps a dear one busy: once it is there,
 	// consolidate gives the dear one up.
 	if missing = survey.missing(m); missing <= 0 {
-		return nil
+		return request, false
 	}
 	n := p.capacityRequest(kind, missing)
 	n.InstanceTypes = nil
@@ -148,7 +148,7 @@
 			n.InstanceTypes = append(n.InstanceTypes, name)
 		}
 	}
-	return []provisioning.CapacityRequest{n}
+	return n, true
 }
 
 // oversized finds a machine that is kept for so few replicas that smaller ones
@@ -340,11 +340,3 @@
 	}
 	return free
 }
-
-// packDivisor is the part of all replicas that may be lost with one machine: below
-// it they are packed, so that machines become free when the arrays end; above it
-// they are spread. Exception to the design, whose gaps know no machines that end.
-const packDivisor = 16
-
-// packLimit is how many replicas a machine takes before others are preferred.
-func (p *partitionLeader) packLimit() int { return p.plan.serviceReplicas / packDivisor }
