--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -1,5 +1,10 @@
 package coordination
 
+import (
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/micros"
+)
+
 // drainReason is why a machine takes no more tasks.
 type drainReason uint8
 
@@ -64,3 +69,22 @@
 	}
 	return "unknown"
 }
+
+// drainState says whether, why and since when the machine takes no more tasks.
+type drainState struct {
+	reason drainReason
+	since  micros.Time
+}
+
+func (p *partitionLeader) startDrain(m *machine, reason drainReason) {
+	m.drain = drainState{reason: reason, since: p.core.now}
+	p.core.status.soon = true
+	p.plan.stale = true
+	p.core.log(messages.LevelInfo, "machine draining", "machine", m.id, "reason", reason, "attempts", len(m.attempts))
+}
+
+// decommissioned tells whether the machine is given up for good: only its deletion, or the
+// end of its lease, is waited for.
+func (m *machine) decommissioned() bool {
+	return m.drain.reason == drainAgentRestarted || m.drain.reason == drainUnreachable || m.drain.reason == drainKillTimeout
+}
