--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -32,7 +32,7 @@
 	if _, _, err := r.Apply(storage.Item{Key: c.keys.Admission(), Value: storage.Encode(epoch), ModRevision: 9}); err != nil {
 		t.Fatal(err)
 	}
-	c.installSnapshot(r, micros.Second)
+	c.replica.Install(r, micros.Second)
 	c.term.Confirm(c.now)
 	return c
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -91,7 +91,7 @@
 	r.Revision = version
 	c.now = micros.Second
 	c.output = &messages.Output{}
-	c.installSnapshot(r, 0)
+	c.replica.Install(r, 0)
 	c.term.Confirm(c.now)
 	for _, rep := range reports {
 		rep.FencingToken = version
@@ -190,14 +190,29 @@
 	c, _ := newLarge(b, size)
 	b.ReportAllocs()
 	now := 2 * micros.Second
+	polls, found := 0, 0
 	for b.Loop() {
 		now += micros.Millisecond
 		c.term.Confirm(now)
 		c.lastTick = now
-		c.Step(now, now, &messages.Lookup{Request: 1, ID: "wk-000001"})
-		for _, w := range c.waiting {
-			w.then(true)
+		polls++
+		out := c.Step(now, now, &messages.Lookup{Request: 1, ID: "wk-000001"})
+		found += countFound(out)
+		for _, call := range out.StoreCalls { // of the linearizable read
+			reply := &storage.Reply{Outcome: storage.NotFound, Revision: c.cache.Revision}
+			found += countFound(c.Step(now, now, &messages.StoreCompletion{Call: call.Call, Reply: reply}))
 		}
-		c.waiting = nil
 	}
+	if found < polls/2 {
+		b.Fatalf("%d of %d polls were answered", found, polls)
+	}
+}
+
+func countFound(out *messages.Output) (n int) {
+	for _, r := range out.Responses {
+		if r.Kind == messages.JobFound {
+			n++
+		}
+	}
+	return n
 }
--- a/internal/coordination/cancel_request.go
+++ b/internal/coordination/cancel_request.go
@@ -44,7 +44,7 @@
 // waitForJob brings the cache up to this moment, as it does not have the job: it was accepted by
 // another controller just now, is in the archive, or does not exist.
 func (r *cancelRequest) waitForJob() {
-	r.core.linearizableRead(func(ok bool) {
+	r.core.replica.LinearizableRead(func(ok bool) {
 		switch {
 		case !ok || r.retriesLeft <= 0:
 			r.respondStoreUnavailable()
@@ -81,7 +81,7 @@
 			Job:     messages.JobStatus{ID: r.id, Phase: workload.Cancelled},
 		})
 	case reply.Outcome == storage.Conflict && r.retriesLeft > 0:
-		r.core.linearizableRead(func(ok bool) {
+		r.core.replica.LinearizableRead(func(ok bool) {
 			if !ok {
 				r.respondStoreUnavailable()
 				return
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -189,7 +189,7 @@
 	// A worker that has its last answer by then loses the task to its lease within
 	// cancel_s, and as much time is left for the cloud to delete the machine.
 	// One whose time is over already still gets the moment that a stop takes.
-	a.stop.killDeadline = max(p.core.previousWatchSentAt+p.core.config.LeadershipTerm(), p.core.now+killLatency)
+	a.stop.killDeadline = max(p.core.replica.PreviousWatchSentAt()+p.core.config.LeadershipTerm(), p.core.now+killLatency)
 	p.pendingKills = append(p.pendingKills, a)
 }
 
--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -46,7 +46,7 @@
 		}
 	}
 	most := max(minConcurrentDrains, len(p.machines)/drainFleetDivisor)
-	if leaving >= most || now-p.consolidation.lastPassAt < replicaMoveInterval || now-p.lease.acquiredAt < 10*micros.Second || p.core.term.SinceConfirmed(now) >= storeStaleAfter {
+	if leaving >= most || now-p.consolidation.lastPassAt < replicaMoveInterval || now-p.lease.acquiredAt < 10*micros.Second || p.core.replica.Stale() {
 		return
 	}
 	p.consolidation.lastPassAt = now
@@ -142,7 +142,7 @@
 // scaleIn gives machines back that have had no task for a while and are not
 // part of the spare room for services.
 func (p *partitionLeader) scaleIn() {
-	if p.core.term.SinceConfirmed(p.core.now) >= storeStaleAfter {
+	if p.core.replica.Stale() {
 		// Nothing can be submitted while the state service is out: all users come back
 		// at once, and what was given back would have to boot first.
 		for _, m := range p.machines {
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -10,6 +10,7 @@
 	"pipitlatch/internal/coordination/membership"
 	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/coordination/provisioning"
+	"pipitlatch/internal/coordination/replication"
 	"pipitlatch/internal/coordination/txnbackoff"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
@@ -40,8 +41,10 @@
 	calls        callTable
 	storeLimiter *storage.RateLimiter
 	txnBackoff   *txnbackoff.Backoff
-	replication
-	readBarrier
+	replica      *replication.Replica
+	cache        *storage.Cache   // the replica's, until it loads another
+	term         *leadership.Term // the replica's
+	election     campaignState
 
 	catalog     workload.Catalog
 	catalogSync catalogSync
@@ -135,8 +138,10 @@
 	c.health = membership.NewHealth(c.peers)
 	leaseTTL := micros.Time(cfg.Operator.PermitMs) * micros.Millisecond
 	c.member = membership.NewMember(environment{c}, c.process, keys, leaseTTL)
-	c.replication.cache = storage.NewCache(keys)
-	c.replication.term = leadership.Term{Length: cfg.LeadershipTerm()}
+	c.replica = replication.New(environment{c}, replicaObserver{c}, replication.Settings{
+		Keys: keys, TermLength: cfg.LeadershipTerm(), WatchInterval: watchInterval(cfg),
+	})
+	c.cache, c.term = c.replica.Cache(), c.replica.Term()
 	c.leader.scaling.capacity = provisioning.NewCapacityTracker()
 	return c
 }
@@ -257,8 +262,13 @@
 	if c.storeReachable() {
 		c.health.StoreServed(c.now)
 	}
-	c.tickReplication()
-	c.advanceReadBarrier()
+	c.member.RenewLease()
+	c.replica.Refresh()
+	if c.replica.Synced() {
+		c.member.Register(c.cache)
+	}
+	c.campaign()
+	c.replica.AdvanceReads()
 	c.refreshCatalog()
 	c.persistCatalog()
 	c.tickLeader()
@@ -293,18 +303,11 @@
 	})
 }
 
-// storeStaleAfter is how old the last confirmation by the key-value store may be before the
-// store counts as out of reach: a watch comes back once a second.
-const storeStaleAfter = 2500 * micros.Millisecond
-
-// storeStale reports whether the key-value store has not been heard of late.
-func (c *Core) storeStale() bool { return c.term.SinceConfirmed(c.now) >= storeStaleAfter }
-
 // storeReachable reports whether this controller can serve users now.
-func (c *Core) storeReachable() bool { return c.synced && c.catalog != nil && !c.storeStale() }
+func (c *Core) storeReachable() bool { return c.replica.Current() && c.catalog != nil }
 
 // isolated reports whether this controller's view may be outdated, whatever it says.
-func (c *Core) isolated() bool { return c.health.Isolated(c.now, c.storeStale()) }
+func (c *Core) isolated() bool { return c.health.Isolated(c.now, c.replica.Stale()) }
 
 // Healthy reports whether the controller should be sent users' requests.
 func (c *Core) Healthy() bool { return c.health.Healthy(c.now, c.storeReachable()) }
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -11,7 +11,7 @@
 // handleHeartbeat answers a worker.
 func (c *Core) handleHeartbeat(in *messages.HeartbeatRequest) {
 	r := in.Heartbeat
-	if !c.synced {
+	if !c.replica.Synced() {
 		c.respondUnavailable(in.Request, "starting")
 		return
 	}
--- a/internal/coordination/lookup.go
+++ b/internal/coordination/lookup.go
@@ -18,7 +18,7 @@
 	if c.respondIfFinal(request, id) {
 		return
 	}
-	c.linearizableRead(func(ok bool) {
+	c.replica.LinearizableRead(func(ok bool) {
 		switch {
 		case !ok:
 			c.respondUnavailable(request, storeUnavailable)
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -40,7 +40,7 @@
 // all of them, or is not heard itself.
 func (c *Core) probeReachability() {
 	r := &c.reachability
-	if !c.synced || r.callsInFlight > 0 || (r.sentAt != 0 && c.now-r.sentAt < probeInterval) {
+	if !c.replica.Synced() || r.callsInFlight > 0 || (r.sentAt != 0 && c.now-r.sentAt < probeInterval) {
 		return
 	}
 	var queues []int
--- a/internal/coordination/submission_dependencies.go
+++ b/internal/coordination/submission_dependencies.go
@@ -29,7 +29,7 @@
 func (s *submission) acceptWithDependencies() {
 	for _, id := range s.job.DependsOn {
 		if s.core.cache.Jobs[id] == nil {
-			s.core.linearizableRead(func(ok bool) {
+			s.core.replica.LinearizableRead(func(ok bool) {
 				if !ok {
 					s.respondUnavailable(storeUnavailable)
 					return
