--- /dev/null
+++ b/internal/storage/apply.go
@@ -0,0 +1,182 @@
+package storage
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"strconv"
+	"strings"
+
+	"pipitlatch/internal/workload"
+)
+
+// Change tells which record an applied item changed.
+type Change struct {
+	Kind     RecordKind
+	ID       string   // what follows the kind in the key; for completed segments the job
+	Machines []string // for a block: the machines that it has, and had before
+}
+
+// Apply takes one item of the snapshot or of the change stream. Items that are not newer than what
+// is cached are passed over, so that the pages of a snapshot and the stream may overlap.
+func (c *Cache) Apply(item Item) (change Change, changed bool, err error) {
+	rest, ok := strings.CutPrefix(item.Key, c.Keys.Prefix)
+	if !ok {
+		return Change{}, false, nil
+	}
+	kind, id, _ := strings.Cut(rest, "/")
+	change = Change{Kind: RecordKind(kind), ID: id}
+	changed, err = c.apply(&change, item)
+	if err != nil {
+		err = fmt.Errorf("record %s: %w", item.Key, err)
+	}
+	return change, changed, err
+}
+
+func (c *Cache) apply(change *Change, item Item) (changed bool, err error) {
+	switch change.Kind {
+	case ClusterLeaderRecord:
+		return c.applyClusterLeader(item)
+	case MemberRecord:
+		return c.applyMember(change.ID, item)
+	case PartitionLeaderRecord:
+		return c.applyPartition(change.ID, item)
+	case MachineBlockRecord:
+		change.Machines, changed, err = c.applyBlock(change.ID, item)
+		return changed, err
+	case JobRecord:
+		return c.applyJob(change.ID, item)
+	case ArchivedJobRecord:
+		c.Archived = true
+		return false, nil
+	case CompletedRecord:
+		var segment int
+		if change.ID, segment, err = parseCompletedSegment(change.ID); err != nil {
+			return false, err
+		}
+		return c.applyCompleted(change.ID, segment, item)
+	case DependencyPartRecord:
+		return c.applyDependencyPart(change.ID, item)
+	case CatalogRecord:
+		return c.applyCatalog(item)
+	case CatalogPartRecord:
+		return c.applyCatalogPart(item)
+	case AdmissionRecord:
+		return c.applyAdmission(item), nil
+	case FormatRecord:
+		return c.applyFormat(item)
+	}
+	return false, nil // a kind of a newer version
+}
+
+// applyTo stores an item's record in a map unless the map has a newer one.
+func applyTo[K comparable, T any](records map[K]Versioned[T], key K, item Item) (changed bool, err error) {
+	if records[key].ModRevision >= item.ModRevision {
+		return false, nil
+	}
+	if item.Deleted {
+		_, had := records[key]
+		delete(records, key)
+		return had, nil
+	}
+	v, err := decode[T](item)
+	if err != nil {
+		return false, err
+	}
+	records[key] = v
+	return true, nil
+}
+
+func (c *Cache) applyClusterLeader(item Item) (changed bool, err error) {
+	if c.ClusterLeader.ModRevision >= item.ModRevision {
+		return false, nil
+	}
+	if item.Deleted {
+		c.ClusterLeader = Versioned[Process]{}
+		return true, nil
+	}
+	v, err := decode[Process](item)
+	if err != nil {
+		return false, err
+	}
+	c.ClusterLeader = v
+	return true, nil
+}
+
+// applyMember takes a member's registration, and the format of records that its version writes.
+func (c *Cache) applyMember(member string, item Item) (changed bool, err error) {
+	changed, err = applyTo(c.Members, member, item)
+	if !changed {
+		return false, err
+	}
+	var registration Registration
+	if !item.Deleted {
+		err = json.Unmarshal(item.Value, &registration)
+	}
+	c.MemberFormats[member] = registration.Format
+	return true, err
+}
+
+func (c *Cache) applyPartition(id string, item Item) (changed bool, err error) {
+	n, err := strconv.Atoi(id)
+	if err != nil {
+		return false, err
+	}
+	return applyTo(c.Partitions, n, item)
+}
+
+// applyFormat takes the format of records that may be written, which only grows.
+func (c *Cache) applyFormat(item Item) (changed bool, err error) {
+	if item.Deleted {
+		return false, nil
+	}
+	var record struct {
+		Format int `json:"v"`
+	}
+	if err := json.Unmarshal(item.Value, &record); err != nil {
+		return false, err
+	}
+	changed = record.Format > c.Format
+	c.Format = max(c.Format, record.Format)
+	return changed, nil
+}
+
+// applyAdmission takes the record of the admission epoch, whatever is in it.
+func (c *Cache) applyAdmission(item Item) (changed bool) {
+	if c.Admission.ModRevision >= item.ModRevision {
+		return false
+	}
+	c.Admission = Versioned[json.RawMessage]{Value: item.Value, ModRevision: item.ModRevision}
+	return true
+}
+
+func (c *Cache) applyCatalog(item Item) (changed bool, err error) {
+	if c.Catalog.ModRevision >= item.ModRevision || item.Deleted {
+		return false, nil
+	}
+	v, err := decode[workload.Catalog](item)
+	if err != nil {
+		return false, err
+	}
+	c.Catalog = v
+	return true, nil
+}
+
+// applyCatalogPart takes a part of the catalog and puts the catalog together anew.
+func (c *Cache) applyCatalogPart(item Item) (changed bool, err error) {
+	changed, err = applyTo(c.catalogParts, item.Key, item)
+	if !changed {
+		return false, err
+	}
+	catalog := workload.Catalog{}
+	for _, part := range c.catalogParts {
+		maps.Copy(catalog, part.Value)
+	}
+	c.Catalog.Value = catalog
+	return true, nil
+}
+
+// CatalogPartRevision is the mod revision of a part of the catalog, 0 if there is none.
+func (c *Cache) CatalogPartRevision(n int) uint64 {
+	return c.catalogParts[c.Keys.CatalogPart(n)].ModRevision
+}
--- /dev/null
+++ b/internal/storage/apply_blocks.go
@@ -0,0 +1,57 @@
+package storage
+
+import "slices"
+
+// applyBlock takes a block's record and tells which machines it touched.
+func (c *Cache) applyBlock(name string, item Item) (machines []string, changed bool, err error) {
+	old := c.Blocks[name].Value.Machines
+	changed, err = applyTo(c.Blocks, name, item)
+	if !changed {
+		return nil, false, err
+	}
+	block := c.Blocks[name].Value // the zero record if it was deleted
+	for machine := range old {
+		// A move to another block is one transaction: the other record may have come first, and
+		// owns the machine then.
+		if _, ok := block.Machines[machine]; !ok && c.Machines[machine].Value.Block == name {
+			delete(c.Machines, machine)
+			c.findInOtherBlock(machine)
+			machines = append(machines, machine)
+		}
+	}
+	for machine, record := range block.Machines {
+		// Two records have the machine while it moves, or because an older version adopted an
+		// instance that was being requested: it may have tasks if either says so.
+		if cached, ok := c.Machines[machine]; ok && cached.Value.Block != name && cached.Value.Used {
+			record.Used = true
+		}
+		c.Machines[machine] = machineOf(name, block, record, item.ModRevision)
+		machines = append(machines, machine)
+	}
+	slices.Sort(machines)
+	return machines, true, nil
+}
+
+// findInOtherBlock looks for a machine in the records of the blocks other than the one that it left.
+func (c *Cache) findInOtherBlock(machine string) {
+	for name, block := range c.Blocks {
+		if record, ok := block.Value.Machines[machine]; ok {
+			c.Machines[machine] = machineOf(name, block.Value, record, block.ModRevision)
+			return
+		}
+	}
+}
+
+func machineOf(name string, block BlockRecord, record MachineRecord, modRevision uint64) Versioned[Machine] {
+	return Versioned[Machine]{
+		Value: Machine{
+			MachineRecord: record,
+			Block:         name,
+			Partition:     block.Partition,
+			InstanceType:  block.InstanceType,
+			Zone:          block.Zone,
+			Spot:          block.Spot,
+		},
+		ModRevision: modRevision,
+	}
+}
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -10,275 +10,271 @@
 	"pipitlatch/internal/workload"
 )
 
-// Format is what this version writes: from 2 on, jobs that wait on others, finished
-// ranges in parts and a catalog in parts. A new form is written only once every member
-// of the settings was registered with a version that reads it (Keys.Format).
-const Format = 2
-
-// Registration is a member's record: its process, and what its version writes, which is
-// 0 for those that do not say.
-type Registration struct {
-	Process
-	Format int `json:"v,omitempty"`
-}
-
-// dependencyGraph is which jobs wait on which.
+// dependencyGraph is which active jobs depend on which. What a job depends on never changes, so
+// that whether it may start, and whether it is cancelled with a dependency, are functions of the
+// records, whatever the order in which they come.
 type dependencyGraph struct {
-	Dependents      map[string]map[string]bool        // active jobs that name a job
-	ArchivedPhases  map[string]workload.Phase         // of needed jobs that were moved away
-	unresolved      map[string]bool                   // needed jobs with neither a record nor an outcome known here
-	dependencyParts map[string]map[int]dependencyPart // by job and name
-	affected        []string
-	catalogParts    map[string]Versioned[workload.Catalog]
+	// Dependents are the active jobs that depend on a job, by the id of that job.
+	Dependents map[string]map[string]bool
+	// ArchivedPhases is what became of dependencies whose records were moved to the archive.
+	ArchivedPhases map[string]workload.Phase
+
+	unresolved      map[string]bool                   // dependencies with neither a record nor a known outcome
+	dependencyParts map[string]map[int]dependencyPart // by job and name of the list, then by number
+	affected        []string                          // jobs for which another job changed something
 }
 
+// dependencyPart is a part of a list of dependencies that did not fit the record of its job.
 type dependencyPart struct {
-	refs    []string
-	version uint64
+	ids         []string
+	modRevision uint64
 }
 
 func newDependencyGraph() dependencyGraph {
-	return dependencyGraph{Dependents: map[string]map[string]bool{}, ArchivedPhases: map[string]workload.Phase{}, unresolved: map[string]bool{}, dependencyParts: map[string]map[int]dependencyPart{},
-		catalogParts: map[string]Versioned[workload.Catalog]{}}
+	return dependencyGraph{
+		Dependents:      map[string]map[string]bool{},
+		ArchivedPhases:  map[string]workload.Phase{},
+		unresolved:      map[string]bool{},
+		dependencyParts: map[string]map[int]dependencyPart{},
+	}
 }
 
-// TakeAffected are the jobs, since the last call, of which something changed because another
+// TakeAffected returns the jobs for which, since the last call, something changed because another
 // job did: they may start now, or are cancelled.
-func (r *Cache) TakeAffected() []string {
-	t := r.affected
-	r.affected = nil
-	return t
+func (c *Cache) TakeAffected() []string {
+	affected := c.affected
+	c.affected = nil
+	return affected
 }
 
-// trackDependencies keeps up who waits on whom after a job's record changed.
-func (r *Cache) trackDependencies(id string, e *JobEntry) {
-	if e.Job.Phase != workload.Active {
-		r.untrackDependencies(id, e)
-		r.notifyDependents(id, e.Cancelled())
+// trackDependencies updates the graph after a job's record, or a part of its list, has come.
+func (c *Cache) trackDependencies(id string, entry *JobEntry) {
+	if entry.Job.Phase != workload.Active {
+		c.untrackDependencies(id, entry)
+		c.notifyDependents(id, entry.Cancelled())
 		return
 	}
-	if !e.Job.HasDependencies() || len(e.Dependencies) > 0 {
+	if !entry.Job.HasDependencies() || len(entry.Dependencies) > 0 {
 		return
 	}
-	e.Dependencies, e.DependenciesIncomplete = e.Job.DependsOn, false
-	if n := e.Job.DependencyParts; n > 0 {
-		parts := r.dependencyParts[id+"/"+e.Job.DependencyListName]
-		if e.DependenciesIncomplete = len(parts) < n; e.DependenciesIncomplete {
-			e.Dependencies = nil
-			return
-		}
-		for i := range n {
-			e.Dependencies = append(e.Dependencies, parts[i].refs...)
-		}
+	if !c.assembleDependencies(id, entry) {
+		return
 	}
-	for _, w := range e.Dependencies {
-		if r.Dependents[w] == nil {
-			r.Dependents[w] = map[string]bool{}
+	for _, dependency := range entry.Dependencies {
+		if c.Dependents[dependency] == nil {
+			c.Dependents[dependency] = map[string]bool{}
 		}
-		r.Dependents[w][id] = true
-		if r.Jobs[w] == nil && r.ArchivedPhases[w] == workload.Active {
-			r.unresolved[w] = true
+		c.Dependents[dependency][id] = true
+		if c.Jobs[dependency] == nil && c.ArchivedPhases[dependency] == workload.Active {
+			c.unresolved[dependency] = true
 		}
 	}
-	for _, w := range e.Dependencies {
-		if r.isCancelled(w) {
-			r.cancelDependents(id)
-			return
-		}
+	if slices.ContainsFunc(entry.Dependencies, c.isCancelled) {
+		c.cancelWithDependents(id)
 	}
 }
 
-// untrackDependencies forgets what a job waited on.
-func (r *Cache) untrackDependencies(id string, e *JobEntry) {
-	for _, w := range e.Dependencies {
-		delete(r.Dependents[w], id)
-		if len(r.Dependents[w]) == 0 {
-			delete(r.Dependents, w)
-			delete(r.ArchivedPhases, w)
-			delete(r.unresolved, w)
+// assembleDependencies puts a job's list of dependencies together from its record or from the
+// parts it was stored in. It returns false while parts are missing.
+func (c *Cache) assembleDependencies(id string, entry *JobEntry) bool {
+	entry.Dependencies, entry.DependenciesIncomplete = entry.Job.DependsOn, false
+	count := entry.Job.DependencyParts
+	if count == 0 {
+		return true
+	}
+	parts := c.dependencyParts[id+"/"+entry.Job.DependencyListName]
+	if len(parts) < count {
+		entry.Dependencies, entry.DependenciesIncomplete = nil, true
+		return false
+	}
+	for i := range count {
+		entry.Dependencies = append(entry.Dependencies, parts[i].ids...)
+	}
+	return true
+}
+
+// untrackDependencies takes a job that ended out of the graph.
+func (c *Cache) untrackDependencies(id string, entry *JobEntry) {
+	for _, dependency := range entry.Dependencies {
+		delete(c.Dependents[dependency], id)
+		if len(c.Dependents[dependency]) == 0 {
+			delete(c.Dependents, dependency)
+			delete(c.ArchivedPhases, dependency)
+			delete(c.unresolved, dependency)
 		}
 	}
-	e.Dependencies, e.DependenciesIncomplete = nil, false
-	if e.Job.Phase == workload.Done {
-		e.CancelledByDependency = false
+	entry.Dependencies, entry.DependenciesIncomplete = nil, false
+	if entry.Job.Phase == workload.Done {
+		entry.CancelledByDependency = false
 	}
 }
 
-// notifyDependents lets the jobs that name a job know that it is over.
-func (r *Cache) notifyDependents(id string, cancelled bool) {
-	for dep := range r.Dependents[id] {
+// notifyDependents passes on to the jobs that depend on a job that it is done or cancelled.
+func (c *Cache) notifyDependents(id string, cancelled bool) {
+	for dependent := range c.Dependents[id] {
 		if cancelled {
-			r.cancelDependents(dep)
+			c.cancelWithDependents(dependent)
 		} else {
-			r.affected = append(r.affected, dep)
+			c.affected = append(c.affected, dependent)
 		}
 	}
 }
 
-// cancelDependents notes that a job before this one is cancelled, so that it is, and all after it.
-func (r *Cache) cancelDependents(id string) {
-	todo := []string{id}
-	for len(todo) > 0 {
-		id, todo = todo[len(todo)-1], todo[:len(todo)-1]
-		e := r.Jobs[id]
-		if e == nil || e.CancelledByDependency || e.Job.Phase != workload.Active {
+// cancelWithDependents marks a job as cancelled with a dependency, and all that depend on it.
+func (c *Cache) cancelWithDependents(id string) {
+	pending := []string{id}
+	for len(pending) > 0 {
+		last := len(pending) - 1
+		id, pending = pending[last], pending[:last]
+		entry := c.Jobs[id]
+		if entry == nil || entry.CancelledByDependency || entry.Job.Phase != workload.Active {
 			continue
 		}
-		e.CancelledByDependency = true
-		r.affected = append(r.affected, id)
-		for dep := range r.Dependents[id] {
-			todo = append(todo, dep)
+		entry.CancelledByDependency = true
+		c.affected = append(c.affected, id)
+		for dependent := range c.Dependents[id] {
+			pending = append(pending, dependent)
 		}
 	}
 }
 
-func (r *Cache) isCancelled(id string) bool {
-	if e := r.Jobs[id]; e != nil {
-		return e.Cancelled()
+func (c *Cache) isCancelled(id string) bool {
+	if entry := c.Jobs[id]; entry != nil {
+		return entry.Cancelled()
 	}
-	return r.ArchivedPhases[id] == workload.Cancelled
+	return c.ArchivedPhases[id] == workload.Cancelled
 }
 
-// jobRemoved notes that a job's record was moved away: what it came to stays known while an
-// unfinished job names it.
-func (r *Cache) jobRemoved(id string, e *JobEntry) {
-	r.untrackDependencies(id, e)
-	if len(r.Dependents[id]) > 0 && e.Job.Phase != workload.Active {
-		r.ArchivedPhases[id] = e.Job.Phase
+// jobRemoved notes that a job's record was moved to the archive: what became of the job stays
+// known while an unfinished job depends on it.
+func (c *Cache) jobRemoved(id string, entry *JobEntry) {
+	c.untrackDependencies(id, entry)
+	if len(c.Dependents[id]) > 0 && entry.Job.Phase != workload.Active {
+		c.ArchivedPhases[id] = entry.Job.Phase
 	}
 }
 
-// Resolve tells what a needed job that is not here came to, as its record says that was
-// moved away.
-func (r *Cache) Resolve(id string, p workload.Phase) {
-	if len(r.Dependents[id]) == 0 || p == workload.Active {
+// Resolve tells what became of a dependency that is not cached, as its archived record says.
+func (c *Cache) Resolve(id string, phase workload.Phase) {
+	if len(c.Dependents[id]) == 0 || phase == workload.Active {
 		return
 	}
-	r.ArchivedPhases[id] = p
-	delete(r.unresolved, id)
-	r.notifyDependents(id, p == workload.Cancelled)
+	c.ArchivedPhases[id] = phase
+	delete(c.unresolved, id)
+	c.notifyDependents(id, phase == workload.Cancelled)
 }
 
-// Blocked tells whether a job has to wait for others, and names one of which nothing is
+// Blocked tells whether a job has to wait for dependencies, and names one whose outcome is not
 // known here, if there is one.
-func (r *Cache) Blocked(e *JobEntry) (blocked bool, unknown string) {
-	if e.DependenciesIncomplete {
+func (c *Cache) Blocked(entry *JobEntry) (blocked bool, unresolved string) {
+	if entry.DependenciesIncomplete {
 		return true, ""
 	}
-	for _, w := range e.Dependencies {
-		switch n := r.Jobs[w]; {
-		case n != nil && n.Job.Phase == workload.Done:
-		case n != nil:
-			blocked = true
-		case r.ArchivedPhases[w] == workload.Done:
-		case r.ArchivedPhases[w] == workload.Cancelled:
+	for _, id := range entry.Dependencies {
+		phase := c.ArchivedPhases[id]
+		dependency := c.Jobs[id]
+		if dependency != nil {
+			phase = dependency.Job.Phase
+		}
+		switch {
+		case phase == workload.Done:
+		case dependency != nil || phase == workload.Cancelled:
 			blocked = true
 		default:
-			return true, w
+			return true, id
 		}
 	}
 	return blocked, ""
 }
 
-// Unresolved lists the jobs before a job, directly or through others, of which nothing is
-// known here: their records were moved away. Until they are read nobody can tell whether
-// the job is cancelled with one of them.
-func (r *Cache) Unresolved(id string) []string {
-	if len(r.unresolved) == 0 {
+// Unresolved lists the dependencies of a job, direct or not, whose records were archived before
+// this controller learned what became of them. Until they are read nobody can tell whether the
+// job is cancelled with one of them.
+func (c *Cache) Unresolved(id string) []string {
+	if len(c.unresolved) == 0 {
 		return nil
 	}
-	var out []string
+	var unresolved []string
 	seen := map[string]bool{id: true}
-	for todo := []string{id}; len(todo) > 0; {
-		id, todo = todo[len(todo)-1], todo[:len(todo)-1]
-		if r.unresolved[id] {
-			out = append(out, id)
+	for pending := []string{id}; len(pending) > 0; {
+		last := len(pending) - 1
+		id, pending = pending[last], pending[:last]
+		if c.unresolved[id] {
+			unresolved = append(unresolved, id)
+		}
+		entry := c.Jobs[id]
+		if entry == nil || entry.Job.Phase != workload.Active {
+			continue
 		}
-		if e := r.Jobs[id]; e != nil && e.Job.Phase == workload.Active {
-			for _, needed := range e.Dependencies {
-				if !seen[needed] {
-					seen[needed] = true
-					todo = append(todo, needed)
-				}
+		for _, dependency := range entry.Dependencies {
+			if !seen[dependency] {
+				seen[dependency] = true
+				pending = append(pending, dependency)
 			}
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(unresolved)
+	return unresolved
 }
 
-// applyDependencyPart takes a part of a job's list of needed jobs. It is written before the
-// job's record; in a list it comes after.
-func (r *Cache) applyDependencyPart(id string, it Item) (bool, error) {
-	at := strings.LastIndexByte(id, '/')
-	if at < 0 {
-		return false, fmt.Errorf("no part: %q", id)
-	}
-	list := id[:at]
-	n, err := strconv.Atoi(id[at+1:])
+// applyDependencyPart takes a part of a job's list of dependencies. It is written before the
+// job's record; in a snapshot it comes after.
+func (c *Cache) applyDependencyPart(id string, item Item) (changed bool, err error) {
+	list, n, err := parseDependencyPart(id)
 	if err != nil {
 		return false, err
 	}
-	if it.Deleted {
-		if delete(r.dependencyParts[list], n); len(r.dependencyParts[list]) == 0 {
-			delete(r.dependencyParts, list)
+	if item.Deleted {
+		if delete(c.dependencyParts[list], n); len(c.dependencyParts[list]) == 0 {
+			delete(c.dependencyParts, list)
 		}
 		return false, nil
 	}
-	var refs []string
-	if err := json.Unmarshal(it.Value, &refs); err != nil {
+	var ids []string
+	if err := json.Unmarshal(item.Value, &ids); err != nil {
 		return false, err
 	}
-	if r.dependencyParts[list] == nil {
-		r.dependencyParts[list] = map[int]dependencyPart{}
+	if c.dependencyParts[list] == nil {
+		c.dependencyParts[list] = map[int]dependencyPart{}
 	}
-	r.dependencyParts[list][n] = dependencyPart{refs, it.ModRevision}
+	c.dependencyParts[list][n] = dependencyPart{ids: ids, modRevision: item.ModRevision}
 	job, _, _ := strings.Cut(list, "/")
-	if e := r.Jobs[job]; e != nil && e.DependenciesIncomplete {
-		r.trackDependencies(job, e)
-		r.affected = append(r.affected, job)
+	if entry := c.Jobs[job]; entry != nil && entry.DependenciesIncomplete {
+		c.trackDependencies(job, entry)
+		c.affected = append(c.affected, job)
 	}
 	return true, nil
 }
 
-// OrphanedDependencyParts are parts of lists that no unfinished job has, and that are not newer than a
-// revision: of a job that is over, or of an acceptance that was cut off.
-func (r *Cache) OrphanedDependencyParts(revision uint64, most int) []string {
-	var out []string
-	for list, parts := range r.dependencyParts {
+// parseDependencyPart splits what follows the kind in the key of a part of a list into the list,
+// which is the job's id and the list's name, and the number of the part.
+func parseDependencyPart(id string) (list string, n int, err error) {
+	at := strings.LastIndexByte(id, '/')
+	if at < 0 {
+		return "", 0, fmt.Errorf("no part of a list of dependencies: %q", id)
+	}
+	n, err = strconv.Atoi(id[at+1:])
+	return id[:at], n, err
+}
+
+// OrphanedDependencyParts are the keys of parts of lists that no unfinished job has, and that are
+// not newer than a revision: those of a job that ended, or of a submission that was cut off.
+func (c *Cache) OrphanedDependencyParts(revision uint64, limit int) []string {
+	var keys []string
+	for list, parts := range c.dependencyParts {
 		job, name, _ := strings.Cut(list, "/")
-		if e := r.Jobs[job]; e != nil && e.Job.Phase == workload.Active && e.Job.DependencyListName == name {
+		entry := c.Jobs[job]
+		if entry != nil && entry.Job.Phase == workload.Active && entry.Job.DependencyListName == name {
 			continue
 		}
-		for n, p := range parts {
-			if p.version <= revision {
-				out = append(out, r.Keys.DependencyPart(job, name, n))
+		for n, part := range parts {
+			if part.modRevision <= revision {
+				keys = append(keys, c.Keys.DependencyPart(job, name, n))
 			}
 		}
 	}
-	// The first part of a list goes before the others, or with them: a job's record that
-	// is carried out late requires it, so it can't refer to a list with a gap.
-	slices.Sort(out)
-	return out[:min(most, len(out))]
-}
-
-// applyCatalogPart takes a part of the catalog.
-func (r *Cache) applyCatalogPart(it Item) (bool, error) {
-	changed, err := applyTo(r.catalogParts, it.Key, it)
-	if !changed {
-		return false, err
-	}
-	all := workload.Catalog{}
-	for _, part := range r.catalogParts {
-		for name, t := range part.Value {
-			all[name] = t
-		}
-	}
-	r.Catalog.Value = all
-	return true, nil
-}
-
-// CatalogPartRevision is the version of a part of the catalog, 0 if there is none.
-func (r *Cache) CatalogPartRevision(n int) uint64 {
-	return r.catalogParts[r.Keys.CatalogPart(n)].ModRevision
+	// The first part of a list goes before the others, or with them. A job's record requires it,
+	// so that one which is written late can't refer to a list with a gap.
+	slices.Sort(keys)
+	return keys[:min(limit, len(keys))]
 }
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -8,25 +8,25 @@
 )
 
 // put applies a record.
-func put(t *testing.T, r *Cache, version uint64, key string, v any) {
+func put(t *testing.T, c *Cache, modRevision uint64, key string, v any) {
 	t.Helper()
-	it := Item{Key: key, ModRevision: version, Deleted: v == nil}
+	it := Item{Key: key, ModRevision: modRevision, Deleted: v == nil}
 	if v != nil {
 		it.Value = Encode(v)
 	}
-	if _, _, err := r.Apply(it); err != nil {
+	if _, _, err := c.Apply(it); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func job(id string, phase workload.Phase, waits ...string) *workload.Job {
-	return &workload.Job{ID: id, Tasks: 1, Phase: phase, DependsOn: waits}
+func job(id string, phase workload.Phase, dependencies ...string) *workload.Job {
+	return &workload.Job{ID: id, Tasks: 1, Phase: phase, DependsOn: dependencies}
 }
 
-// TestWaitsInAnyOrder: what a job may do is the same whatever the order in which records
-// come, since a list has not that of the stream; and a needed job that was moved away,
-// as after an acceptance carried out minutes late, is unknown until it was read.
-func TestWaitsInAnyOrder(t *testing.T) {
+// TestDependenciesInAnyOrder: what a job may do is the same whatever the order in which records
+// come, since a snapshot does not have that of the stream; and a dependency that was archived, as
+// before a submission whose transaction was carried out minutes late, is unresolved until it is read.
+func TestDependenciesInAnyOrder(t *testing.T) {
 	k := Keys{"pl/"}
 	for _, first := range []bool{true, false} {
 		r := NewCache(k)
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestLongChains: cancellations reach the end of long chains and wide fans.
-func TestLongChains(t *testing.T) {
+// TestCancellationReachesLongChains: cancellations reach the end of long chains and wide fans.
+func TestCancellationReachesLongChains(t *testing.T) {
 	k, r := Keys{"pl/"}, NewCache(Keys{"pl/"})
 	const n = 20_000
 	id := func(i int) string { return fmt.Sprintf("wk-%06d", i) }
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestSplit: every part fits, none is empty, and no machine is lost.
-func TestSplit(t *testing.T) {
+// TestSplitBlock: every part fits, none is empty, and no machine is lost.
+func TestSplitBlock(t *testing.T) {
 	b := BlockRecord{InstanceType: "t", Zone: "z", Requested: 3, Machines: map[string]MachineRecord{}}
 	for i := range MaxBlockMachines {
 		b.Machines[fmt.Sprintf("vm-%06d", i)] = MachineRecord{Address: fmt.Sprintf("10.100.100.%d:9000", i), Used: i%2 == 0}
