--- /dev/null
+++ b/internal/workload/catalog.go
@@ -0,0 +1,57 @@
+package workload
+
+import (
+	"slices"
+
+	"pipitlatch/internal/micros"
+)
+
+// InstanceType is one entry of the cloud's catalog. It is stored as JSON under the names of its
+// fields.
+type InstanceType struct {
+	Name      string
+	Capacity  Resources
+	CacheGB   float64
+	FetchGBps float64
+	Price     float64 // an hour
+	SpotPrice float64
+	Boot      micros.Time
+	Zones     []string
+}
+
+// Catalog is the cloud's instance types by name.
+type Catalog map[string]*InstanceType
+
+// Fits tells whether a task of the job fits some machine it is allowed.
+func (c Catalog) Fits(j *Job) bool {
+	for _, t := range c {
+		inZone := j.Zone == "" || slices.Contains(t.Zones, j.Zone)
+		if inZone && j.AllowsInstanceType(t.Name) && j.Resources.Fits(t.Capacity) {
+			return true
+		}
+	}
+	return false
+}
+
+// SameTypes tells whether two catalogs have the same instance types; prices, which move, may
+// differ.
+func (c Catalog) SameTypes(o Catalog) bool {
+	if len(c) != len(o) {
+		return false
+	}
+	for name, a := range c {
+		b := o[name]
+		if b == nil || !a.same(b) {
+			return false
+		}
+	}
+	return true
+}
+
+func (t *InstanceType) same(o *InstanceType) bool {
+	return t.Capacity == o.Capacity &&
+		t.Boot == o.Boot &&
+		t.CacheGB == o.CacheGB &&
+		t.FetchGBps == o.FetchGBps &&
+		slices.Equal(t.Zones, o.Zones)
+}
--- /dev/null
+++ b/internal/workload/resources.go
@@ -0,0 +1,46 @@
+package workload
+
+// Resources are amounts in thousandths: CPUs, GPUs and gigabytes of memory.
+type Resources struct {
+	CPU int64 `json:"c"`
+	GPU int64 `json:"g,omitempty"`
+	Mem int64 `json:"m"`
+}
+
+// Add returns r + o.
+func (r Resources) Add(o Resources) Resources {
+	return Resources{r.CPU + o.CPU, r.GPU + o.GPU, r.Mem + o.Mem}
+}
+
+// Sub returns r - o.
+func (r Resources) Sub(o Resources) Resources {
+	return Resources{r.CPU - o.CPU, r.GPU - o.GPU, r.Mem - o.Mem}
+}
+
+// Times returns n of r.
+func (r Resources) Times(n int64) Resources {
+	return Resources{r.CPU * n, r.GPU * n, r.Mem * n}
+}
+
+// Fits tells whether r fits into o.
+func (r Resources) Fits(o Resources) bool {
+	return r.CPU <= o.CPU && r.GPU <= o.GPU && r.Mem <= o.Mem
+}
+
+// maxCount bounds Count for resources that need nothing.
+const maxCount = 1 << 20
+
+// Count is how many of r fit into o.
+func (r Resources) Count(o Resources) int64 {
+	count := int64(maxCount)
+	for _, amounts := range [...]struct{ each, available int64 }{
+		{r.CPU, o.CPU},
+		{r.GPU, o.GPU},
+		{r.Mem, o.Mem},
+	} {
+		if amounts.each > 0 {
+			count = min(count, max(0, amounts.available)/amounts.each)
+		}
+	}
+	return count
+}
--- a/internal/workload/runtime_stats.go
+++ b/internal/workload/runtime_stats.go
@@ -6,22 +6,30 @@
 	"pipitlatch/internal/micros"
 )
 
-// RuntimeStats corrects owners' estimates by observed run times. Estimates are
-// often wrong, by a common factor on some days, so what is kept of each class
-// is the distribution of observed time over estimate.
+// RuntimeStats corrects the estimates of jobs' owners by observed run times. Estimates are often
+// wrong, by a common factor on some days, so what is kept of each class of jobs is the distribution
+// of observed time over estimate.
 type RuntimeStats struct {
-	classes map[string]*hdrhistogram.Histogram
+	ratios map[string]*hdrhistogram.Histogram // by class, in units of ratioUnit
 }
 
-// minObservations observations to trust the median more than the owner.
-const minObservations = 8
+const (
+	// minObservations is from how many observations on the median is trusted more than the owner.
+	minObservations = 8
+	// maxClasses bounds the classes with statistics of their own: users name them.
+	maxClasses = 256
+	// maxRatio is the largest ratio that is told apart.
+	maxRatio = 1000
+	// significantDigits is the precision of the histograms.
+	significantDigits = 2
+)
 
 // ratioUnit is the fixed-point unit of a ratio in the histograms.
 const ratioUnit = 1000
 
-// NewRuntimeStats knows nothing yet.
+// NewRuntimeStats returns statistics without observations.
 func NewRuntimeStats() *RuntimeStats {
-	return &RuntimeStats{classes: map[string]*hdrhistogram.Histogram{}}
+	return &RuntimeStats{ratios: map[string]*hdrhistogram.Histogram{}}
 }
 
 // Observe records that a task of the class ran for took against its estimate.
@@ -29,35 +37,36 @@
 	if estimate <= 0 || took <= 0 {
 		return
 	}
-	h := r.classes[class]
+	h := r.ratios[class]
 	if h == nil {
-		if len(r.classes) >= 256 { // classes come from users: bounded
+		if len(r.ratios) >= maxClasses {
 			return
 		}
-		h = hdrhistogram.New(1, 1000*ratioUnit, 2)
-		r.classes[class] = h
+		h = hdrhistogram.New(1, maxRatio*ratioUnit, significantDigits)
+		r.ratios[class] = h
 	}
-	_ = h.RecordValue(min(1000*ratioUnit, max(1, took*ratioUnit/estimate))) // clamped to the range above
+	ratio := min(maxRatio*ratioUnit, max(1, took*ratioUnit/estimate))
+	_ = h.RecordValue(ratio) // it fails for values out of the range only
 }
 
 // CorrectionFactor is what estimates of the class have to be multiplied with.
 func (r *RuntimeStats) CorrectionFactor(class string) float64 {
-	h := r.classes[class]
+	h := r.ratios[class]
 	if h == nil || h.TotalCount() < minObservations {
 		return 1
 	}
 	return float64(h.ValueAtQuantile(50)) / ratioUnit
 }
 
-// Estimate is the estimate after correction.
+// Estimate is the estimate of the job's owner after correction.
 func (r *RuntimeStats) Estimate(j *Job) micros.Time {
 	return max(micros.Millisecond, micros.Time(float64(j.Estimate)*r.CorrectionFactor(j.Class)))
 }
 
-// TailRatio is how much longer than the corrected estimate a task of the class takes
-// that is longer than nine in ten.
+// TailRatio is how much longer than the corrected estimate a task takes that is slower than nine
+// in ten of its class: the 90th percentile over the median.
 func (r *RuntimeStats) TailRatio(class string) float64 {
-	h := r.classes[class]
+	h := r.ratios[class]
 	if h == nil || h.TotalCount() < minObservations {
 		return 1
 	}
--- /dev/null
+++ b/internal/workload/segments.go
@@ -0,0 +1,98 @@
+package workload
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+const (
+	// LargeSegmentTasks is how many tasks a large segment has.
+	LargeSegmentTasks = 1024
+	// LargeSegmentBytes is what the completed tasks of a large segment take at worst, quotes
+	// included: with every third task missing, the text has some 8 bytes ("600-601,") for each of
+	// them.
+	LargeSegmentBytes = LargeSegmentTasks/3*8 + 64
+	// SmallSegmentTasks is how many tasks a small segment has: it fits a record where a large one
+	// does not. A job may have completed tasks in segments of both sizes.
+	SmallSegmentTasks = 256
+	// FirstSmallSegment is the number of the first small segment, above those of all large ones.
+	FirstSmallSegment = 1 << 20
+)
+
+// Segment is the number of the segment, large or small, that a task belongs to.
+func Segment(task int, small bool) int {
+	if small {
+		return FirstSmallSegment + task/SmallSegmentTasks
+	}
+	return task / LargeSegmentTasks
+}
+
+// segmentBounds is the first task of a segment, and how many it has.
+func segmentBounds(segment int) (first, count int) {
+	if segment >= FirstSmallSegment {
+		return (segment - FirstSmallSegment) * SmallSegmentTasks, SmallSegmentTasks
+	}
+	return segment * LargeSegmentTasks, LargeSegmentTasks
+}
+
+// InSegment tells whether a task belongs to a segment.
+func InSegment(task, segment int) bool {
+	first, count := segmentBounds(segment)
+	return task >= first && task < first+count
+}
+
+// Ranges encodes the members of a segment as ranges relative to its first task: "0-5,7".
+func (b *Bitmap) Ranges(segment int) string {
+	var text strings.Builder
+	start, count := segmentBounds(segment)
+	end := start + count
+	for task := start; task < end; {
+		first := b.Next(task)
+		if first < 0 || first >= end {
+			break
+		}
+		last := first
+		for last+1 < end && b.Has(last+1) {
+			last++
+		}
+		if text.Len() > 0 {
+			text.WriteByte(',')
+		}
+		text.WriteString(strconv.Itoa(first - start))
+		if last > first {
+			text.WriteByte('-')
+			text.WriteString(strconv.Itoa(last - start))
+		}
+		task = last + 1
+	}
+	return text.String()
+}
+
+// AddRanges adds what Ranges encoded of a segment.
+func (b *Bitmap) AddRanges(segment int, text string) error {
+	start, count := segmentBounds(segment)
+	if text == "" {
+		return nil
+	}
+	for _, part := range strings.Split(text, ",") {
+		first, last, err := parseRange(part)
+		if err != nil || first < 0 || last < first || last >= count {
+			return fmt.Errorf("completed tasks: invalid range %q", part)
+		}
+		for task := first; task <= last; task++ {
+			b.Add(start + task)
+		}
+	}
+	return nil
+}
+
+// parseRange parses "7" or "0-5".
+func parseRange(text string) (first, last int, err error) {
+	before, after, isRange := strings.Cut(text, "-")
+	if first, err = strconv.Atoi(before); err != nil || !isRange {
+		return first, first, err
+	}
+	last, err = strconv.Atoi(after)
+	return first, last, err
+}
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -14,14 +14,13 @@
 			set.Add(i)
 		}
 		got := NewBitmap(size)
-		parts := rapid.Bool().Draw(t, "parts")
-		for unit := Segment(0, parts); unit <= Segment(size-1, parts); unit++ {
-			c := unit
-			text := set.Ranges(c)
-			if most := LargeSegmentBytes; len(text) > most {
+		small := rapid.Bool().Draw(t, "small segments")
+		for segment := Segment(0, small); segment <= Segment(size-1, small); segment++ {
+			text := set.Ranges(segment)
+			if len(text) > LargeSegmentBytes {
 				t.Fatalf("ranges of %d bytes", len(text))
 			}
-			if err := got.AddRanges(c, text); err != nil {
+			if err := got.AddRanges(segment, text); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -68,10 +67,53 @@
 				set.Add(i)
 			}
 		}
-		for unit, most := range map[int]int{0: LargeSegmentBytes, 1: LargeSegmentBytes, Segment(0, true): 800, Segment(2*LargeSegmentTasks-1, true): 800} {
-			if n := len(set.Ranges(unit)); n == 0 || n+2 > most {
-				t.Errorf("every %dth missing: unit %d takes %d bytes", period, unit, n)
+		const maxSmallSegmentBytes = 800
+		for segment, most := range map[int]int{
+			0:                                    LargeSegmentBytes,
+			1:                                    LargeSegmentBytes,
+			Segment(0, true):                     maxSmallSegmentBytes,
+			Segment(2*LargeSegmentTasks-1, true): maxSmallSegmentBytes,
+		} {
+			if n := len(set.Ranges(segment)); n == 0 || n+2 > most {
+				t.Errorf("every %dth missing: segment %d takes %d bytes", period, segment, n)
 			}
 		}
 	}
 }
+
+func TestResourcesCount(t *testing.T) {
+	tests := map[string]struct {
+		each, available Resources
+		want            int64
+	}{
+		"the scarcest resource decides":  {Resources{CPU: 2, Mem: 4}, Resources{CPU: 10, Mem: 8}, 2},
+		"what is not needed is no limit": {Resources{CPU: 2}, Resources{CPU: 10}, 5},
+		"overdrawn resources hold none":  {Resources{CPU: 2}, Resources{CPU: -1}, 0},
+		"nothing needed":                 {Resources{}, Resources{}, maxCount},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			if got := test.each.Count(test.available); got != test.want {
+				t.Errorf("%d fit, want %d", got, test.want)
+			}
+		})
+	}
+}
+
+func TestQuotas(t *testing.T) {
+	team := Team{GuaranteeCPU: 4000, LimitCPU: 8000, LimitGPU: -1}
+	array := Job{Kind: Array, Tasks: 10, Resources: Resources{CPU: 2000}}
+	service := Job{Kind: Service, Tasks: 10, Resources: Resources{CPU: 2000}}
+	if !team.CanEverRun(&array) {
+		t.Error("an array of which one task fits the limit can run")
+	}
+	if team.CanEverRun(&service) {
+		t.Error("a service whose replicas exceed the limit together can never run")
+	}
+	if !team.WithinGuarantee(Resources{CPU: 4000}) || team.WithinGuarantee(Resources{CPU: 4001}) {
+		t.Error("the guaranteed quota is not 4 CPUs")
+	}
+	if !team.WithinLimit(Resources{CPU: 8000, GPU: 1 << 40}) || team.WithinLimit(Resources{CPU: 8001}) {
+		t.Error("the quota limit is not 8 CPUs and any number of GPUs")
+	}
+}
