--- a/internal/coordination/archiver.go
+++ b/internal/coordination/archiver.go
@@ -4,93 +4,128 @@
 	"cmp"
 	"slices"
 
+	"pipitlatch/internal/config"
 	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 	"pipitlatch/internal/workload"
 )
 
-// archiver is what the leader moves out of every controller's memory: records of jobs
-// that were over long ago. They stay in the state service under a key of their own and
-// are read when somebody asks.
-type archiver struct {
-	nextRunAt     micros.Time
-	txnInFlight   bool // a transaction is out
-	revisionTimes []revisionAt
-}
-
-// revisionAt dates a revision.
-type revisionAt struct {
-	at       micros.Time
-	revision uint64
-}
-
 const (
 	// archiveInterval bounds how often the records are looked through.
 	archiveInterval = micros.Second
-	// archiveWriteDivisor is the part of the state service's changes that goes into it.
+	// archiveWriteDivisor is the part of the store's write limit that goes into it.
 	archiveWriteDivisor = 6
-	// revisionTimeInterval is how often a revision is dated.
-	revisionTimeInterval = 10 * micros.Second
 )
 
-// archiveTerminalJobs moves the jobs that were over first, as long as there are more than
-// are to be kept. None is moved before everything of it is surely off the machines:
-// until then its team's limit counts what its record says.
-func (c *Core) archiveTerminalJobs() {
-	a := &c.leader.archiver
-	if n := len(a.revisionTimes); n == 0 || c.now-a.revisionTimes[n-1].at >= revisionTimeInterval {
-		a.revisionTimes = append(a.revisionTimes, revisionAt{c.now, c.cache.Revision})
+// archiverView is what the archiver needs of the core.
+type archiverView interface {
+	leaderView
+	// StoreReachable tells whether this controller can serve users now.
+	StoreReachable() bool
+}
+
+// archiver moves records of jobs that were over long ago out of every controller's memory. They
+// stay in the store under a key of their own and are read when somebody asks.
+type archiver struct {
+	view   archiverView
+	config *config.Config
+	keys   storage.Keys
+
+	nextRunAt micros.Time
+	inFlight  bool // a transaction
+	revisions revisionHistory
+}
+
+func newArchiver(view archiverView, cfg *config.Config, keys storage.Keys) *archiver {
+	return &archiver{view: view, config: cfg, keys: keys}
+}
+
+func (a *archiver) begin() { a.nextRunAt, a.inFlight, a.revisions = 0, false, revisionHistory{} }
+
+// tick moves the jobs that were over first, as long as there are more than are to be kept. None
+// is moved before everything of it is surely off the machines: until then its team's limit
+// counts what its record says.
+func (a *archiver) tick() {
+	now, cache := a.view.Now(), a.view.Cache()
+	settled := 2*micros.FromSeconds(a.config.Settings.Workers.CancelS) + a.config.AgentLeaseExpiry()
+	a.revisions.observe(now, cache.Revision, settled)
+	revision, ok := a.revisions.settled(now, settled)
+	if !ok || a.inFlight || now < a.nextRunAt || !a.view.StoreReachable() {
+		return
+	}
+	if a.deleteOrphanedParts(revision) || len(cache.Jobs) <= a.config.MaxCachedTerminalJobs() {
+		return
 	}
-	safe := 2*micros.FromSeconds(c.config.Settings.Workers.CancelS) + c.config.AgentLeaseExpiry()
-	for len(a.revisionTimes) > 1 && c.now-a.revisionTimes[1].at > safe {
-		a.revisionTimes = a.revisionTimes[1:]
+	a.nextRunAt = now + archiveInterval
+	if r := a.request(a.oldestTerminal(), revision); len(r.Puts) > 0 {
+		a.send(r, func() {
+			writes := float64(r.Writes()) * archiveWriteDivisor
+			pause := micros.FromSeconds(writes / a.config.Settings.StateLimits().WriteRPS)
+			a.nextRunAt = a.view.Now() + max(archiveInterval, pause)
+		})
 	}
-	keep := c.config.MaxCachedTerminalJobs()
-	if !a.txnInFlight && c.now >= a.nextRunAt && c.now-a.revisionTimes[0].at > safe && c.storeReachable() {
-		if stale := c.cache.OrphanedDependencyParts(a.revisionTimes[0].revision, c.config.Settings.StateLimits().TxnOps); len(stale) > 0 {
-			a.nextRunAt = c.now + archiveInterval
-			a.txnInFlight = c.callStore(&storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.leaderCompare()}, Deletes: stale},
-				storage.Deferrable, storeTimeout, func(*storage.Reply) { a.txnInFlight = false })
-			return
-		}
+}
+
+// deleteOrphanedParts deletes parts of lists of dependencies that were written up to a revision
+// and that no job's record names; it returns false if there are none.
+func (a *archiver) deleteOrphanedParts(revision uint64) bool {
+	orphaned := a.view.Cache().OrphanedDependencyParts(revision, a.config.Settings.StateLimits().TxnOps)
+	if len(orphaned) == 0 {
+		return false
 	}
-	if a.txnInFlight || c.now < a.nextRunAt || len(c.cache.Jobs) <= keep || c.now-a.revisionTimes[0].at <= safe || !c.storeReachable() {
-		return
+	a.nextRunAt = a.view.Now() + archiveInterval
+	r := &storage.Request{
+		Kind: storage.Txn, Compares: []storage.Compare{a.view.LeaderCompare()}, Deletes: orphaned,
 	}
-	a.nextRunAt = c.now + archiveInterval
-	var over []*storage.JobEntry
-	for id, e := range c.cache.Jobs {
-		// A needed job stays at hand while an unfinished one names it.
-		if e.Job.Phase != workload.Active && len(c.cache.Dependents[id]) == 0 {
-			over = append(over, e)
+	a.send(r, func() {})
+	return true
+}
+
+// send sends a transaction, and calls then when it is answered.
+func (a *archiver) send(r *storage.Request, then func()) {
+	a.inFlight = a.view.CallStore(r, storage.Deferrable, storeTimeout, func(*storage.Reply) {
+		a.inFlight = false
+		then()
+	})
+}
+
+// oldestTerminal are the records of jobs that are over, the oldest first, as many as are too
+// many and one transaction can move.
+func (a *archiver) oldestTerminal() []*storage.JobEntry {
+	cache := a.view.Cache()
+	var terminal []*storage.JobEntry
+	for id, e := range cache.Jobs {
+		// A dependency stays at hand while an unfinished job names it.
+		if e.Job.Phase != workload.Active && len(cache.Dependents[id]) == 0 {
+			terminal = append(terminal, e)
 		}
 	}
-	most := min(len(over)-keep, c.config.Settings.StateLimits().TxnOps/2)
-	if most <= 0 {
-		return
+	// Two operations a job, besides the guards.
+	count := min(len(terminal)-a.config.MaxCachedTerminalJobs(), a.config.Settings.StateLimits().TxnOps/2)
+	if count <= 0 {
+		return nil
 	}
 	// Jobs that one transaction ended have the same revision: without the id, map order would decide.
-	slices.SortFunc(over, func(x, y *storage.JobEntry) int {
+	slices.SortFunc(terminal, func(x, y *storage.JobEntry) int {
 		return cmp.Or(cmp.Compare(x.ModRevision, y.ModRevision), cmp.Compare(x.Job.ID, y.Job.ID))
 	})
-	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.leaderCompare()}}
-	for _, e := range over[:most] {
-		if e.ModRevision > a.revisionTimes[0].revision {
+	return terminal[:count]
+}
+
+// request moves those records, ordered by revision, that are not newer than a revision.
+func (a *archiver) request(entries []*storage.JobEntry, revision uint64) *storage.Request {
+	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{a.view.LeaderCompare()}}
+	for _, e := range entries {
+		if e.ModRevision > revision {
 			break
 		}
-		key := c.keys.Job(e.Job.ID)
+		key := a.keys.Job(e.Job.ID)
 		r.Compares = append(r.Compares, storage.Compare{Key: key, ModRevision: e.ModRevision})
-		r.Puts = append(r.Puts, storage.Put{Key: c.keys.Archive(e.Job.ID), Value: storage.Encode(e.Job)})
+		r.Puts = append(r.Puts, storage.Put{Key: a.keys.Archive(e.Job.ID), Value: storage.Encode(e.Job)})
 		r.Deletes = append(r.Deletes, key)
 	}
-	if len(r.Puts) == 0 {
-		return
-	}
-	a.txnInFlight = c.callStore(r, storage.Deferrable, storeTimeout, func(*storage.Reply) {
-		a.txnInFlight = false
-		a.nextRunAt = c.now + max(archiveInterval, micros.FromSeconds(float64(r.Writes())*archiveWriteDivisor/c.config.Settings.StateLimits().WriteRPS))
-	})
+	return r
 }
 
 // maxArchivedCache bounds the records read from the archive that are kept: a submission that names
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -142,7 +142,7 @@
 		Keys: keys, TermLength: cfg.LeadershipTerm(), WatchInterval: watchInterval(cfg),
 	})
 	c.cache, c.term = c.replica.Cache(), c.replica.Term()
-	c.leader.scaling.capacity = provisioning.NewCapacityTracker()
+	c.leader = newClusterLeader(clusterView{environment{c}}, cfg, c.process, keys, c.peers)
 	return c
 }
 
--- a/internal/coordination/format_upgrade.go
+++ b/internal/coordination/format_upgrade.go
@@ -1,48 +1,65 @@
 package coordination
 
 import (
+	"pipitlatch/internal/config"
 	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 )
 
-// formatUpgradeInterval is how often the cluster leader tries to raise the record format.
+// formatUpgradeInterval is how long after an attempt to write the format the next is made.
 const formatUpgradeInterval = micros.Second
 
-// upgradeFormat writes, as the cluster leader, that records of this version's format may be
-// written, once every member of the settings was registered with a version that reads them: until
-// then an older one may still become partition leader, and would start a job without regard to
-// its dependencies.
-func (c *Core) upgradeFormat() {
-	upgrade := &c.leader.formatUpgrade
-	if c.cache.Format >= storage.Format || upgrade.inFlight || c.now < upgrade.retryAt {
+// formatUpgrade allows newer forms of records.
+type formatUpgrade struct {
+	view    leaderView
+	keys    storage.Keys
+	members []string // all that are configured
+
+	inFlight bool
+	retryAt  micros.Time
+}
+
+func newFormatUpgrade(view leaderView, cfg *config.Config, process storage.Process, keys storage.Keys) *formatUpgrade {
+	members := []string{process.Member}
+	for _, peer := range cfg.Peers {
+		members = append(members, peer.Member)
+	}
+	return &formatUpgrade{view: view, keys: keys, members: members}
+}
+
+func (u *formatUpgrade) begin() { u.inFlight = false }
+
+// tick writes the format once every configured member was registered with a version that reads
+// it: until then an older one may still become partition leader, and would start a job without
+// regard to its dependencies.
+func (u *formatUpgrade) tick() {
+	if u.view.Cache().Format >= storage.Format || u.inFlight || u.view.Now() < u.retryAt {
 		return
 	}
-	if !c.allMembersReadFormat() {
+	if !u.allMembersReadFormat() {
 		return
 	}
-	upgrade.retryAt = c.now + formatUpgradeInterval
-	upgrade.inFlight = c.callStore(&storage.Request{
+	u.retryAt = u.view.Now() + formatUpgradeInterval
+	r := &storage.Request{
 		Kind:     storage.Txn,
-		Compares: []storage.Compare{c.leaderCompare()},
-		Puts:     []storage.Put{{Key: c.keys.Format(), Value: storage.Encode(map[string]int{"v": storage.Format})}},
-	}, storage.Urgent, storeTimeout, func(r *storage.Reply) {
-		upgrade.inFlight = false
+		Compares: []storage.Compare{u.view.LeaderCompare()},
+		Puts:     []storage.Put{{Key: u.keys.Format(), Value: storage.Encode(map[string]int{"v": storage.Format})}},
+	}
+	u.inFlight = u.view.CallStore(r, storage.Urgent, storeTimeout, func(r *storage.Reply) {
+		u.inFlight = false
 		if r.Outcome == storage.OK {
-			c.log(messages.LevelInfo, "record format upgraded", "format", storage.Format)
+			u.view.Log(messages.LevelInfo, "record format upgraded", "format", storage.Format)
 		}
 	})
 }
 
-// allMembersReadFormat tells whether every member of the settings was registered with a version
-// that reads this version's records.
-func (c *Core) allMembersReadFormat() bool {
-	members := []string{c.process.Member}
-	for _, peer := range c.config.Peers {
-		members = append(members, peer.Member)
-	}
-	for _, member := range members {
-		if c.cache.Members[member].ModRevision == 0 || c.cache.MemberFormats[member] < storage.Format {
+// allMembersReadFormat tells whether every configured member was registered with a version that
+// reads this version's records.
+func (u *formatUpgrade) allMembersReadFormat() bool {
+	cache := u.view.Cache()
+	for _, member := range u.members {
+		if cache.Members[member].ModRevision == 0 || cache.MemberFormats[member] < storage.Format {
 			return false
 		}
 	}
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -19,7 +19,7 @@
 	if !ok {
 		switch l := c.cache.ClusterLeader; {
 		case c.isClusterLeader():
-			c.leader.heardFromUnmanaged(c, r)
+			c.leader.heardFromUnmanaged(r)
 			c.respondUnavailable(in.Request, "unknown machine")
 		case l.ModRevision != 0 && l.Value.Member != c.process.Member && !c.isolated():
 			c.respond(messages.Response{Request: in.Request, Kind: messages.HeartbeatRedirected, RedirectTo: l.Value.Member})
--- /dev/null
+++ b/internal/coordination/machine_transfers.go
@@ -0,0 +1,76 @@
+package coordination
+
+import (
+	"slices"
+
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/coordination/provisioning"
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/storage"
+)
+
+// transferInterval is how long after one transfer the next is looked for: by then the
+// partitions' statuses show it.
+const transferInterval = 2 * micros.Second
+
+// transferView is what transfers need of the core.
+type transferView interface {
+	partitionsView
+	Now() micros.Time
+	Cache() *storage.Cache
+	// SendStatusSoon makes the next status message, which carries transfers, an early one.
+	SendStatusSoon()
+}
+
+// machineTransfers asks partition leaders to transfer idle machines to partitions that lack
+// capacity.
+type machineTransfers struct {
+	view    transferView
+	pending map[string][]messages.MachineTransfer // by member, for the next status message
+	nextAt  micros.Time
+}
+
+// tick asks for one transfer, if there is any to be made.
+func (t *machineTransfers) tick() {
+	if t.view.Now() < t.nextAt || t.view.PartitionCount() < 2 {
+		return
+	}
+	t.nextAt = t.view.Now() + transferInterval
+	statuses := t.view.PartitionStatuses()
+	for i := range statuses {
+		needy := &statuses[i]
+		if len(needy.CapacityRequests) == 0 {
+			continue
+		}
+		for j := range statuses {
+			if machine, ok := t.idleMachine(&statuses[j], needy); ok {
+				t.request(statuses[j].Partition, messages.MachineTransfer{Machine: machine, ToPartition: needy.Partition})
+				return
+			}
+		}
+	}
+}
+
+// idleMachine is a machine that one partition does not need and another can use.
+func (t *machineTransfers) idleMachine(from, needy *messages.PartitionStatus) (string, bool) {
+	if from.Partition == needy.Partition || len(from.CapacityRequests) > 0 {
+		return "", false
+	}
+	allowsSpot := slices.ContainsFunc(needy.CapacityRequests, func(r provisioning.CapacityRequest) bool { return r.Spot })
+	for _, name := range from.Idle {
+		if machine, ok := t.view.Cache().Machines[name]; ok && (allowsSpot || !machine.Value.Spot) {
+			return name, true
+		}
+	}
+	return "", false
+}
+
+// request puts a transfer into the next status message to the partition's leader.
+func (t *machineTransfers) request(from int, transfer messages.MachineTransfer) {
+	leader := t.view.Cache().Partitions[from].Value.Leader.Member
+	if t.pending == nil {
+		t.pending = map[string][]messages.MachineTransfer{}
+	}
+	t.pending[leader] = append(t.pending[leader], transfer)
+	t.view.SendStatusSoon()
+}
--- a/internal/coordination/orphans.go
+++ b/internal/coordination/orphans.go
@@ -1,55 +1,30 @@
 package coordination
 
 import (
-	"fmt"
 	"maps"
 	"slices"
-	"strings"
 
 	"pipitlatch/internal/coordination/messages"
-
 	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 )
 
-// heardFromUnmanaged takes a machine that reports and has no block: a rental executed late, or
-// one whose answer was lost. The report may be a late copy from a machine that was
-// deleted under an earlier leader: as a machine that had no task it holds up no
-// planning, and as one that does not answer it is soon deleted again.
-func (l *clusterLeader) heardFromUnmanaged(c *Core, r *messages.Heartbeat) {
-	c.addOrphan(r.Machine, r.Address, provisioning.InstanceKind{InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot})
-}
-
-// addOrphan notes a machine that is to be assigned to the queue with the
-// greatest need. It has had no task: only machines of a block get any, and they
-// leave it only when they are gone.
-func (c *Core) addOrphan(id, address string, o provisioning.InstanceKind) {
-	l := &c.leader
-	if _, gone := l.termination.confirmed[id]; gone || !c.isClusterLeader() || l.revision != c.cache.ClusterLeader.ModRevision {
-		return
-	}
-	if _, known := c.cache.Machines[id]; !known {
-		l.adoption.orphans[id] = orphan{o, address}
-	}
-}
+const (
+	// adoptionInterval lets unmanaged instances found one after the other share a block.
+	adoptionInterval = 500 * micros.Millisecond
+	// adoptionTimeout is how long after a write without an answer the next is sent.
+	adoptionTimeout = storeTimeout + micros.Second
+)
 
-// requestOpenFor tells whether a rental of the offer is open: a machine that reports may be
-// one of those it brings, up before the cloud's answer. It is taken into the rental's
-// block then. Adopted as well, it would be in two blocks, and what one record says of it
-// (that it has had tasks) would be hidden by the other.
-func (c *Core) requestOpenFor(o provisioning.InstanceKind) bool {
-	for _, out := range c.leader.scaling.requestsInFlight {
-		if out == o {
-			return true
-		}
-	}
-	for _, b := range c.cache.Blocks {
-		if v := b.Value; v.Requested > 0 && v.InstanceType == o.InstanceType && v.Zone == o.Zone && v.Spot == o.Spot {
-			return true
-		}
-	}
-	return false
+// adoptionView is what the adoption of orphans needs of the core.
+type adoptionView interface {
+	leaderView
+	blockView
+	// PartitionStatuses are what the present partition leaders last said.
+	PartitionStatuses() []messages.PartitionStatus
+	// IsClusterLeader tells whether this process is the cluster leader.
+	IsClusterLeader() bool
 }
 
 // orphan is a machine without a block.
@@ -58,79 +33,126 @@
 	address string
 }
 
-// adoptionInterval lets machines found one after the other share a block.
-const adoptionInterval = 500 * micros.Millisecond
+// orphanAdoption writes unmanaged instances into blocks: those of an instance request executed
+// late, or one whose answer was lost.
+type orphanAdoption struct {
+	view       adoptionView
+	keys       storage.Keys
+	term       *leaderTerm
+	terminated *provisioning.TerminatedInstances
+	scaling    *scaleOut
+
+	orphans map[string]orphan
+	nextAt  micros.Time
+	name    string // of a block whose write was not answered
+}
+
+func newOrphanAdoption(view adoptionView, keys storage.Keys, term *leaderTerm,
+	terminated *provisioning.TerminatedInstances, scaling *scaleOut) *orphanAdoption {
+	return &orphanAdoption{view: view, keys: keys, term: term, terminated: terminated, scaling: scaling}
+}
+
+func (a *orphanAdoption) begin() { a.orphans, a.name = map[string]orphan{}, "" }
+
+// heardFromUnmanaged takes a machine that sent a heartbeat and has no block. The heartbeat may be
+// a late copy from a machine that was terminated under an earlier cluster leader: as a machine
+// that had no task it holds up no planning, and as one that does not answer it is soon
+// terminated again.
+func (l *clusterLeader) heardFromUnmanaged(r *messages.Heartbeat) {
+	kind := provisioning.InstanceKind{InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot}
+	l.adoption.add(r.Machine, r.Address, kind)
+}
+
+// add notes a machine that is to be assigned to the partition that lacks most. It has had no
+// task: only machines of a block get any, and they leave it only when they are gone.
+func (a *orphanAdoption) add(machine, address string, kind provisioning.InstanceKind) {
+	if a.terminated.Contains(machine) || !a.view.IsClusterLeader() ||
+		a.term.revision != a.view.Cache().ClusterLeader.ModRevision {
+		return
+	}
+	if _, recorded := a.view.Cache().Machines[machine]; !recorded {
+		a.orphans[machine] = orphan{kind, address}
+	}
+}
 
-// adoptOrphans makes blocks of the machines found.
-func (c *Core) adoptOrphans() {
-	l := &c.leader
-	if len(l.adoption.orphans) == 0 || c.now < l.adoption.nextAt {
+// tick writes a block of the orphans of one kind.
+func (a *orphanAdoption) tick() {
+	if len(a.orphans) == 0 || a.view.Now() < a.nextAt {
 		return
 	}
-	l.adoption.nextAt = c.now + adoptionInterval
-	if c.cache.Revision < l.scaling.provisionedRevision {
-		return // a rental may have become a block that is not seen yet
+	a.nextAt = a.view.Now() + adoptionInterval
+	if a.view.Cache().Revision < a.scaling.provisionedRevision {
+		return // an instance request may have become a block that is not seen yet
+	}
+	blocks := a.blocks()
+	if kinds := slices.SortedFunc(maps.Keys(blocks), provisioning.InstanceKind.Compare); len(kinds) > 0 {
+		a.adopt(blocks[kinds[0]])
 	}
+}
+
+// blocks are those that the orphans may be written into, by kind. Those that are recorded by now,
+// or gone, are forgotten.
+func (a *orphanAdoption) blocks() map[provisioning.InstanceKind]storage.BlockRecord {
 	blocks := map[provisioning.InstanceKind]storage.BlockRecord{}
-	for _, id := range sortedKeys(l.adoption.orphans) {
-		o := l.adoption.orphans[id]
-		_, known := c.cache.Machines[id]
-		_, gone := l.termination.confirmed[id]
-		if known || gone {
-			delete(l.adoption.orphans, id)
+	for _, name := range sortedKeys(a.orphans) {
+		orphan := a.orphans[name]
+		if _, recorded := a.view.Cache().Machines[name]; recorded || a.terminated.Contains(name) {
+			delete(a.orphans, name)
 			continue
 		}
-		if c.requestOpenFor(o.InstanceKind) {
+		if a.scaling.requestOpenFor(orphan.InstanceKind) {
 			continue
 		}
-		b, ok := blocks[o.InstanceKind]
+		block, ok := blocks[orphan.InstanceKind]
 		if !ok {
-			b = storage.BlockRecord{Partition: c.partitionWithMostNeed(), InstanceType: o.InstanceType, Zone: o.Zone, Spot: o.Spot}
+			block = storage.BlockRecord{
+				Partition:    a.partitionLackingMost(),
+				InstanceType: orphan.InstanceType, Zone: orphan.Zone, Spot: orphan.Spot,
+			}
 		}
-		if len(b.Machines) < c.maxBlockMachines() {
-			blocks[o.InstanceKind] = b.With(id, storage.MachineRecord{Address: o.address})
+		if len(block.Machines) < a.view.MaxBlockMachines() {
+			blocks[orphan.InstanceKind] = block.With(name, storage.MachineRecord{Address: orphan.address})
 		}
 	}
-	if offers := slices.SortedFunc(maps.Keys(blocks), provisioning.InstanceKind.Compare); len(offers) > 0 {
-		c.adoptBlock(blocks[offers[0]])
-	}
+	return blocks
 }
 
-// adoptBlock writes a block of machines found. One at a time, and one whose answer was lost
-// again under its own key until that is known to be taken: else both may be carried out, and
-// a machine come into two blocks.
-func (c *Core) adoptBlock(b storage.BlockRecord) {
-	l := &c.leader
-	if l.adoption.key == "" {
-		l.nameCounter++
-		l.adoption.key = c.keys.Block(fmt.Sprintf("a%d-%d", l.revision, l.nameCounter))
+// adopt writes a block of orphans. One at a time, and one whose answer was lost again under its
+// own name until that is known to be taken: else both may be carried out, and a machine come
+// into two blocks.
+func (a *orphanAdoption) adopt(block storage.BlockRecord) {
+	if a.name == "" {
+		a.name = a.term.uniqueName("a")
 	}
-	key := l.adoption.key
-	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.leaderCompare(), {Key: key}}}
-	c.putBlock(r, strings.TrimPrefix(key, c.keys.Block("")), b)
-	l.adoption.nextAt = c.now + storeTimeout + micros.Second
-	c.log(messages.LevelInfo, "unmanaged instances adopted", "instance_type", b.InstanceType, "zone", b.Zone, "spot", b.Spot, "count", len(b.Machines), "partition", b.Partition)
-	if !c.callStore(r, storage.Urgent, storeTimeout, func(reply *storage.Reply) {
-		l.adoption.nextAt = c.now + adoptionInterval
+	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{
+		a.view.LeaderCompare(), {Key: a.keys.Block(a.name)},
+	}}
+	a.view.PutBlock(r, a.name, block)
+	a.nextAt = a.view.Now() + adoptionTimeout
+	a.view.Log(messages.LevelInfo, "unmanaged instances adopted", "instance_type", block.InstanceType,
+		"zone", block.Zone, "spot", block.Spot, "count", len(block.Machines), "partition", block.Partition)
+	if !a.view.CallStore(r, storage.Urgent, storeTimeout, func(reply *storage.Reply) {
+		a.nextAt = a.view.Now() + adoptionInterval
 		if reply.Outcome == storage.OK || reply.Outcome == storage.Conflict {
-			l.adoption.key = ""
-			l.scaling.provisionedRevision = max(l.scaling.provisionedRevision, reply.Revision)
+			a.name = ""
+			a.scaling.provisioned(reply.Revision)
 		}
 	}) {
-		l.adoption.nextAt = c.now + adoptionInterval
+		a.nextAt = a.view.Now() + adoptionInterval
 	}
 }
 
-func (c *Core) partitionWithMostNeed() int {
-	best, most := 0, -1
-	for _, q := range c.partitionStatuses() {
-		n := 0
-		for _, need := range q.CapacityRequests {
-			n += need.Count
+// partitionLackingMost is the partition that lacks capacity for the most tasks.
+func (a *orphanAdoption) partitionLackingMost() int {
+	partition, most := 0, -1
+	for _, status := range a.view.PartitionStatuses() {
+		tasks := 0
+		for i := range status.CapacityRequests {
+			tasks += status.CapacityRequests[i].Count
 		}
-		if n > most {
-			best, most = q.Partition, n
+		if tasks > most {
+			partition, most = status.Partition, tasks
 		}
 	}
-	return best
+	return partition
 }
