--- a/internal/coordination/archiver.go
+++ b/internal/coordination/archiver.go
@@ -128,12 +128,16 @@
 	return r
 }
 
-// maxArchivedCache bounds the records read from the archive that are kept: a submission that names
-// many such jobs gets on from one repeat to the next.
-const maxArchivedCache = 4096
+const (
+	// maxArchivedCache bounds the records read from the archive that are kept: a submission that
+	// names many such jobs gets on from one repeat to the next.
+	maxArchivedCache = 4096
+	// archiveReadTimeout is how long a record from the archive is waited for.
+	archiveReadTimeout = micros.Second
+)
 
 // lookupArchived looks a job up that is not in memory, and calls then with its record, nil
-// if there is none. The replica must be fresh: a job that was open or kept then, and
+// if there is none. The cache must be fresh: a job that was open or kept then, and
 // is in the archive now, is found; one that is neither was never accepted.
 func (c *Core) lookupArchived(id string, then func(e *storage.JobEntry, ok bool)) {
 	if !c.cache.Archived {
@@ -144,7 +148,8 @@
 		then(e, true) // it cannot change any more
 		return
 	}
-	if !c.callStore(&storage.Request{Kind: storage.Get, Key: c.keys.Archive(id)}, storage.Deferrable, micros.Second, func(r *storage.Reply) {
+	request := &storage.Request{Kind: storage.Get, Key: c.keys.Archive(id)}
+	if !c.callStore(request, storage.Deferrable, archiveReadTimeout, func(r *storage.Reply) {
 		switch {
 		case r.Outcome == storage.NotFound:
 			then(nil, true)
@@ -153,10 +158,7 @@
 			if err != nil {
 				c.log(messages.LevelWarn, "undecodable record", "err", err)
 			} else {
-				if len(c.archivedJobs) >= maxArchivedCache {
-					clear(c.archivedJobs)
-				}
-				c.archivedJobs[id] = e
+				c.keepArchived(id, e)
 			}
 			then(e, err == nil)
 		default:
@@ -167,5 +169,12 @@
 	}
 }
 
+func (c *Core) keepArchived(id string, e *storage.JobEntry) {
+	if len(c.archivedJobs) >= maxArchivedCache {
+		clear(c.archivedJobs)
+	}
+	c.archivedJobs[id] = e
+}
+
 // CachedJobs is how many jobs this controller keeps in memory.
 func (c *Core) CachedJobs() int { return len(c.cache.Jobs) }
