--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"pipitlatch/internal/config"
+	"pipitlatch/internal/coordination/election"
 	"pipitlatch/internal/coordination/leadership"
 	"pipitlatch/internal/coordination/membership"
 	"pipitlatch/internal/coordination/messages"
@@ -44,7 +45,7 @@
 	replica      *replication.Replica
 	cache        *storage.Cache   // the replica's, until it loads another
 	term         *leadership.Term // the replica's
-	election     campaignState
+	election     *election.Election
 
 	catalog     workload.Catalog
 	catalogSync catalogSync
@@ -138,6 +139,7 @@
 	c.health = membership.NewHealth(c.peers)
 	leaseTTL := micros.Time(cfg.Operator.PermitMs) * micros.Millisecond
 	c.member = membership.NewMember(environment{c}, c.process, keys, leaseTTL)
+	c.election = election.New(environment{c}, c.member, c.process, keys)
 	c.replica = replication.New(environment{c}, replicaObserver{c}, replication.Settings{
 		Keys: keys, TermLength: cfg.LeadershipTerm(), WatchInterval: watchInterval(cfg),
 	})
@@ -266,8 +268,8 @@
 	c.replica.Refresh()
 	if c.replica.Synced() {
 		c.member.Register(c.cache)
+		c.election.Campaign(c.cache)
 	}
-	c.campaign()
 	c.replica.AdvanceReads()
 	c.refreshCatalog()
 	c.persistCatalog()
@@ -306,6 +308,12 @@
 // storeReachable reports whether this controller can serve users now.
 func (c *Core) storeReachable() bool { return c.replica.Current() && c.catalog != nil }
 
+// isClusterLeader reports whether this process is the cluster leader, as far as it can know.
+func (c *Core) isClusterLeader() bool { return c.replica.Synced() && c.election.Leads(c.cache) }
+
+// leaderCompare guards every transaction of the cluster leader: they may be applied late.
+func (c *Core) leaderCompare() storage.Compare { return c.election.Compare(c.cache) }
+
 // isolated reports whether this controller's view may be outdated, whatever it says.
 func (c *Core) isolated() bool { return c.health.Isolated(c.now, c.replica.Stale()) }
 
--- a/internal/coordination/store_changes.go
+++ b/internal/coordination/store_changes.go
@@ -83,44 +83,6 @@
 	}
 }
 
-// campaignState paces the campaign for cluster leadership.
-type campaignState struct {
-	inFlight bool
-	retryAt  micros.Time
-}
-
-func (c *Core) campaign() {
-	if !c.replica.Synced() || c.member.LeaseID() == 0 || c.election.inFlight || c.now < c.election.retryAt || !c.cache.Live(c.process) {
-		return
-	}
-	// The key of a leader whose member runs a newer process stays until its permit
-	// ends: that process is surely dead, so its key can be taken over at once.
-	if l := c.cache.ClusterLeader; l.ModRevision != 0 && !c.cache.Dead(l.Value) {
-		return
-	}
-	c.election.inFlight = c.callStore(&storage.Request{Kind: storage.Txn,
-		Compares: []storage.Compare{{Key: c.keys.ClusterLeader(), ModRevision: c.cache.ClusterLeader.ModRevision}},
-		Puts:     []storage.Put{{Key: c.keys.ClusterLeader(), Value: storage.Encode(c.process), Lease: c.member.LeaseID()}},
-	}, storage.Urgent, storeTimeout, func(r *storage.Reply) {
-		c.election.inFlight = false
-		c.election.retryAt = c.now + 300*micros.Millisecond
-		if r.Outcome == storage.LeaseNotFound {
-			c.member.LeaseNotFound()
-		}
-	})
-}
-
-// isClusterLeader tells whether this process is the leader, as far as it can know.
-func (c *Core) isClusterLeader() bool {
-	return c.replica.Synced() && c.cache.ClusterLeader.ModRevision != 0 && c.cache.ClusterLeader.Value == c.process
-}
-
-// leaderCompare is the condition of every transaction of the leader: they may be
-// applied late.
-func (c *Core) leaderCompare() storage.Compare {
-	return storage.Compare{Key: c.keys.ClusterLeader(), ModRevision: c.cache.ClusterLeader.ModRevision}
-}
-
 // partitionChanged takes a change of a partition's leader or fencing token.
 func (c *Core) partitionChanged(n int) {
 	v, ok := c.cache.Partitions[n]
