--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -11,6 +11,7 @@
 	"pipitlatch/internal/coordination/membership"
 	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/coordination/provisioning"
+	"pipitlatch/internal/coordination/reachability"
 	"pipitlatch/internal/coordination/replication"
 	"pipitlatch/internal/coordination/txnbackoff"
 	"pipitlatch/internal/micros"
@@ -64,7 +65,7 @@
 	runtimes        *workload.RuntimeStats
 	faults          *provisioning.FaultTracker
 	spot            spotLosses
-	reachability    reachabilityProbe
+	reachability    *reachability.Probe
 	fair            *fairAdmission   // nil: off
 	lastPlanned     *partitionLeader // that planned in the last step
 }
@@ -138,6 +139,7 @@
 	c.peers = membership.NewPeers(cfg.Member, expected)
 	c.health = membership.NewHealth(c.peers)
 	leaseTTL := micros.Time(cfg.Operator.PermitMs) * micros.Millisecond
+	c.reachability = reachability.NewProbe(environment{c}, func() { c.status.soon = true })
 	c.member = membership.NewMember(environment{c}, c.process, keys, leaseTTL)
 	c.election = election.New(environment{c}, c.member, c.process, keys)
 	c.replica = replication.New(environment{c}, replicaObserver{c}, replication.Settings{
@@ -330,7 +332,7 @@
 		return
 	}
 	c.status.sentAt, c.status.soon = c.now, false
-	s := &messages.PeerStatus{From: c.process, Revision: c.cache.Revision, StoreReachable: c.storeReachable(), Usage: c.storeLimiter.RecentUsage(), Reachability: c.reachability.report(c.now)}
+	s := &messages.PeerStatus{From: c.process, Revision: c.cache.Revision, StoreReachable: c.storeReachable(), Usage: c.storeLimiter.RecentUsage(), Reachability: c.reachability.Report()}
 	c.storeLimiter.SetPeerUsage(c.peers.StoreUsage(c.now))
 	for _, n := range sortedKeys(c.partitions) {
 		h := c.partitions[n]
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -1,10 +1,9 @@
 package coordination
 
 import (
-	"slices"
-
 	"pipitlatch/internal/coordination/failuredetector"
 	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/coordination/reachability"
 	"pipitlatch/internal/micros"
 )
 
@@ -50,12 +49,10 @@
 		if member == core.process.Member || core.now-peer.ReceivedAt > 2*micros.Second {
 			continue
 		}
-		i := slices.IndexFunc(peer.Status.Reachability, func(z messages.ZoneReachability) bool {
-			return z.Partition == v.leader.partition && z.Zone == zone
-		})
-		if i < 0 {
+		result, found := reachability.ProbeResult(peer.Status, v.leader.partition, zone)
+		if !found {
 			verdict.Pending++
-		} else if z := peer.Status.Reachability[i]; z.Answered*2 >= z.Probed {
+		} else if reachability.Reached(result) {
 			verdict.Reached = true
 		}
 	}
@@ -148,7 +145,7 @@
 // did not hear.
 func (p *partitionLeader) inheritUnreachableZones() {
 	for _, peer := range p.core.peers.All() {
-		if p.core.now-peer.ReceivedAt > probeResultTTL {
+		if p.core.now-peer.ReceivedAt > reachability.ResultTTL {
 			continue
 		}
 		for _, status := range peer.Status.Partitions {
--- /dev/null
+++ b/internal/coordination/reachability/probe.go
@@ -0,0 +1,124 @@
+package reachability
+
+import (
+	"maps"
+	"slices"
+
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/storage"
+)
+
+const (
+	// ResultTTL is how long the results of a probe count.
+	ResultTTL = 4 * micros.Second
+
+	// maxZoneSample is how many machines of a zone are probed; some may have failed.
+	maxZoneSample = 8
+	// probeInterval is how often they are probed while their partition leader does not hear them.
+	probeInterval = 2 * micros.Second
+	probeTimeout  = micros.Second
+)
+
+// Environment is what a probe asks of the core.
+type Environment interface {
+	Now() micros.Time
+	CallAgent(call messages.AgentCall, done func(*messages.AgentReply))
+}
+
+// Probe asks machines that their partition leader does not hear for their heartbeats.
+type Probe struct {
+	environment Environment
+	onCompleted func()
+
+	results       []messages.ZoneReachability
+	callsInFlight int
+	sentAt        micros.Time // 0: never
+	completedAt   micros.Time // 0: never
+}
+
+// NewProbe returns a probe that calls onCompleted when all calls of a round have completed.
+func NewProbe(environment Environment, onCompleted func()) *Probe {
+	return &Probe{environment: environment, onCompleted: onCompleted}
+}
+
+// Due tells whether a round may be sent now: none is in flight, and the last is long enough ago.
+func (p *Probe) Due() bool {
+	return p.callsInFlight == 0 && (p.sentAt == 0 || p.environment.Now()-p.sentAt >= probeInterval)
+}
+
+// Send starts a round: it probes the samples, and forgets the results of the round before.
+func (p *Probe) Send(samples []ZoneSample) {
+	p.results, p.sentAt = nil, p.environment.Now()
+	for _, sample := range samples {
+		p.results = append(p.results, messages.ZoneReachability{
+			Partition: sample.Partition, Zone: sample.Zone, Probed: len(sample.Machines),
+		})
+		index := len(p.results) - 1
+		for _, machine := range sample.Machines {
+			p.call(machine, index)
+		}
+	}
+}
+
+// call probes one machine for the result with an index.
+func (p *Probe) call(machine Endpoint, index int) {
+	p.callsInFlight++
+	p.environment.CallAgent(messages.AgentCall{
+		Machine: machine.ID, Address: machine.Address, StatusOnly: true, Timeout: probeTimeout,
+	}, func(reply *messages.AgentReply) {
+		// Another machine may have the address by now.
+		if reply.Heartbeat != nil && reply.Heartbeat.Machine == machine.ID {
+			p.results[index].Answered++
+		}
+		p.callsInFlight--
+		if p.callsInFlight == 0 {
+			p.completedAt = p.environment.Now()
+			p.onCompleted()
+		}
+	})
+}
+
+// Report is what the peers are told: the results of the last round, if it is complete and recent.
+func (p *Probe) Report() []messages.ZoneReachability {
+	if p.callsInFlight > 0 || p.completedAt == 0 || p.environment.Now()-p.completedAt > ResultTTL {
+		return nil
+	}
+	return p.results
+}
+
+// Endpoint is a machine and the address of its agent.
+type Endpoint struct {
+	ID      string
+	Address string
+}
+
+// ZoneSample is the machines of a partition in one zone that are probed.
+type ZoneSample struct {
+	Partition int
+	Zone      string
+	Machines  []Endpoint
+}
+
+// Samples returns a sample of the machines in use of every zone of a partition, spread evenly over
+// their names.
+func Samples(cache *storage.Cache, partition int) []ZoneSample {
+	byZone := map[string][]Endpoint{}
+	for _, id := range slices.Sorted(maps.Keys(cache.Machines)) {
+		machine := cache.Machines[id].Value
+		if machine.Partition == partition && machine.Used && machine.Address != "" {
+			byZone[machine.Zone] = append(byZone[machine.Zone], Endpoint{ID: id, Address: machine.Address})
+		}
+	}
+	var samples []ZoneSample
+	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
+		all := byZone[zone]
+		sample := ZoneSample{Partition: partition, Zone: zone}
+		size := min(len(all), maxZoneSample)
+		for i := range size {
+			sample.Machines = append(sample.Machines, all[i*len(all)/size])
+		}
+		samples = append(samples, sample)
+	}
+	return samples
+}
