--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -5,17 +5,16 @@
 	"slices"
 	"testing"
 
-	"pipitlatch/internal/coordination/messages"
-
 	"pipitlatch/internal/admission"
 	"pipitlatch/internal/config"
+	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 	"pipitlatch/internal/workload"
 )
 
-// newFair is a core that serves, with fair admission, and one epoch in force that admits
-// nothing but a sliver.
+// newFair is a core that serves users, with fair admission, and one epoch in force that admits
+// almost nothing.
 func newFair(t *testing.T) *Core {
 	t.Helper()
 	cfg, err := config.Parse([]byte(benchSettings), []byte("fair_admission { enabled: true }"))
@@ -23,45 +22,74 @@
 		t.Fatal(err)
 	}
 	c := New(cfg, "1")
-	c.catalog = workload.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: workload.Resources{CPU: 8000, Mem: 32_000}}}
+	c.catalog = workload.Catalog{
+		"m": {Name: "m", Zones: []string{"a"}, Capacity: workload.Resources{CPU: 8000, Mem: 32_000}},
+	}
 	c.now, c.wall, c.output = micros.Second, micros.Second, &messages.Output{}
-	r := storage.NewCache(c.keys)
-	r.Revision = 10
-	epoch := &admission.Epoch{Number: 3, Leader: 2, Written: micros.Second, Length: 4 * micros.Second, Validity: 12 * micros.Second,
-		Rest: admission.Window{Start: 0, Width: 1}}
-	if _, _, err := r.Apply(storage.Item{Key: c.keys.Admission(), Value: storage.Encode(epoch), ModRevision: 9}); err != nil {
+	snapshot := storage.NewCache(c.keys)
+	snapshot.Revision = 10
+	epoch := testEpoch(3, micros.Second, admission.Window{Start: 0, Width: 1})
+	item := storage.Item{Key: c.keys.Admission(), Value: storage.Encode(epoch), ModRevision: 9}
+	if _, _, err := snapshot.Apply(item); err != nil {
 		t.Fatal(err)
 	}
-	c.replica.Install(r, micros.Second)
+	c.replica.Install(snapshot, micros.Second)
 	c.term.Confirm(c.now)
 	return c
 }
 
+// testEpoch is an epoch of the cluster leader with fencing token 2, of which all flows share one
+// window.
+func testEpoch(number uint64, written micros.Time, rest admission.Window) *admission.Epoch {
+	return &admission.Epoch{
+		Number:   number,
+		Leader:   2,
+		Written:  written,
+		Length:   4 * micros.Second,
+		Validity: 12 * micros.Second,
+		Rest:     rest,
+	}
+}
+
 func testJob(n int) *workload.Job {
-	return &workload.Job{ID: fmt.Sprintf("wk-%06d", n), Class: "c", Team: "alpha", Tasks: 1, Resources: workload.Resources{CPU: 1000, Mem: 1000}}
+	return &workload.Job{
+		ID:        fmt.Sprintf("wk-%06d", n),
+		Class:     "c",
+		Team:      "alpha",
+		Tasks:     1,
+		Resources: workload.Resources{CPU: 1000, Mem: 1000},
+	}
 }
 
-// ask submits a job and completes the reads of the state service that follow.
-func ask(c *Core, at micros.Time, job *workload.Job, complete func(*storage.Request) *storage.Reply) []messages.Response {
+// ask submits a job and completes the requests to the store that follow, at the same moment.
+func ask(
+	c *Core, at micros.Time, job *workload.Job, complete func(*storage.Request) *storage.Reply,
+) []messages.Response {
 	out := c.Step(at, at, &messages.Submit{Request: 1, ID: job.ID, Job: job})
-	answers := out.Responses
+	responses := out.Responses
 	for calls := out.StoreCalls; len(calls) > 0; {
 		call := calls[0]
 		calls = calls[1:]
 		if r := complete(call.Request); r != nil {
 			out := c.Step(at, at, &messages.StoreCompletion{Call: call.Call, Reply: r})
-			answers, calls = append(answers, out.Responses...), append(calls, out.StoreCalls...)
+			responses, calls = append(responses, out.Responses...), append(calls, out.StoreCalls...)
 		}
 	}
-	return answers
+	return responses
 }
 
-// TestRefusalIsLookedUpFirst: a job that another controller just took, or that was moved to
-// the archive, is answered as known though the epoch does not admit it; what is not known
-// gets its turn; and when that can't be found out, 503.
+// writesKey tells whether a request writes a key first of all.
+func writesKey(r *storage.Request, key string) bool {
+	return r.Kind == storage.Txn && len(r.Puts) > 0 && r.Puts[0].Key == key
+}
+
+// TestRefusalIsLookedUpFirst: a job that another controller just accepted, or that was archived, is
+// answered with its state though the epoch does not admit it; what is not known gets its turn; and
+// when that can't be found out, 503.
 func TestRefusalIsLookedUpFirst(t *testing.T) {
 	known := testJob(7)
-	for name, c := range map[string]struct {
+	done := storage.Encode(known.Tombstone(workload.Done))
+	for name, test := range map[string]struct {
 		archived bool
 		barrier  storage.Outcome
 		want     messages.ResponseKind
@@ -70,28 +98,31 @@
 		"in the archive":  {want: messages.JobFound, barrier: storage.NotFound, archived: true},
 		"cannot be found": {want: messages.ServiceUnavailable, barrier: storage.OutcomeUnknown},
 	} {
-		core := newFair(t)
-		core.cache.Archived = true
-		answers := ask(core, 2*micros.Second, known, func(r *storage.Request) *storage.Reply {
-			switch {
-			case r.Kind == storage.Get && r.Key == core.keys.ReadBarrier():
-				return &storage.Reply{Outcome: c.barrier, Revision: 10}
-			case r.Kind == storage.Get && c.archived:
-				return &storage.Reply{Outcome: storage.OK, Items: []storage.Item{{Key: r.Key, ModRevision: 5, Value: storage.Encode(known.Tombstone(workload.Done))}}}
-			case r.Kind == storage.Get:
-				return &storage.Reply{Outcome: storage.NotFound, Revision: 10}
-			case r.Kind == storage.Txn && len(r.Puts) > 0 && r.Puts[0].Key == core.keys.Job(known.ID):
-				t.Errorf("%s: it is stored though it is not admitted", name)
-			}
-			return nil
+		t.Run(name, func(t *testing.T) {
+			core := newFair(t)
+			core.cache.Archived = true
+			responses := ask(core, 2*micros.Second, known, func(r *storage.Request) *storage.Reply {
+				switch {
+				case r.Kind == storage.Get && r.Key == core.keys.ReadBarrier():
+					return &storage.Reply{Outcome: test.barrier, Revision: 10}
+				case r.Kind == storage.Get && test.archived:
+					item := storage.Item{Key: r.Key, ModRevision: 5, Value: done}
+					return &storage.Reply{Outcome: storage.OK, Items: []storage.Item{item}}
+				case r.Kind == storage.Get:
+					return &storage.Reply{Outcome: storage.NotFound, Revision: 10}
+				case writesKey(r, core.keys.Job(known.ID)):
+					t.Error("it is stored though it is not admitted")
+				}
+				return nil
+			})
+			if len(responses) != 1 || responses[0].Kind != test.want {
+				t.Fatalf("%+v", responses)
+			}
+			after := responses[0].RetryAfter
+			if test.want == messages.Overloaded && (after < micros.Second || after > admission.MaxTurn) {
+				t.Errorf("come back after %d", after)
+			}
 		})
-		if len(answers) != 1 || answers[0].Kind != c.want {
-			t.Errorf("%s: %+v", name, answers)
-			continue
-		}
-		if a := answers[0]; a.Kind == messages.Overloaded && (a.RetryAfter < micros.Second || a.RetryAfter > admission.MaxTurn) {
-			t.Errorf("%s: come back after %d", name, a.RetryAfter)
-		}
 	}
 }
 
@@ -102,30 +133,30 @@
 		"it ended": func(c *Core) { c.now += 13 * micros.Second; c.term.Confirm(c.now) },
 		"off":      func(c *Core) { c.fair = nil },
 	} {
-		c := newFair(t)
-		change(c)
-		stored := false
-		ask(c, c.now, testJob(7), func(r *storage.Request) *storage.Reply {
-			stored = stored || (r.Kind == storage.Txn && len(r.Puts) > 0 && r.Puts[0].Key == c.keys.Job("wk-000007"))
-			return nil
+		t.Run(name, func(t *testing.T) {
+			c := newFair(t)
+			change(c)
+			stored := false
+			ask(c, c.now, testJob(7), func(r *storage.Request) *storage.Reply {
+				stored = stored || writesKey(r, c.keys.Job("wk-000007"))
+				return nil
+			})
+			if !stored {
+				t.Error("not stored")
+			}
 		})
-		if !stored {
-			t.Errorf("%s: not stored", name)
-		}
 	}
 }
 
-// TestCancellationsAreNotJudged: cancellations and questions never meet a verdict.
+// TestCancellationsAreNotJudged: cancellations and look-ups never meet a verdict.
 func TestCancellationsAreNotJudged(t *testing.T) {
 	c := newFair(t)
 	job := testJob(8)
-	if _, _, err := c.cache.Apply(storage.Item{Key: c.keys.Job(job.ID), Value: storage.Encode(job), ModRevision: 11}); err != nil {
-		t.Fatal(err)
-	}
+	cacheJob(t, c, job, 11)
 	out := c.Step(c.now, c.now, &messages.Cancel{Request: 1, ID: job.ID})
 	cancelled := false
 	for _, call := range out.StoreCalls {
-		cancelled = cancelled || (call.Request.Kind == storage.Txn && len(call.Request.Puts) > 0 && call.Request.Puts[0].Key == c.keys.Job(job.ID))
+		cancelled = cancelled || writesKey(call.Request, c.keys.Job(job.ID))
 	}
 	if !cancelled {
 		t.Errorf("%+v", out)
@@ -144,8 +175,8 @@
 			t.Fatal(err)
 		}
 		c.admissionChanged(c.now)
-		for _, l := range c.output.LogRecords {
-			if l.Level >= messages.LevelWarn {
+		for _, record := range c.output.LogRecords {
+			if record.Level >= messages.LevelWarn {
 				lines++
 			}
 		}
@@ -158,77 +189,223 @@
 	}
 }
 
-// TestEpochIsWrittenAsLeader: carried out late, or by a leader that was replaced, or over a
-// newer epoch, the write has no effect.
-func TestEpochIsWrittenAsLeader(t *testing.T) {
-	c := newFair(t)
-	c.cache.ClusterLeader = storage.Versioned[storage.Process]{Value: c.process, ModRevision: 4}
-	c.leader.revision = 4
-	c.now += 20 * micros.Second // the epoch that was there has ended
+// leadUnderOverload makes the core cluster leader, with a fencing token, at a time when the epoch
+// before has ended and submissions are refused.
+func leadUnderOverload(c *Core, fencingToken uint64) {
+	c.cache.ClusterLeader = storage.Versioned[storage.Process]{Value: c.process, ModRevision: fencingToken}
+	c.leader.revision = fencingToken
+	c.now += 20 * micros.Second
 	for i := range 3000 {
 		c.fair.tracker.Asked(c.now, admission.Flow{Team: "alpha", Class: "c"}, fmt.Sprintf("wk-%06d", i))
 		c.fair.tracker.Refused(c.now)
 	}
-	c.output = &messages.Output{}
+}
+
+// tickEpoch is the request by which an epoch is written at a time, and that epoch; nil: none is.
+func tickEpoch(t *testing.T, c *Core, now micros.Time) (*storage.Request, *admission.Epoch) {
+	t.Helper()
+	c.now, c.output = now, &messages.Output{}
 	c.tickAdmission()
-	if len(c.output.StoreCalls) != 1 {
+	switch len(c.output.StoreCalls) {
+	case 0:
+		return nil, nil
+	case 1:
+	default:
 		t.Fatalf("%d requests", len(c.output.StoreCalls))
 	}
 	r := c.output.StoreCalls[0].Request
-	want := []storage.Compare{{Key: c.keys.ClusterLeader(), ModRevision: 4}, {Key: c.keys.Admission(), ModRevision: 9}}
+	epoch, err := admission.Parse(r.Puts[0].Value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r, epoch
+}
+
+// TestEpochIsWrittenAsLeader: carried out late, or for a cluster leader that was replaced, or over a
+// newer epoch, the write has no effect.
+func TestEpochIsWrittenAsLeader(t *testing.T) {
+	c := newFair(t)
+	leadUnderOverload(c, 4)
+	r, epoch := tickEpoch(t, c, c.now)
+	if epoch == nil || epoch.Number != 4 || epoch.Leader != 4 {
+		t.Fatalf("%+v", epoch)
+	}
+	want := []storage.Compare{
+		{Key: c.keys.ClusterLeader(), ModRevision: 4},
+		{Key: c.keys.Admission(), ModRevision: 9},
+	}
 	if !slices.Equal(r.Compares, want) {
-		t.Errorf("conditions %+v, want %+v", r.Compares, want)
+		t.Errorf("compares %+v, want %+v", r.Compares, want)
 	}
-	e, err := admission.Parse(r.Puts[0].Value)
-	if err != nil || e.Number != 4 || e.Leader != 4 {
-		t.Errorf("%+v, %v", e, err)
+	if _, again := tickEpoch(t, c, c.now); again != nil {
+		t.Error("written again while the write is in flight")
 	}
-	c.output = &messages.Output{}
-	c.tickAdmission()
-	if len(c.output.StoreCalls) != 0 {
-		t.Error("written again while the write is out")
+}
+
+// TestOneEpochIsWrittenAtATime: the next one, though it is due, waits for the reply to the last. One
+// that was refused is tried again at the next check.
+func TestOneEpochIsWrittenAtATime(t *testing.T) {
+	for name, test := range map[string]struct {
+		inFlight bool
+		want     bool
+	}{
+		"no reply yet": {inFlight: true},
+		"refused":      {want: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := newFair(t)
+			leadUnderOverload(c, 4)
+			_, epoch := tickEpoch(t, c, c.now)
+			if epoch == nil {
+				t.Fatal("no epoch")
+			}
+			wait := epoch.Length
+			if !test.inFlight {
+				c.completeCall(c.output.StoreCalls[0].Call, &storage.Reply{Outcome: storage.Unavailable})
+				wait = epochCheckInterval
+			}
+			_, next := tickEpoch(t, c, c.now+wait)
+			if got := next != nil; got != test.want {
+				t.Errorf("written %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+// TestNewLeadershipPlansAnew: what was written under another fencing token says nothing of when the
+// next epoch is due.
+func TestNewLeadershipPlansAnew(t *testing.T) {
+	for name, test := range map[string]struct {
+		fencingToken uint64
+		want         bool
+	}{
+		"same leadership":    {fencingToken: 4},
+		"another leadership": {fencingToken: 5, want: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := newFair(t)
+			leadUnderOverload(c, 4)
+			if _, epoch := tickEpoch(t, c, c.now); epoch == nil {
+				t.Fatal("no epoch")
+			}
+			c.completeCall(c.output.StoreCalls[0].Call, &storage.Reply{Outcome: storage.OK})
+			c.leader.revision = test.fencingToken
+			_, next := tickEpoch(t, c, c.now+epochCheckInterval)
+			if got := next != nil; got != test.want {
+				t.Errorf("written %v, want %v", got, test.want)
+			}
+		})
 	}
 }
 
-// TestLagsGoOnWithTheNextHolder: as long as what the last one told is not old.
-func TestLagsGoOnWithTheNextHolder(t *testing.T) {
+// TestLagsGoOnWithTheNextLeader: as long as what the last one sent is not old.
+func TestLagsGoOnWithTheNextLeader(t *testing.T) {
 	flow := admission.Flow{Team: "alpha", Class: "low"}
-	told := &messages.PeerStatus{From: storage.Process{Member: "n1", Incarnation: "x"}, Partitions: []messages.PartitionStatus{{Partition: 0,
-		Lags: []admission.FlowLag{{Flow: flow, Lag: admission.Lag{Team: 40 * micros.Second, Class: 50 * micros.Second}}}}}}
-	for age, want := range map[micros.Time]admission.Lag{
-		3 * micros.Second:      {Team: 40 * micros.Second, Class: 50 * micros.Second},
-		lagTTL + micros.Second: {},
+	lag := admission.Lag{Team: 40 * micros.Second, Class: 50 * micros.Second}
+	status := &messages.PeerStatus{
+		From: storage.Process{Member: "n1", Incarnation: "x"},
+		Partitions: []messages.PartitionStatus{
+			{Partition: 0, Lags: []admission.FlowLag{{Flow: flow, Lag: lag}}},
+		},
+	}
+	for name, test := range map[string]struct {
+		age  micros.Time
+		want admission.Lag
+	}{
+		"recent": {age: 3 * micros.Second, want: lag},
+		"old":    {age: lagTTL + micros.Second},
 	} {
-		c := newFair(t)
-		c.now += 100 * micros.Second
-		c.peers.Receive(c.now-age, told)
-		h := newPartitionLeader(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: 20})
-		if got := h.fairShares.queue.Lag(flow); got != want {
-			t.Errorf("told %d before: %+v", age, got)
-		}
+		t.Run(name, func(t *testing.T) {
+			c := newFair(t)
+			c.now += 100 * micros.Second
+			c.peers.Receive(c.now-test.age, status)
+			p := newPartitionLeader(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: 20})
+			if got := p.fairShares.queue.Lag(flow); got != test.want {
+				t.Errorf("lag %+v, want %+v", got, test.want)
+			}
+		})
 	}
 }
 
-// TestWholeFlowsOverdraw: where the budget has no more room for most, the job of a flow that
-// is given all it asks for is stored all the same.
+// TestWholeFlowsOverdraw: where the budget has no room for most writes any more, the job of a flow
+// that is given all it asks for is stored all the same.
 func TestWholeFlowsOverdraw(t *testing.T) {
-	for width, want := range map[uint32]bool{admission.Points: true, admission.Points - 1: false} {
-		c := newFair(t)
-		epoch := &admission.Epoch{Number: 4, Leader: 2, Written: c.wall, Length: 4 * micros.Second, Validity: 12 * micros.Second,
-			Rest: admission.Window{Width: width}}
-		if _, _, err := c.cache.Apply(storage.Item{Key: c.keys.Admission(), Value: storage.Encode(epoch), ModRevision: 12}); err != nil {
-			t.Fatal(err)
-		}
-		c.admissionChanged(c.now)
-		for c.storeLimiter.Allow(c.now, 1, storage.Prompt) { // until there is room for urgent ones only
-		}
-		stored := false
-		answers := ask(c, c.now, testJob(7), func(r *storage.Request) *storage.Reply {
-			stored = stored || (r.Kind == storage.Txn && len(r.Puts) > 0 && r.Puts[0].Key == c.keys.Job("wk-000007"))
-			return nil
+	for name, test := range map[string]struct {
+		width uint32
+		want  bool
+	}{
+		"given all":  {width: admission.Points, want: true},
+		"given less": {width: admission.Points - 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := newFair(t)
+			epoch := testEpoch(4, c.wall, admission.Window{Width: test.width})
+			item := storage.Item{Key: c.keys.Admission(), Value: storage.Encode(epoch), ModRevision: 12}
+			if _, _, err := c.cache.Apply(item); err != nil {
+				t.Fatal(err)
+			}
+			c.admissionChanged(c.now)
+			for c.storeLimiter.Allow(c.now, 1, storage.Prompt) { // until there is room for urgent ones only
+			}
+			stored := false
+			responses := ask(c, c.now, testJob(7), func(r *storage.Request) *storage.Reply {
+				stored = stored || writesKey(r, c.keys.Job("wk-000007"))
+				return nil
+			})
+			if stored != test.want {
+				t.Errorf("stored %v, want %v", stored, test.want)
+			}
+			if !test.want && (len(responses) != 1 || responses[0].Kind != messages.Overloaded) {
+				t.Errorf("%+v", responses)
+			}
 		})
-		if stored != want || (!want && (len(answers) != 1 || answers[0].Kind != messages.Overloaded)) {
-			t.Errorf("width %d: stored %v, %+v", width, stored, answers)
-		}
+	}
+}
+
+// TestDemandOfPeersCountsForAWhile: refusals and demand of a peer count while they are recent, and
+// this controller's own demand counts once, though its status comes back to it.
+func TestDemandOfPeersCountsForAWhile(t *testing.T) {
+	const now = 100 * micros.Second
+	for name, test := range map[string]struct {
+		member      string
+		age         micros.Time
+		wantRefused bool
+		want        int64 // refusals in the total
+	}{
+		"recent":      {member: "n1", age: demandTTL - 1, wantRefused: true, want: 3},
+		"old":         {member: "n1", age: demandTTL},
+		"this member": {member: "n0", age: micros.Second, wantRefused: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := newFair(t)
+			c.now = now - test.age
+			c.receiveDemand(&messages.PeerStatus{
+				From:   storage.Process{Member: test.member},
+				Demand: &admission.Demand{Refused: 3},
+			})
+			if got := c.fair.refusedLately(now); got != test.wantRefused {
+				t.Errorf("refused %v, want %v", got, test.wantRefused)
+			}
+			if got := c.fair.totalDemand(now, "n0").Refused; got != test.want {
+				t.Errorf("%d refusals, want %d", got, test.want)
+			}
+		})
+	}
+}
+
+// TestDemandIsSentOnceAnInterval: not with every status.
+func TestDemandIsSentOnceAnInterval(t *testing.T) {
+	c := newFair(t)
+	c.now = 100 * micros.Second
+	if c.demandForPeers() == nil {
+		t.Fatal("not sent at first")
+	}
+	c.now += demandInterval - 1
+	if c.demandForPeers() != nil {
+		t.Error("sent again before the interval is over")
+	}
+	c.now++
+	if c.demandForPeers() == nil {
+		t.Error("not sent after the interval")
 	}
 }
--- a/internal/coordination/cancel_request_test.go
+++ b/internal/coordination/cancel_request_test.go
@@ -28,10 +28,11 @@
 			cacheJob(t, c, job, 11)
 			writes := 0
 			responses := requestAndWait(c, &messages.Cancel{Request: 1, ID: job.ID}, func(r *storage.Request) *storage.Reply {
-				if r.Kind != storage.Txn || len(r.Puts) == 0 || r.Puts[0].Key != c.keys.Job(job.ID) {
+				if !writesKey(r, c.keys.Job(job.ID)) {
 					return store.reply(r)
 				}
-				if want := (storage.Compare{Key: c.keys.Job(job.ID), ModRevision: 11}); len(r.Compares) != 1 || r.Compares[0] != want {
+				want := storage.Compare{Key: c.keys.Job(job.ID), ModRevision: 11}
+				if len(r.Compares) != 1 || r.Compares[0] != want {
 					t.Errorf("compares %+v, want %+v", r.Compares, want)
 				}
 				writes++
--- a/internal/coordination/completion_test.go
+++ b/internal/coordination/completion_test.go
@@ -36,7 +36,8 @@
 		{name: "nothing completed", stored: bitmapOf(8)},
 		{name: "observed, no record of any", observed: []int{1, 5}, want: []int{1, 5}},
 		{name: "stored by a former leader", stored: bitmapOf(8, 2, 3), want: []int{2, 3}},
-		{name: "observed and stored since counts once", observed: []int{2, 5}, stored: bitmapOf(8, 2, 3), want: []int{2, 3, 5}},
+		{name: "observed and stored since counts once", observed: []int{2, 5}, stored: bitmapOf(8, 2, 3),
+			want: []int{2, 3, 5}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -63,7 +63,8 @@
 	}{
 		{name: "in order", cancelled: []string{"b", "a"}, most: 12, want: []string{"a", "b"}, wantLeft: []string{"a", "b"}},
 		{name: "as many as fit", cancelled: []string{"b", "a"}, most: 1, want: []string{"a"}, wantLeft: []string{"a", "b"}},
-		{name: "ended jobs are forgotten", cancelled: []string{"done", "a"}, most: 12, want: []string{"a"}, wantLeft: []string{"a"}},
+		{name: "ended jobs are forgotten", cancelled: []string{"done", "a"}, most: 12,
+			want: []string{"a"}, wantLeft: []string{"a"}},
 		{name: "archived jobs are forgotten", cancelled: []string{"archived"}, most: 12},
 	}
 	for _, test := range tests {
--- a/internal/coordination/inherited_urgency_test.go
+++ b/internal/coordination/inherited_urgency_test.go
@@ -21,6 +21,7 @@
 	}
 	asIs := func(*workload.Job) {}
 	due := func(j *workload.Job) { j.Deadline = deadline }
+	dueWithImage := func(j *workload.Job) { j.Deadline, j.ImageGB = deadline, 1 }
 	tests := []struct {
 		name string
 		jobs []*workload.Job
@@ -31,7 +32,7 @@
 			want: inheritedUrgency{due: micros.Max}},
 		{name: "due early enough for the dependent to run", jobs: []*workload.Job{job("b", due, "a")},
 			want: inheritedUrgency{due: deadline - run - startOverhead}},
-		{name: "and to fetch its image", jobs: []*workload.Job{job("b", func(j *workload.Job) { j.Deadline, j.ImageGB = deadline, 1 }, "a")},
+		{name: "and to fetch its image", jobs: []*workload.Job{job("b", dueWithImage, "a")},
 			want: inheritedUrgency{due: deadline - run - fetch - startOverhead}},
 		{name: "through others", jobs: []*workload.Job{job("b", asIs, "a"), job("c", due, "b")},
 			want: inheritedUrgency{due: deadline - 2*(run+startOverhead)}},
--- a/internal/coordination/submission_test.go
+++ b/internal/coordination/submission_test.go
@@ -95,7 +95,8 @@
 	}{
 		{name: "quota", change: func(j *workload.Job) { j.Team = "limited" }, want: "needs more than the team's limit"},
 		{name: "team", change: func(j *workload.Job) { j.Team = "nobody" }, want: "unknown team"},
-		{name: "instance types", change: func(j *workload.Job) { j.Resources.CPU = 9000 }, want: "a task fits no allowed machine type"},
+		{name: "instance types", change: func(j *workload.Job) { j.Resources.CPU = 9000 },
+			want: "a task fits no allowed machine type"},
 		{name: "record", change: func(j *workload.Job) { j.Image = strings.Repeat("i", 20<<10) },
 			want: "its description is too long to be kept"},
 		{name: "itself", change: func(j *workload.Job) { j.DependsOn = []string{j.ID} }, want: "it waits on itself"},
