--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -52,7 +52,8 @@
 	p.consolidation.lastPassAt = now
 	// What arrays used of late is remembered for a minute where one of them can fill
 	// the fleet, and for less the larger the fleet: a single one counts less there.
-	arrays, services, capacity := p.cpuLoad()
+	load := p.cpuLoad()
+	arrays, services, capacity := load.arrays, load.services, load.capacity
 	p.consolidation.recentArrayCPU = max(arrays, p.consolidation.recentArrayCPU-(p.consolidation.recentArrayCPU-arrays)/int64(max(4, min(20, 640/max(1, len(p.machines))))))
 	type surplus struct {
 		m    *machine
@@ -89,17 +90,6 @@
 	}
 }
 
-// replicasOn is how many replicas a machine has.
-func replicasOn(m *machine) int {
-	n := 0
-	for _, a := range m.attempts {
-		if a.state != messages.Exited && a.job != nil && a.job.Kind == workload.Service {
-			n++
-		}
-	}
-	return n
-}
-
 // evictNextReplica moves the next replica off a machine, to one that has its image. What found no
 // place in this pass is not looked for again: the whole fleet was asked for it.
 func (p *partitionLeader) evictNextReplica(m *machine, nowhere map[string]bool) {
@@ -117,7 +107,7 @@
 		}
 		for _, o := range p.machines {
 			if o.instanceType == nil || !p.schedulable(o) || o.record.Spot && !a.job.Spot || (!o.images.Has(a.job.Image) && !bare) || !a.job.AllowsInstanceType(o.record.InstanceType) ||
-				(a.job.Zone != "" && a.job.Zone != o.record.Zone) || a.job.OneZone || a.job.Spread || !a.resources.Fits(p.freeResources(o)) {
+				(a.job.Zone != "" && a.job.Zone != o.record.Zone) || a.job.OneZone || a.job.Spread || !a.resources.Fits(o.freeResources()) {
 				continue
 			}
 			p.consolidation.replicaMovedAt = p.core.now
@@ -153,7 +143,7 @@
 		return
 	}
 	survey := p.surveyHeadroom(true)
-	large := p.oversized(survey.service)
+	large := p.oversizedMachine(survey.service)
 	for _, m := range p.machines {
 		if m.drain.reason == drainIdle && p.core.now-m.drain.since > terminationTimeout {
 			// The cloud does not take them back now: what is drained serves nobody.
--- a/internal/coordination/objective_preemption.go
+++ b/internal/coordination/objective_preemption.go
@@ -110,7 +110,7 @@
 	slices.SortFunc(own, func(x, y *attempt) int {
 		return cmp.Or(cmp.Compare(p.occupiedFor(x), p.occupiedFor(y)), x.id.Compare(y.id))
 	})
-	free := p.freeResources(m)
+	free := m.freeResources()
 	had := int(j.Resources.Count(free))
 	var found []victim
 	for _, a := range own {
