--- a/internal/coordination/objective_preemption.go
+++ b/internal/coordination/objective_preemption.go
@@ -5,22 +5,38 @@
 	"slices"
 
 	"pipitlatch/internal/coordination/messages"
-
 	"pipitlatch/internal/micros"
 )
 
 // startDeadline is until when a job's tasks are to start: as its class's `wait` objective
-// wants, or, within its team's guarantee, as the objective on guarantees does.
-func (p *partitionLeader) startDeadline(r rankedJob) (micros.Time, bool) {
-	within, found := micros.Max, false
+// wants, or, within its team's guaranteed quota, as the objective on guarantees does.
+func (p *partitionLeader) startDeadline(r rankedJob) (deadline micros.Time, found bool) {
+	within := micros.Max
 	for _, o := range p.core.config.Settings.Objectives {
-		if (o.Kind == "wait" && o.Class == r.job.Class) || (o.Kind == "guarantee" && r.WithinGuarantee) {
+		if (o.Kind == objectiveWait && o.Class == r.job.Class) || (o.Kind == objectiveGuarantee && r.WithinGuarantee) {
 			within, found = min(within, micros.FromSeconds(o.WithinS)), true
 		}
 	}
 	return p.core.now - (p.core.wall - r.job.readySince) + within, found
 }
 
+// preemptionScope is whose work may be stopped for a job that would miss its objective.
+type preemptionScope uint8
+
+const (
+	// anyTeam: of lower priority, or what another team runs on borrowed quota while the job is
+	// within its team's guaranteed quota.
+	anyTeam preemptionScope = iota
+	// ownTeam: work of the team itself, of lower priority: it is the team's quota limit that
+	// leaves nothing free, and what is started takes no more than what was stopped right
+	// before on the same machine.
+	ownTeam
+)
+
+// preemptibleDivisor is the part of a job's own run time that an attempt may have run and
+// still be stopped for it.
+const preemptibleDivisor = 4
+
 // victim is an attempt that could be stopped, with what that costs and gains.
 type victim struct {
 	attempt *attempt
@@ -29,45 +45,31 @@
 	cost    float64 // CPU-seconds lost, for a slot
 }
 
+// objectivePreemption finds the work that is stopped for one job that would miss its objective.
+type objectivePreemption struct {
+	*partitionLeader
+	ranked   rankedJob
+	startBy  micros.Time
+	scope    preemptionScope
+	borrowed map[string]int64 // CPU above the guaranteed quota, by team, less what is to be stopped
+}
+
 // preemptForObjective starts tasks of a job, all that are missing or none, in the place of work
-// that was just begun: of lower priority, or of what another team runs above its
-// guarantee while this job is within its own. Exception to the design, whose tasks are
-// not preempted: an urgent task of half a minute cannot wait for one that takes a
-// minute, and a guarantee is no guarantee that waits for what others borrow. A task is
-// stopped for this once only, so none is put off without end. Where it is the team's
-// limit that leaves no room, only work of the team itself makes some: what is started
-// takes no more than what was stopped right before on the same machine.
-func (p *partitionLeader) preemptForObjective(r rankedJob, missing int, by micros.Time, limited bool) {
-	j, now := r.job, p.core.now
-	if missing <= 0 || by <= now || j.OneZone || j.Spread {
+// that was just begun. Exception to the design, whose tasks are not preempted: an urgent task of
+// half a minute cannot wait for one that takes a minute, and a guarantee is no guarantee that
+// waits for what others borrow. A task is stopped for this once only, so none is put off without
+// end.
+func (p *partitionLeader) preemptForObjective(r rankedJob, missing int, startBy micros.Time, scope preemptionScope) {
+	j := r.job
+	if missing <= 0 || startBy <= p.core.now || j.OneZone || j.Spread {
 		return
 	}
-	borrowed := map[string]int64{} // CPU above the guarantee, by team
+	borrowed := map[string]int64{}
 	for name, t := range p.core.teams {
 		borrowed[name] = p.teamUsage[name].CPU - t.GuaranteeCPU
 	}
-	found := p.victims(r, by, borrowed, limited)
-	gain, last := 0, 0
-	for last < len(found) && gain < missing {
-		v := &found[last]
-		last++
-		team := v.attempt.job.Team
-		if v.attempt.job.Priority >= j.Priority {
-			if borrowed[team] < v.attempt.resources.CPU {
-				v.slots = 0
-				continue // what is left is within its guarantee
-			}
-		}
-		borrowed[team] -= v.attempt.resources.CPU
-		gain += v.slots
-	}
-	if gain < missing {
-		return
-	}
-	for _, v := range found[:last] {
-		if v.slots == 0 {
-			continue
-		}
+	o := objectivePreemption{p, r, startBy, scope, borrowed}
+	for _, v := range o.choose(o.candidates(), missing) {
 		v.attempt.job.preemptedOnce.Add(v.attempt.id.Task)
 		p.stopAttempt(v.attempt, 0)
 		for range v.slots {
@@ -78,77 +80,123 @@
 	}
 }
 
-// victims are the attempts that may be stopped for a job and make room for it in time, those
-// first that lose least for a slot.
-func (p *partitionLeader) victims(r rankedJob, by micros.Time, borrowed map[string]int64, limited bool) []victim {
-	j, now := r.job, p.core.now
-	var found []victim
-	for _, m := range p.machines {
-		if m.instanceType == nil || !p.schedulable(m) || m.lifecycle.startsPausedUntil > now || !j.AllowsInstanceType(m.record.InstanceType) || (j.Zone != "" && j.Zone != m.record.Zone) ||
-			(m.record.Spot && !j.Spot) || !j.Resources.Fits(m.instanceType.Capacity) {
-			continue
+// choose takes candidates in their order until they make place for all missing tasks; none if
+// they do not.
+func (o *objectivePreemption) choose(candidates []victim, missing int) []victim {
+	chosen := candidates[:0]
+	for _, v := range candidates {
+		if missing <= 0 {
+			break
 		}
-		if !m.images.Has(j.Image) && (m.instanceType.FetchGBps <= 0 || now+micros.FromSeconds(j.ImageGB/m.instanceType.FetchGBps) > by) {
+		a := v.attempt
+		if a.job.Priority >= o.ranked.job.Priority && o.borrowed[a.job.Team] < a.resources.CPU {
+			continue // what is left is within its team's guaranteed quota
+		}
+		o.borrowed[a.job.Team] -= a.resources.CPU
+		missing -= v.slots
+		chosen = append(chosen, v)
+	}
+	if missing > 0 {
+		return nil
+	}
+	return chosen
+}
+
+// candidates are the attempts that may be stopped for the job and make place for it in time,
+// those first that lose least for a slot.
+func (o *objectivePreemption) candidates() []victim {
+	j := o.ranked.job
+	var found []victim
+	for _, m := range o.machines {
+		if !o.acceptsStarts(m) || !j.mayRunOn(m) || !j.Resources.Fits(m.instanceType.Capacity) || !o.inTime(m) {
 			continue
 		}
-		found = append(found, p.victimsOn(m, r, borrowed, limited)...)
+		found = append(found, o.candidatesOn(m)...)
 	}
 	slices.SortStableFunc(found, func(x, y victim) int { return cmp.Compare(x.cost, y.cost) })
 	return found
 }
 
-// victimsOn are those of one machine.
-func (p *partitionLeader) victimsOn(m *machine, r rankedJob, borrowed map[string]int64, limited bool) []victim {
-	j := r.job
-	var own []*attempt
+// inTime tells whether the job's image is on a machine by the time its tasks are to start.
+func (o *objectivePreemption) inTime(m *machine) bool {
+	j := o.ranked.job
+	if m.images.Has(j.Image) {
+		return true
+	}
+	fetchGBps := m.instanceType.FetchGBps
+	return fetchGBps > 0 && o.core.now+micros.FromSeconds(j.ImageGB/fetchGBps) <= o.startBy
+}
+
+// candidatesOn are those of one machine.
+func (o *objectivePreemption) candidatesOn(m *machine) []victim {
+	need := o.ranked.job.Resources
+	var preemptible []*attempt
 	for _, a := range m.attempts {
-		if p.preemptible(r, a, borrowed, limited) {
-			own = append(own, a)
+		if o.mayStop(a) {
+			preemptible = append(preemptible, a)
 		}
 	}
 	// The least work lost first.
-	slices.SortFunc(own, func(x, y *attempt) int {
-		return cmp.Or(cmp.Compare(p.occupiedFor(x), p.occupiedFor(y)), x.id.Compare(y.id))
+	slices.SortFunc(preemptible, func(x, y *attempt) int {
+		return cmp.Or(cmp.Compare(o.occupiedFor(x), o.occupiedFor(y)), x.id.Compare(y.id))
 	})
 	free := m.freeResources()
-	had := int(j.Resources.Count(free))
+	fitting := int(need.Count(free))
 	var found []victim
-	for _, a := range own {
-		if limited {
-			if k := int(j.Resources.Count(a.resources)); k > 0 {
-				found = append(found, victim{a, m, k, micros.Seconds(p.occupiedFor(a)) * float64(a.resources.CPU) / float64(k)})
+	for _, a := range preemptible {
+		if o.scope == ownTeam {
+			if slots := int(need.Count(a.resources)); slots > 0 {
+				found = append(found, o.victim(a, slots))
 			}
 			continue
 		}
-		if k := int(j.Resources.Count(free.Add(a.resources))); k > had {
-			found = append(found, victim{a, m, k - had, micros.Seconds(p.occupiedFor(a)) * float64(a.resources.CPU) / float64(k-had)})
-			free, had = free.Add(a.resources), k
+		if after := int(need.Count(free.Add(a.resources))); after > fitting {
+			found = append(found, o.victim(a, after-fitting))
+			free, fitting = free.Add(a.resources), after
 		}
 	}
 	return found
 }
 
-// preemptibleDivisor is the part of a job's own run time that an attempt may have run and
-// still be stopped for it.
-const preemptibleDivisor = 4
+// victim is an attempt with a number of slots that stopping it makes.
+func (o *objectivePreemption) victim(a *attempt, slots int) victim {
+	lost := micros.Seconds(o.occupiedFor(a)) * float64(a.resources.CPU)
+	return victim{attempt: a, machine: a.machine, slots: slots, cost: lost / float64(slots)}
+}
 
-// preemptible tells whether an attempt may be stopped for a job.
-func (p *partitionLeader) preemptible(r rankedJob, a *attempt, borrowed map[string]int64, limited bool) bool {
-	if a.state == messages.Exited || a.stop.ordered || !a.start.reported || a.start.inFlight+a.start.unanswered > 0 || a.job == nil || a.job == r.job || a.job.plannedWithinGuarantee || a.job.preemptedOnce.Has(a.id.Task) {
+// mayStop tells whether an attempt may be stopped for the job.
+func (o *objectivePreemption) mayStop(a *attempt) bool {
+	if !a.knownToRun() || a.job == o.ranked.job || a.job.plannedWithinGuarantee || a.job.preemptedOnce.Has(a.id.Task) {
 		return false
 	}
-	if limited {
-		return a.job.Team == r.job.Team && a.job.Priority < r.job.Priority && p.occupiedFor(a) <= p.estimate(a.job)/preemptibleDivisor
+	forJob := o.ranked.job
+	lower := a.job.Priority < forJob.Priority
+	if o.scope == ownTeam {
+		return a.job.Team == forJob.Team && lower && o.occupiedFor(a) <= o.estimate(a.job)/preemptibleDivisor
 	}
-	if p.occupiedFor(a) > r.queued.Estimate/preemptibleDivisor {
+	if o.occupiedFor(a) > o.ranked.queued.Estimate/preemptibleDivisor || o.wouldMissDeadline(a.job) {
 		return false
 	}
-	if due := p.core.now - (p.core.wall - a.job.Submitted) + a.job.Deadline; a.job.Deadline > 0 && due > p.core.now && due < p.core.now+2*p.estimate(a.job) {
-		return false // it would miss its own deadline for it
+	return lower || (o.ranked.WithinGuarantee && a.job.Priority == forJob.Priority && a.job.Team != forJob.Team &&
+		o.borrowed[a.job.Team] >= a.resources.CPU)
+}
+
+// knownToRun tells whether a heartbeat showed the attempt, nothing is under way that starts or
+// stops it, and its job is active.
+func (a *attempt) knownToRun() bool {
+	return a.state != messages.Exited && !a.stop.ordered && a.start.reported &&
+		a.start.inFlight+a.start.unanswered == 0 && a.job != nil
+}
+
+// wouldMissDeadline tells whether a job in time would miss its deadline if a task began anew.
+func (p *partitionLeader) wouldMissDeadline(j *job) bool {
+	if j.Deadline <= 0 {
+		return false
 	}
-	return a.job.Priority < r.job.Priority ||
-		(r.WithinGuarantee && a.job.Priority == r.job.Priority && a.job.Team != r.job.Team && borrowed[a.job.Team] >= a.resources.CPU)
+	now := p.core.now
+	due := now - (p.core.wall - j.Submitted) + j.Deadline
+	return due > now && due < now+2*p.estimate(j)
 }
 
-// occupiedFor is the time that an attempt has taken its room, which stopping it loses.
+// occupiedFor is the time that an attempt has occupied its machine, which stopping it loses.
 func (p *partitionLeader) occupiedFor(a *attempt) micros.Time { return p.core.now - a.createdAt }
--- a/internal/coordination/planning.go
+++ b/internal/coordination/planning.go
@@ -213,8 +213,8 @@
 	})
 	*budget -= placed
 	if hasObjective {
-		p.preemptForObjective(r, missObjective+count-placed, startBy, false)
-		p.preemptForObjective(r, min(waiting-allowed, *budget), startBy, true)
+		p.preemptForObjective(r, missObjective+count-placed, startBy, anyTeam)
+		p.preemptForObjective(r, min(waiting-allowed, *budget), startBy, ownTeam)
 	}
 	return p.arrayCapacityRequest(r, min(waiting, allowed)-placed+tardy, boot)
 }
--- a/internal/coordination/precedence.go
+++ b/internal/coordination/precedence.go
@@ -2,6 +2,13 @@
 
 import "pipitlatch/internal/micros"
 
+// Kinds of service-level objectives, as the settings name them.
+const (
+	objectiveWait      = "wait"      // a class's tasks are to begin within a time
+	objectiveFinished  = "finished"  // a class's jobs are to end within a time
+	objectiveGuarantee = "guarantee" // what is within a team's guaranteed quota is to begin within a time
+)
+
 // This file has the exceptions to the order by the index (scheduling.Precedence), as they are
 // found out about a job; flows behind their fair share are in fair_shares.go.
 
@@ -18,8 +25,8 @@
 		}
 		limit := micros.FromSeconds(o.WithinS)
 		switch o.Kind {
-		case "wait":
-		case "finished":
+		case objectiveWait:
+		case objectiveFinished:
 			limit -= micros.Time(float64(p.estimate(j)) * p.core.runtimes.TailRatio(j.Class))
 		default:
 			continue
