--- /dev/null
+++ b/internal/protocol/agent_commands.go
@@ -0,0 +1,37 @@
+package protocol
+
+import (
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/micros"
+)
+
+// order is a command on the wire.
+type order struct {
+	Verb      string   `json:"verb"`
+	Shard     string   `json:"shard"`
+	Try       uint64   `json:"try"`
+	WindDownS *float64 `json:"wind_down_s,omitempty"`
+}
+
+// encodeOrders never returns nil: an agent gets an empty list, not null.
+func encodeOrders(commands []messages.Command) []order {
+	orders := make([]order, 0, len(commands))
+	for _, c := range commands {
+		o := order{Verb: operations[c.Operation], Shard: taskID(c.Job, c.Task), Try: c.Number}
+		if c.Operation == messages.Stop {
+			seconds := micros.Seconds(c.GracePeriod)
+			o.WindDownS = &seconds
+		}
+		orders = append(orders, o)
+	}
+	return orders
+}
+
+// EncodeCommands writes commands that go straight to an agent.
+func EncodeCommands(call *messages.AgentCall) []byte {
+	return mustJSON(struct {
+		Warrant uint64  `json:"warrant"`
+		Tenure  uint64  `json:"tenure"`
+		Orders  []order `json:"orders"`
+	}{call.FencingToken, call.AgentEpoch, encodeOrders(call.Commands)})
+}
--- /dev/null
+++ b/internal/protocol/cloud_reply.go
@@ -0,0 +1,50 @@
+package protocol
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+
+	"pipitlatch/internal/coordination/messages"
+)
+
+// DecodeCloudReply reads the cloud's answer. One that cannot be read counts as lost: what it was about
+// may have happened.
+func DecodeCloudReply(operation messages.CloudOperation, status int, body []byte) (*messages.CloudReply, error) {
+	lost := &messages.CloudReply{Outcome: messages.CloudOutcomeUnknown}
+	switch status {
+	case http.StatusOK:
+	case http.StatusTooManyRequests:
+		return &messages.CloudReply{Outcome: messages.CloudRejected}, nil
+	case http.StatusServiceUnavailable:
+		if operation == messages.CloudRequestInstances && refusedWith(body, errorNoCapacity) {
+			return &messages.CloudReply{Outcome: messages.CloudInsufficientCapacity}, nil
+		}
+		return &messages.CloudReply{Outcome: messages.CloudRejected}, nil
+	default:
+		return lost, fmt.Errorf("cloud: status %d", status)
+	}
+	reply := &messages.CloudReply{Outcome: messages.CloudOK}
+	var err error
+	switch operation {
+	case messages.CloudCatalog:
+		reply.Catalog, err = decodeCatalog(body)
+	case messages.CloudRequestInstances:
+		reply.Names, err = decodeInstanceNames(body)
+	case messages.CloudList:
+		reply.Instances, reply.More, err = decodeInstances(body)
+	case messages.CloudTerminate: // its answer says nothing more
+	}
+	if err != nil {
+		return lost, fmt.Errorf("cloud: %w", err)
+	}
+	return reply, nil
+}
+
+// refusedWith reports whether the body of a refusal names this error.
+func refusedWith(body []byte, name string) bool {
+	var refusal struct {
+		Error string `json:"error"`
+	}
+	return json.Unmarshal(body, &refusal) == nil && refusal.Error == name
+}
--- /dev/null
+++ b/internal/protocol/user_fields.go
@@ -0,0 +1,100 @@
+package protocol
+
+import "math"
+
+// Bounds of a submission's fields. Those of amounts are far above any machine, far below overflow.
+const (
+	maxAmount        = 1e6
+	maxSeconds       = 1e8
+	maxText          = 200
+	maxInstanceTypes = 64
+)
+
+// fieldChecker reads the fields of a submission and collects what is wrong with them, so that a user
+// gets all faults at once, in the order in which the fields were read.
+type fieldChecker struct{ errs []error }
+
+func (c *fieldChecker) malformed(field, format string, args ...any) {
+	c.errs = append(c.errs, malformedField(field, format, args...))
+}
+
+// amount is a number that is required, from 0 to most.
+func (c *fieldChecker) amount(field string, v *float64, most float64) float64 {
+	switch {
+	case v == nil:
+		c.malformed(field, "missing")
+		return 0
+	case math.IsNaN(*v) || *v < 0 || *v > most:
+		c.malformed(field, "out of range: %v", *v)
+		return 0
+	}
+	return *v
+}
+
+// text is a text that is required.
+func (c *fieldChecker) text(field string, v *string) string {
+	if v == nil || *v == "" || len(*v) > maxText {
+		c.malformed(field, "missing, empty or too long")
+		return ""
+	}
+	return *v
+}
+
+// flag is a truth value that is required.
+func (c *fieldChecker) flag(field string, v *bool) bool {
+	if v == nil {
+		c.malformed(field, "missing")
+		return false
+	}
+	return *v
+}
+
+// word is a text that is required and names a value of an enumeration.
+func word[T any](c *fieldChecker, field string, v *string, values map[string]T) T {
+	name := c.text(field, v)
+	value, ok := values[name]
+	if !ok {
+		c.malformed(field, "unknown: %q", name)
+	}
+	return value
+}
+
+// tasks is a job's number of tasks.
+func (c *fieldChecker) tasks(field string, v *int) int {
+	if v == nil || *v < 1 || *v > MaxTasks {
+		c.malformed(field, "missing or out of range")
+		return 0
+	}
+	return *v
+}
+
+// instanceTypes checks the names of the instance types that a job may run on; null means all.
+func (c *fieldChecker) instanceTypes(field string, names []string) []string {
+	if names != nil && (len(names) == 0 || len(names) > maxInstanceTypes) {
+		c.malformed(field, "must be null or name 1 to 64 types")
+	}
+	for _, name := range names {
+		if name == "" || len(name) > maxText {
+			c.malformed(field, "a name is empty or too long")
+			break
+		}
+	}
+	return names
+}
+
+// dependencies are the ids of the jobs that a job depends on; twice the same counts once.
+func (c *fieldChecker) dependencies(field string, ids []string) []string {
+	var unique []string
+	seen := map[string]bool{}
+	for _, id := range ids {
+		if !ValidJobID(id) {
+			c.malformed(field, "an entry is not of the form wk-000000")
+			break
+		}
+		if !seen[id] {
+			seen[id] = true
+			unique = append(unique, id)
+		}
+	}
+	return unique
+}
--- /dev/null
+++ b/internal/protocol/user_reply.go
@@ -0,0 +1,35 @@
+package protocol
+
+import (
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/workload"
+)
+
+// JobState is the answer to a user who asks for a job.
+type JobState struct {
+	Ref     string `json:"ref"`
+	Phase   string `json:"phase"`
+	Done    int    `json:"done"`
+	Running int    `json:"running"`
+}
+
+// EncodeJobStatus writes a job's state.
+func EncodeJobStatus(job messages.JobStatus) []byte {
+	state := JobState{Ref: job.ID, Phase: phaseQueued, Done: job.Done, Running: job.Running}
+	switch {
+	case job.Phase == workload.Done:
+		state.Phase = phaseDone
+	case job.Phase == workload.Cancelled:
+		state.Phase = phaseCancelled
+	case job.Running > 0:
+		state.Phase = phaseRunning
+	}
+	return mustJSON(state)
+}
+
+// EncodeError writes why a request was refused.
+func EncodeError(why string) []byte {
+	return mustJSON(struct {
+		Error string `json:"error"`
+	}{why})
+}
--- /dev/null
+++ b/internal/protocol/user_submission.go
@@ -0,0 +1,116 @@
+package protocol
+
+import (
+	"encoding/json"
+	"errors"
+	"regexp"
+	"strings"
+
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
+)
+
+var jobIDPattern = regexp.MustCompile(`^wk-[0-9]{1,20}$`)
+
+// ValidJobID reports whether a job id has the one form that ids have.
+func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
+
+// submission is the body of a submission. encoding/json names this type in the texts of its errors,
+// which users get: its name is part of the wire.
+type submission struct {
+	Ref            *string  `json:"ref"`
+	JobClass       *string  `json:"jobclass"`
+	Owner          *string  `json:"owner"`
+	Shape          *string  `json:"shape"`
+	Rank           *string  `json:"rank"`
+	Shards         *int     `json:"shards"`
+	Cores          *float64 `json:"cores"`
+	GPUs           *float64 `json:"gpus"`
+	RAMGB          *float64 `json:"ram_gb"`
+	Bundle         *string  `json:"bundle"`
+	SizeGB         *float64 `json:"size_gb"`
+	Hulls          []string `json:"hulls"`
+	Berth          *string  `json:"berth"`
+	OneZone        *bool    `json:"one_zone"`
+	Apart          *bool    `json:"apart"`
+	Loaners        *bool    `json:"loaners"`
+	ExpectS        *float64 `json:"expect_s"`
+	SnapshotEveryS *float64 `json:"snapshot_every_s"`
+	SnapshotS      *float64 `json:"snapshot_s"`
+	DueS           *float64 `json:"due_s"`
+	WaitsOn        []string `json:"waits_on"`
+}
+
+// ParseSubmission reads a submission. The id is returned even with an error, if it could be read: a
+// job that is known already gets 200 whatever its repetition looks like. The error joins one
+// MalformedError for each fault.
+func ParseSubmission(body []byte) (id string, job *workload.Job, err error) {
+	id, err = parseJobID(body)
+	if err != nil {
+		return "", nil, err
+	}
+	var s submission
+	if err := json.Unmarshal(body, &s); err != nil {
+		return id, nil, malformedJSON("a field is invalid", err)
+	}
+	job, err = s.job()
+	return id, job, err
+}
+
+// parseJobID reads nothing of a submission but its id.
+func parseJobID(body []byte) (string, error) {
+	// The beginning is enough: whatever has more white space than that is none of ours.
+	beginning := strings.TrimLeft(string(body[:min(len(body), 64)]), " \t\r\n")
+	if !strings.HasPrefix(beginning, "{") {
+		return "", malformed("", "not a JSON object")
+	}
+	var probe struct {
+		Ref any `json:"ref"`
+	}
+	if err := json.Unmarshal(body, &probe); err != nil {
+		return "", malformedJSON("not JSON", err)
+	}
+	id, ok := probe.Ref.(string)
+	if !ok || !ValidJobID(id) {
+		return "", malformedField("ref", "missing or not of the form wk-000000")
+	}
+	return id, nil
+}
+
+// job checks the fields in the order in which their faults are listed.
+func (s *submission) job() (*workload.Job, error) {
+	c := &fieldChecker{}
+	job := &workload.Job{
+		ID:      *s.Ref,
+		Class:   c.text("jobclass", s.JobClass),
+		Team:    c.text("owner", s.Owner),
+		Image:   c.text("bundle", s.Bundle),
+		ImageGB: c.amount("size_gb", s.SizeGB, maxAmount),
+		Resources: workload.Resources{
+			CPU: workload.Milli(c.amount("cores", s.Cores, maxAmount)),
+			GPU: workload.Milli(c.amount("gpus", s.GPUs, maxAmount)),
+			Mem: workload.Milli(c.amount("ram_gb", s.RAMGB, maxAmount)),
+		},
+		OneZone:            c.flag("one_zone", s.OneZone),
+		Spread:             c.flag("apart", s.Apart),
+		Spot:               c.flag("loaners", s.Loaners),
+		Estimate:           micros.FromSeconds(c.amount("expect_s", s.ExpectS, maxSeconds)),
+		CheckpointInterval: micros.FromSeconds(c.amount("snapshot_every_s", s.SnapshotEveryS, maxSeconds)),
+		CheckpointDuration: micros.FromSeconds(c.amount("snapshot_s", s.SnapshotS, maxSeconds)),
+	}
+	job.Kind = word(c, "shape", s.Shape, jobKinds)
+	job.Priority = word(c, "rank", s.Rank, priorities)
+	job.Tasks = c.tasks("shards", s.Shards)
+	job.InstanceTypes = c.instanceTypes("hulls", s.Hulls)
+	if s.Berth != nil {
+		job.Zone = c.text("berth", s.Berth)
+	}
+	if s.DueS != nil {
+		job.Deadline = micros.FromSeconds(c.amount("due_s", s.DueS, maxSeconds))
+	}
+	job.DependsOn = c.dependencies("waits_on", s.WaitsOn)
+	if len(c.errs) > 0 {
+		return nil, errors.Join(c.errs...)
+	}
+	return job, nil
+}
