--- a/internal/protocol/peer_test.go
+++ b/internal/protocol/peer_test.go
@@ -1,8 +1,11 @@
 package protocol
 
 import (
+	"bytes"
 	"crypto/sha256"
 	"encoding/hex"
+	"reflect"
+	"strings"
 	"testing"
 
 	"pipitlatch/internal/admission"
@@ -56,3 +59,55 @@
 		t.Errorf("digest of a full message: got %s, want %s", got, want)
 	}
 }
+
+func TestStatusRoundTrip(t *testing.T) {
+	want := fullPeerStatus()
+	got, err := DecodePeerStatus(EncodePeerStatus(want))
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, %v", got, err)
+	}
+}
+
+// TestDemandAndLags: what controllers tell each other of demand and lags arrives; a damaged
+// sketch loses the demand, not what else the message tells.
+func TestDemandAndLags(t *testing.T) {
+	tracker := admission.NewTracker(2)
+	flow := admission.Flow{Team: "alpha", Class: "short"}
+	for i := range 50 {
+		tracker.Asked(1, flow, strings.Repeat("x", i))
+	}
+	tracker.Accepted(1, flow)
+	tracker.Admitted(1, flow)
+	tracker.Refused(1)
+	demand := tracker.Demand(2)
+	s := &messages.PeerStatus{From: storage.Process{Member: "a", Incarnation: "x"}, Demand: &demand,
+		Partitions: []messages.PartitionStatus{{Partition: 1, FencingToken: 9,
+			Lags: []admission.FlowLag{{Flow: flow, Lag: admission.Lag{Team: 5, Class: -7}}}}}}
+	raw := EncodePeerStatus(s)
+	got, err := DecodePeerStatus(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got.Partitions[0].Lags, s.Partitions[0].Lags) {
+		t.Errorf("lags: %+v", got.Partitions[0].Lags)
+	}
+	d := got.Demand
+	if d == nil || d.Refused != 1 || d.Admitted != 1 || d.AcceptRate != demand.AcceptRate || len(d.Flows) != 1 {
+		t.Fatalf("demand: %+v", d)
+	}
+	if f := d.Flows[0]; f.Flow != flow || f.Accepted != 1 || f.Admitted != 1 || f.Waiting() != demand.Flows[0].Waiting() {
+		t.Errorf("flow: %+v", f)
+	}
+	sketch, err := admission.EncodeSketch(demand.Flows[0].Asked)
+	if err != nil {
+		t.Fatal(err)
+	}
+	at := bytes.Index(raw, sketch)
+	if at < 0 {
+		t.Fatal("the sketch is not in the message as it is")
+	}
+	raw[at] = 99 // a version that does not exist
+	if got, err = DecodePeerStatus(raw); err != nil || got.Demand != nil || len(got.Partitions) != 1 {
+		t.Errorf("damaged: %+v, %v", got, err)
+	}
+}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -1,17 +1,14 @@
 package protocol
 
 import (
-	"bytes"
 	"reflect"
-	gostrings "strings"
+	"strings"
 	"testing"
 
 	"pipitlatch/internal/coordination/messages"
 
 	"pgregory.net/rapid"
 
-	"pipitlatch/internal/admission"
-	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/storage"
 	"pipitlatch/internal/workload"
 )
@@ -26,7 +23,8 @@
 		t.Fatal(err)
 	}
 	want := &workload.Job{ID: "wk-000412", Class: "train", Team: "vision", Priority: workload.High, Tasks: 16,
-		Resources: workload.Resources{CPU: 8000, GPU: 1000, Mem: 64000}, InstanceTypes: []string{"g8"}, OneZone: true, Spot: true,
+		Resources: workload.Resources{CPU: 8000, GPU: 1000, Mem: 64000}, InstanceTypes: []string{"g8"},
+		OneZone: true, Spot: true,
 		Image: "img-07", ImageGB: 6.2, Estimate: 240e6, CheckpointInterval: 30e6, CheckpointDuration: 4e6, Deadline: 900e6}
 	if id != "wk-000412" || !reflect.DeepEqual(j, want) {
 		t.Errorf("got %+v", j)
@@ -38,17 +36,20 @@
 		{good, "", ""}, {good, "null", ""}, {good, "[1]", ""}, {good, `"x"`, ""}, {good, "{", ""}, {good, good + "x", ""},
 		{`"wk-000412"`, `"job-1"`, ""}, {`"wk-000412"`, `12`, ""}, {`"ref":"wk-000412",`, ``, ""},
 		{`"shards":16`, `"shards":0`, "wk-000412"}, {`"shards":16`, `"shards":100001`, "wk-000412"},
-		{`"shards":16`, `"shards":1.5`, "wk-000412"}, {`"shards":16`, `"shards":"16"`, "wk-000412"}, {`"shards":16,`, ``, "wk-000412"},
-		{`"cores":8.0`, `"cores":-1`, "wk-000412"}, {`"cores":8.0`, `"cores":null`, "wk-000412"}, {`"cores":8.0`, `"cores":1e300`, "wk-000412"},
+		{`"shards":16`, `"shards":1.5`, "wk-000412"}, {`"shards":16`, `"shards":"16"`, "wk-000412"},
+		{`"shards":16,`, ``, "wk-000412"},
+		{`"cores":8.0`, `"cores":-1`, "wk-000412"}, {`"cores":8.0`, `"cores":null`, "wk-000412"},
+		{`"cores":8.0`, `"cores":1e300`, "wk-000412"},
 		{`"shape":"array"`, `"shape":"heap"`, "wk-000412"}, {`"rank":"urgent"`, `"rank":"vip"`, "wk-000412"},
-		{`"hulls":["g8"]`, `"hulls":"g8"`, "wk-000412"}, {`"hulls":["g8"]`, `"hulls":[]`, "wk-000412"}, {`"hulls":["g8"]`, `"hulls":[7]`, "wk-000412"},
+		{`"hulls":["g8"]`, `"hulls":"g8"`, "wk-000412"}, {`"hulls":["g8"]`, `"hulls":[]`, "wk-000412"},
+		{`"hulls":["g8"]`, `"hulls":[7]`, "wk-000412"},
 		{`"one_zone":true`, `"one_zone":"yes"`, "wk-000412"}, {`"due_s":900.0`, `"due_s":-3`, "wk-000412"},
 		{`"owner":"vision"`, `"owner":""`, "wk-000412"},
 		{`"later":[1]`, `"waits_on":"wk-000001"`, "wk-000412"}, {`"later":[1]`, `"waits_on":["job-1"]`, "wk-000412"},
 		{`"later":[1]`, `"waits_on":["wk-000001",7]`, "wk-000412"}, {`"later":[1]`, `"waits_on":[null]`, "wk-000412"},
 		{`"later":[1]`, `"waits_on":{}`, "wk-000412"},
 	} {
-		body := gostrings.Replace(good, c.from, c.to, 1)
+		body := strings.Replace(good, c.from, c.to, 1)
 		id, j, err := ParseSubmission([]byte(body))
 		if err == nil || j != nil || id != c.id {
 			t.Errorf("%s -> %s: id %q, job %v, err %v", c.from[:min(30, len(c.from))], c.to[:min(30, len(c.to))], id, j, err)
@@ -56,25 +57,10 @@
 	}
 }
 
-func TestStatusRoundTrip(t *testing.T) {
-	s := &messages.PeerStatus{From: storage.Process{Member: "a", Incarnation: "x"}, Revision: 77, StoreReachable: true,
-		Partitions: []messages.PartitionStatus{{Partition: 1, FencingToken: 9, UnreachableZones: []string{"a", "b"}, Terminate: []string{"vm-1"}, Idle: []string{"vm-2", "vm-3"},
-			CapacityRequests: []provisioning.CapacityRequest{{Resources: workload.Resources{CPU: 1, GPU: 2, Mem: 3}, Count: 4, Spot: true, InstanceTypes: []string{"t"}, Zone: "z",
-				Service: true, Replicas: 5, Urgent: true, Hold: 6}}}},
-		TerminatedMachines: []string{"vm-9"}, Transfers: []messages.MachineTransfer{{Machine: "vm-4", ToPartition: 1}},
-		Progress: []messages.JobProgress{{ID: "wk-1", Done: 2, Running: 3}},
-		Usage:    storage.Usage{Requests: 1500, Writes: 2500}, Reachability: []messages.ZoneReachability{{Partition: 1, Zone: "a", Probed: 8, Answered: 5}},
-		Cancelled: []string{"wk-7", "wk-8"}, CancelledUpTo: 12,
-		CancellationAcks: []messages.CancellationAck{{From: storage.Process{Member: "b", Incarnation: "y"}, UpTo: 3}}}
-	got, err := DecodePeerStatus(EncodePeerStatus(s))
-	if err != nil || !reflect.DeepEqual(got, s) {
-		t.Errorf("got %+v, %v", got, err)
-	}
-}
-
 // TestDamagedInput feeds noise to every decoder: none may panic.
 func TestDamagedInput(t *testing.T) {
-	raw := EncodePeerStatus(&messages.PeerStatus{From: storage.Process{Member: "a"}, TerminatedMachines: []string{"vm-1", "vm-2"}})
+	raw := EncodePeerStatus(&messages.PeerStatus{From: storage.Process{Member: "a"},
+		TerminatedMachines: []string{"vm-1", "vm-2"}})
 	rapid.Check(t, func(t *rapid.T) {
 		b := append([]byte(nil), raw...)
 		for range rapid.IntRange(1, 8).Draw(t, "damage") {
@@ -101,14 +87,17 @@
 }
 
 func TestUnreadableAnswersCountAsLost(t *testing.T) {
-	if r, err := DecodeStoreReply(storage.Txn, 200, []byte("<html>")); r.Outcome != storage.OutcomeUnknown || err == nil {
-		t.Errorf("state: %v %v", r.Outcome, err)
+	stored, err := DecodeStoreReply(storage.Txn, 200, []byte("<html>"))
+	if stored.Outcome != storage.OutcomeUnknown || err == nil {
+		t.Errorf("store: %v %v", stored.Outcome, err)
 	}
-	if r, err := DecodeCloudReply(messages.CloudRequestInstances, 200, []byte(`{"hosts":[""]}`)); r.Outcome != messages.CloudOutcomeUnknown || err == nil {
-		t.Errorf("cloud: %v %v", r.Outcome, err)
+	requested, err := DecodeCloudReply(messages.CloudRequestInstances, 200, []byte(`{"hosts":[""]}`))
+	if requested.Outcome != messages.CloudOutcomeUnknown || err == nil {
+		t.Errorf("cloud: %v %v", requested.Outcome, err)
 	}
-	if r := DecodeAgent(200, []byte(`{"host":"vm-1","tenure":1,"shards":[{"shard":"wk-1/0","try":1,"phase":"dreaming"}]}`)); r.Heartbeat != nil {
-		t.Error("worker: an unknown state was believed")
+	heartbeat := `{"host":"vm-1","tenure":1,"shards":[{"shard":"wk-1/0","try":1,"phase":"dreaming"}]}`
+	if r := DecodeAgent(200, []byte(heartbeat)); r.Heartbeat != nil {
+		t.Error("agent: an unknown state was believed")
 	}
 }
 
@@ -116,52 +105,9 @@
 func TestWaitsOn(t *testing.T) {
 	for from, want := range map[string][]string{`"later":[1]`: nil, `"waits_on":null`: nil, `"waits_on":[]`: nil,
 		`"waits_on":["wk-000398","wk-000405","wk-000398"]`: {"wk-000398", "wk-000405"}} {
-		_, j, err := ParseSubmission([]byte(gostrings.Replace(good, `"later":[1]`, from, 1)))
+		_, j, err := ParseSubmission([]byte(strings.Replace(good, `"later":[1]`, from, 1)))
 		if err != nil || !reflect.DeepEqual(j.DependsOn, want) {
 			t.Errorf("%s: %v, %v", from, j, err)
 		}
 	}
 }
-
-// TestDemandAndLags: what controllers tell each other of demand and lags arrives; a damaged
-// sketch loses the demand, not what else the message tells.
-func TestDemandAndLags(t *testing.T) {
-	tracker := admission.NewTracker(2)
-	flow := admission.Flow{Team: "alpha", Class: "short"}
-	for i := range 50 {
-		tracker.Asked(1, flow, gostrings.Repeat("x", i))
-	}
-	tracker.Accepted(1, flow)
-	tracker.Admitted(1, flow)
-	tracker.Refused(1)
-	demand := tracker.Demand(2)
-	s := &messages.PeerStatus{From: storage.Process{Member: "a", Incarnation: "x"}, Demand: &demand, Partitions: []messages.PartitionStatus{{
-		Partition: 1, FencingToken: 9, Lags: []admission.FlowLag{{Flow: flow, Lag: admission.Lag{Team: 5, Class: -7}}}}}}
-	raw := EncodePeerStatus(s)
-	got, err := DecodePeerStatus(raw)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !reflect.DeepEqual(got.Partitions[0].Lags, s.Partitions[0].Lags) {
-		t.Errorf("lags: %+v", got.Partitions[0].Lags)
-	}
-	d := got.Demand
-	if d == nil || d.Refused != 1 || d.Admitted != 1 || d.AcceptRate != demand.AcceptRate || len(d.Flows) != 1 {
-		t.Fatalf("demand: %+v", d)
-	}
-	if f := d.Flows[0]; f.Flow != flow || f.Accepted != 1 || f.Admitted != 1 || f.Waiting() != demand.Flows[0].Waiting() {
-		t.Errorf("flow: %+v", f)
-	}
-	sketch, err := admission.EncodeSketch(demand.Flows[0].Asked)
-	if err != nil {
-		t.Fatal(err)
-	}
-	at := bytes.Index(raw, sketch)
-	if at < 0 {
-		t.Fatal("the sketch is not in the message as it is")
-	}
-	raw[at] = 99 // a version that does not exist
-	if got, err = DecodePeerStatus(raw); err != nil || got.Demand != nil || len(got.Partitions) != 1 {
-		t.Errorf("damaged: %+v, %v", got, err)
-	}
-}
