--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -261,7 +261,7 @@
 			}
 			wait := epoch.Length
 			if !test.inFlight {
-				c.completeCall(c.output.StoreCalls[0].Call, &storage.Reply{Outcome: storage.Unavailable})
+				c.calls.CompleteStore(c.now, c.output.StoreCalls[0].Call, &storage.Reply{Outcome: storage.Unavailable})
 				wait = epochCheckInterval
 			}
 			_, next := tickEpoch(t, c, c.now+wait)
@@ -288,7 +288,7 @@
 			if _, epoch := tickEpoch(t, c, c.now); epoch == nil {
 				t.Fatal("no epoch")
 			}
-			c.completeCall(c.output.StoreCalls[0].Call, &storage.Reply{Outcome: storage.OK})
+			c.calls.CompleteStore(c.now, c.output.StoreCalls[0].Call, &storage.Reply{Outcome: storage.OK})
 			c.leader.revision = test.fencingToken
 			_, next := tickEpoch(t, c, c.now+epochCheckInterval)
 			if got := next != nil; got != test.want {
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"pipitlatch/internal/config"
+	"pipitlatch/internal/coordination/calls"
 	"pipitlatch/internal/coordination/election"
 	"pipitlatch/internal/coordination/leadership"
 	"pipitlatch/internal/coordination/membership"
@@ -13,7 +14,6 @@
 	"pipitlatch/internal/coordination/provisioning"
 	"pipitlatch/internal/coordination/reachability"
 	"pipitlatch/internal/coordination/replication"
-	"pipitlatch/internal/coordination/txnbackoff"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 	"pipitlatch/internal/workload"
@@ -40,9 +40,8 @@
 	lastTick  micros.Time
 	output    *messages.Output
 
-	calls        callTable
+	calls        *calls.Table
 	storeLimiter *storage.RateLimiter
-	txnBackoff   *txnbackoff.Backoff
 	replica      *replication.Replica
 	cache        *storage.Cache   // the replica's, until it loads another
 	term         *leadership.Term // the replica's
@@ -70,14 +69,6 @@
 	lastPlanned     *partitionLeader // that planned in the last step
 }
 
-// callTable is the calls that have not completed yet.
-type callTable struct {
-	lastID             uint64
-	pending            map[uint64]func(any)
-	agentCallsInFlight int
-	maxAgentCalls      int // as many as there are sockets for
-}
-
 // catalogSync is how the instance types are fetched from the cloud and kept in the key-value
 // store, see persistCatalog.
 type catalogSync struct {
@@ -113,16 +104,11 @@
 	keys := storage.Keys{Prefix: cfg.Operator.KeyPrefix}
 	limits := cfg.Settings.StateLimits()
 	c := &Core{
-		config:  cfg,
-		process: storage.Process{Member: cfg.Member, Incarnation: incarnation},
-		teams:   workload.Teams(cfg),
-		keys:    keys,
-		calls: callTable{
-			pending:       map[uint64]func(any){},
-			maxAgentCalls: max(1, cfg.Sockets().Calls/2), // the other half are idle connections
-		},
+		config:        cfg,
+		process:       storage.Process{Member: cfg.Member, Incarnation: incarnation},
+		teams:         workload.Teams(cfg),
+		keys:          keys,
 		storeLimiter:  storage.NewRateLimiter(limits.RPS, limits.WriteRPS, cfg.Settings.Nodes),
-		txnBackoff:    txnbackoff.New(),
 		partitions:    map[int]*partitionLeader{},
 		deathTimes:    map[storage.Process]micros.Time{},
 		cancellations: newCancellations(),
@@ -136,6 +122,8 @@
 	for i, p := range cfg.Peers {
 		expected[i] = p.Member
 	}
+	maxAgentCalls := max(1, cfg.Sockets().Calls/2) // the other half are idle connections
+	c.calls = calls.NewTable(c.storeLimiter, maxAgentCalls)
 	c.peers = membership.NewPeers(cfg.Member, expected)
 	c.health = membership.NewHealth(c.peers)
 	leaseTTL := micros.Time(cfg.Operator.PermitMs) * micros.Millisecond
@@ -194,74 +182,16 @@
 	case *messages.HeartbeatRequest:
 		c.handleHeartbeat(in)
 	case *messages.StoreCompletion:
-		c.completeCall(in.Call, in.Reply)
+		c.calls.CompleteStore(c.now, in.Call, in.Reply)
 	case *messages.CloudCompletion:
-		c.completeCall(in.Call, in.Reply)
+		c.calls.CompleteCloud(in.Call, in.Reply)
 	case *messages.AgentCompletion:
-		c.completeCall(in.Call, in.Reply)
+		c.calls.CompleteAgent(in.Call, in.Reply)
 	case *messages.PeerStatus:
 		c.receiveStatus(in)
 	}
 }
 
-func (c *Core) completeCall(call uint64, reply any) {
-	// A completion that comes twice, or was never asked for, has no effect.
-	if done := c.calls.pending[call]; done != nil {
-		delete(c.calls.pending, call)
-		done(reply)
-	}
-}
-
-func (c *Core) registerCall(done func(any)) uint64 {
-	c.calls.lastID++
-	c.calls.pending[c.calls.lastID] = done
-	return c.calls.lastID
-}
-
-// callStore sends a request to the state service if the budget allows.
-func (c *Core) callStore(r *storage.Request, urgency storage.Urgency, timeout micros.Time, done func(*storage.Reply)) bool {
-	if c.txnBackoff.Blocked(r, c.now) || !c.storeLimiter.Allow(c.now, r.Writes(), urgency) {
-		return false
-	}
-	id := c.registerCall(func(v any) {
-		reply := v.(*storage.Reply)
-		c.txnBackoff.Observe(r, reply.Outcome, c.now)
-		done(reply)
-	})
-	c.output.StoreCalls = append(c.output.StoreCalls, messages.StoreCall{Call: id, Request: r, Timeout: timeout})
-	return true
-}
-
-func (c *Core) callCloud(call messages.CloudCall, done func(*messages.CloudReply)) {
-	call.Call = c.registerCall(func(v any) { done(v.(*messages.CloudReply)) })
-	c.output.CloudCalls = append(c.output.CloudCalls, call)
-}
-
-// callAgent sends a direct call; there must be room for it.
-func (c *Core) callAgent(call messages.AgentCall, done func(*messages.AgentReply)) {
-	c.calls.agentCallsInFlight++
-	call.Call = c.registerCall(func(v any) {
-		c.calls.agentCallsInFlight--
-		done(v.(*messages.AgentReply))
-	})
-	c.output.AgentCalls = append(c.output.AgentCalls, call)
-}
-
-// availableAgentCalls is how many direct calls may be sent now. Each takes a socket: to
-// ask or command a whole fleet at once would leave none for the workers' reports.
-// Probes, whose machines often do not answer, leave a third to commands.
-func (c *Core) availableAgentCalls(probe bool) int {
-	most := c.calls.maxAgentCalls
-	if probe {
-		most -= most / 3
-	}
-	return most - c.calls.agentCallsInFlight
-}
-
-func (c *Core) log(level int, text string, args ...any) {
-	c.output.LogRecords = append(c.output.LogRecords, messages.LogRecord{Level: level, Message: text, Attributes: args})
-}
-
 func (c *Core) tick() {
 	if c.storeReachable() {
 		c.health.StoreServed(c.now)
--- a/internal/coordination/environment.go
+++ b/internal/coordination/environment.go
@@ -43,3 +43,28 @@
 func (e environment) AvailableAgentCalls(probe bool) int {
 	return e.core.availableAgentCalls(probe)
 }
+
+func (c *Core) callStore(
+	r *storage.Request, urgency storage.Urgency, timeout micros.Time, done func(*storage.Reply),
+) bool {
+	call, ok := c.calls.Store(c.now, r, urgency, timeout, done)
+	if ok {
+		c.output.StoreCalls = append(c.output.StoreCalls, call)
+	}
+	return ok
+}
+
+func (c *Core) callCloud(call messages.CloudCall, done func(*messages.CloudReply)) {
+	c.output.CloudCalls = append(c.output.CloudCalls, c.calls.Cloud(call, done))
+}
+
+func (c *Core) callAgent(call messages.AgentCall, done func(*messages.AgentReply)) {
+	c.output.AgentCalls = append(c.output.AgentCalls, c.calls.Agent(call, done))
+}
+
+func (c *Core) availableAgentCalls(probe bool) int { return c.calls.AvailableAgentCalls(probe) }
+
+func (c *Core) log(level int, message string, attributes ...any) {
+	record := messages.LogRecord{Level: level, Message: message, Attributes: attributes}
+	c.output.LogRecords = append(c.output.LogRecords, record)
+}
