--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -52,13 +52,6 @@
 	acquiredAt    micros.Time
 }
 
-// consolidationState paces the moves that free machines.
-type consolidationState struct {
-	lastPassAt     micros.Time // last search for machines that are not needed
-	replicaMovedAt micros.Time // last move of a service replica
-	recentArrayCPU int64       // CPU that arrays used recently
-}
-
 // newPartitionLeader takes a partition over whose lease this process just acquired.
 func newPartitionLeader(
 	c *Core, partition int, stored storage.Versioned[storage.PartitionRecord],
