--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -22,9 +22,9 @@
 		t.Fatal(err)
 	}
 	c := New(cfg, "1")
-	c.catalog = workload.Catalog{
+	c.catalog.Adopt(workload.Catalog{
 		"m": {Name: "m", Zones: []string{"a"}, Capacity: workload.Resources{CPU: 8000, Mem: 32_000}},
-	}
+	})
 	c.now, c.wall, c.output = micros.Second, micros.Second, &messages.Output{}
 	snapshot := storage.NewCache(c.keys)
 	snapshot.Revision = 10
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -51,8 +51,8 @@
 		b.Fatal(err)
 	}
 	c := New(cfg, "1")
-	c.catalog = workload.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: workload.Resources{CPU: 32_000, Mem: 256_000},
-		Price: 2, SpotPrice: 1, FetchGBps: 0.5, Boot: 30 * micros.Second}}
+	c.catalog.Adopt(workload.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: workload.Resources{CPU: 32_000, Mem: 256_000},
+		Price: 2, SpotPrice: 1, FetchGBps: 0.5, Boot: 30 * micros.Second}})
 	r := storage.NewCache(c.keys)
 	version := uint64(0)
 	put := func(key string, v any) {
@@ -163,7 +163,7 @@
 	}
 	h := c.partitions[0]
 	for _, m := range h.machines {
-		m.instanceType = c.catalog["m"]
+		m.instanceType = c.catalog.Types()["m"]
 	}
 	for b.Loop() {
 		now += minPlanInterval
--- a/internal/coordination/block_records.go
+++ b/internal/coordination/block_records.go
@@ -3,9 +3,7 @@
 import (
 	"fmt"
 
-	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
-	"pipitlatch/internal/workload"
 )
 
 // Every write fits the smaller of the store's limits in force and to come: the change comes
@@ -46,56 +44,3 @@
 		}
 	}
 }
-
-// persistCatalog takes the machine types from the state when the cloud has not told
-// them yet: a controller that starts while the cloud is down must be able to
-// judge submissions and to plan. The leader writes them down, in parts if they are too
-// many for one record.
-func (c *Core) persistCatalog() {
-	stored := c.cache.Catalog.Value
-	if c.catalog == nil && len(stored) > 0 {
-		c.catalog = stored
-	}
-	if !c.isClusterLeader() || !c.catalogSync.fromCloud || c.catalogSync.writing || c.now-c.catalogSync.writtenAt < 10*micros.Second || c.catalog.SameTypes(stored) {
-		return
-	}
-	c.catalogSync.writtenAt = c.now
-	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{c.leaderCompare()}}
-	if value := storage.Encode(c.catalog); len(value) <= c.config.Settings.MaxValue() {
-		key := c.keys.Catalog()
-		r.Compares = append(r.Compares, storage.Compare{Key: key, ModRevision: c.cache.Catalog.ModRevision})
-		r.Puts = append(r.Puts, storage.Put{Key: key, Value: value})
-	} else if c.cache.Format < storage.Format {
-		return // an older version would take a part for all
-	} else {
-		c.putCatalogParts(r, stored)
-	}
-	c.catalogSync.writing = c.callStore(r, storage.Deferrable, storeTimeout, func(*storage.Reply) { c.catalogSync.writing = false })
-}
-
-// putCatalogParts adds the parts of the catalog that are not stored as they are, as many as one
-// transaction takes; the next look writes the others.
-func (c *Core) putCatalogParts(r *storage.Request, stored workload.Catalog) {
-	part, n := workload.Catalog{}, 0
-	flush := func() {
-		same := true
-		for name, t := range part {
-			same = same && stored[name] != nil && workload.Catalog{name: t}.SameTypes(workload.Catalog{name: stored[name]})
-		}
-		if key := c.keys.CatalogPart(n); !same && len(r.Puts) < c.config.Settings.StateLimits().TxnOps {
-			r.Compares = append(r.Compares, storage.Compare{Key: key, ModRevision: c.cache.CatalogPartRevision(n)})
-			r.Puts = append(r.Puts, storage.Put{Key: key, Value: storage.Encode(part)})
-		}
-		part = workload.Catalog{}
-		n++
-	}
-	for _, name := range sortedKeys(c.catalog) {
-		part[name] = c.catalog[name]
-		if len(part) > 1 && len(storage.Encode(part)) > c.config.Settings.MaxValue() {
-			delete(part, name)
-			flush()
-			part[name] = c.catalog[name]
-		}
-	}
-	flush()
-}
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -7,6 +7,7 @@
 
 	"pipitlatch/internal/config"
 	"pipitlatch/internal/coordination/calls"
+	"pipitlatch/internal/coordination/catalog"
 	"pipitlatch/internal/coordination/election"
 	"pipitlatch/internal/coordination/leadership"
 	"pipitlatch/internal/coordination/membership"
@@ -47,8 +48,7 @@
 	term         *leadership.Term // the replica's
 	election     *election.Election
 
-	catalog     workload.Catalog
-	catalogSync catalogSync
+	catalog *catalog.Catalog
 
 	partitions      map[int]*partitionLeader
 	deathTimes      map[storage.Process]micros.Time // when a process was first known to be dead
@@ -69,16 +69,6 @@
 	lastPlanned     *partitionLeader // that planned in the last step
 }
 
-// catalogSync is how the instance types are fetched from the cloud and kept in the key-value
-// store, see persistCatalog.
-type catalogSync struct {
-	fetchedAt micros.Time
-	fetching  bool
-	fromCloud bool // the cloud, not only the store, told them to this process
-	writing   bool
-	writtenAt micros.Time
-}
-
 // statusState paces the status messages to peers.
 type statusState struct {
 	sentAt micros.Time
@@ -134,6 +124,9 @@
 		Keys: keys, TermLength: cfg.LeadershipTerm(), WatchInterval: watchInterval(cfg),
 	})
 	c.cache, c.term = c.replica.Cache(), c.replica.Term()
+	c.catalog = catalog.New(environment{c}, catalog.Settings{
+		Keys: keys, MaxValue: cfg.Settings.MaxValue(), MaxTxnOps: limits.TxnOps,
+	}, c.replanAll)
 	c.leader = newClusterLeader(clusterView{environment{c}}, cfg, c.process, keys, c.peers)
 	return c
 }
@@ -203,8 +196,11 @@
 		c.election.Campaign(c.cache)
 	}
 	c.replica.AdvanceReads()
-	c.refreshCatalog()
-	c.persistCatalog()
+	c.catalog.Refresh()
+	c.catalog.AdoptStored(c.cache)
+	if c.isClusterLeader() {
+		c.catalog.Persist(c.cache, c.leaderCompare())
+	}
 	c.tickLeader()
 	for _, n := range sortedKeys(c.partitions) {
 		c.partitions[n].tick()
@@ -214,31 +210,15 @@
 	c.sendStatus()
 }
 
-// refreshCatalog fetches the machine types; prices move, so they are fetched anew
-// now and then.
-func (c *Core) refreshCatalog() {
-	every := 60 * micros.Second
-	if c.catalog == nil {
-		every = micros.Second
+// replanAll lets every partition plan anew, as the instance types or their prices changed.
+func (c *Core) replanAll() {
+	for _, p := range c.partitions {
+		p.plan.stale = true
 	}
-	if c.catalogSync.fetching || (c.catalogSync.fetchedAt != 0 && c.now-c.catalogSync.fetchedAt < every) {
-		return
-	}
-	c.catalogSync.fetching, c.catalogSync.fetchedAt = true, c.now
-	c.callCloud(messages.CloudCall{Operation: messages.CloudCatalog, Timeout: 3 * micros.Second}, func(r *messages.CloudReply) {
-		c.catalogSync.fetching = false
-		if r.Outcome == messages.CloudOK && len(r.Catalog) > 0 {
-			c.catalog = r.Catalog
-			c.catalogSync.fromCloud = true
-			for _, h := range c.partitions {
-				h.plan.stale = true
-			}
-		}
-	})
 }
 
 // storeReachable reports whether this controller can serve users now.
-func (c *Core) storeReachable() bool { return c.replica.Current() && c.catalog != nil }
+func (c *Core) storeReachable() bool { return c.replica.Current() && c.catalog.Types() != nil }
 
 // isClusterLeader reports whether this process is the cluster leader, as far as it can know.
 func (c *Core) isClusterLeader() bool { return c.replica.Synced() && c.election.Leads(c.cache) }
--- a/internal/coordination/headroom.go
+++ b/internal/coordination/headroom.go
@@ -156,8 +156,8 @@
 	}
 	request = p.capacityRequest(survey.service, missing)
 	request.InstanceTypes = nil
-	for _, name := range sortedKeys(p.core.catalog) {
-		if p.core.catalog[name].Capacity.CPU < m.instanceType.Capacity.CPU && survey.service.AllowsInstanceType(name) {
+	for _, name := range sortedKeys(p.core.catalog.Types()) {
+		if p.core.catalog.Types()[name].Capacity.CPU < m.instanceType.Capacity.CPU && survey.service.AllowsInstanceType(name) {
 			request.InstanceTypes = append(request.InstanceTypes, name)
 		}
 	}
--- a/internal/coordination/inherited_urgency.go
+++ b/internal/coordination/inherited_urgency.go
@@ -60,7 +60,7 @@
 // fetchTime is how long an image takes to arrive at a machine of the mean.
 func (p *partitionLeader) fetchTime(gb float64) micros.Time {
 	sum, count := 0.0, 0
-	for _, instanceType := range p.core.catalog {
+	for _, instanceType := range p.core.catalog.Types() {
 		sum += instanceType.FetchGBps
 		count++
 	}
--- a/internal/coordination/large_bench_test.go
+++ b/internal/coordination/large_bench_test.go
@@ -97,7 +97,7 @@
 				for _, m := range h.machines {
 					m.contact.Reached(c.now)
 					m.contact.Replied(c.now)
-					m.instanceType, m.drain.reason = c.catalog["m"], notDraining
+					m.instanceType, m.drain.reason = c.catalog.Types()["m"], notDraining
 				}
 				h.scaleIn()
 			}
--- a/internal/coordination/leader_view.go
+++ b/internal/coordination/leader_view.go
@@ -68,7 +68,7 @@
 func (v clusterView) SendStatusSoon() { v.core.status.soon = true }
 
 // Catalog are the instance types; nil as long as they are not known.
-func (v clusterView) Catalog() workload.Catalog { return v.core.catalog }
+func (v clusterView) Catalog() workload.Catalog { return v.core.catalog.Types() }
 
 // PartitionCount is how many partitions there are.
 func (v clusterView) PartitionCount() int { return v.core.partitionCount() }
--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -7,8 +7,8 @@
 
 func (p *partitionLeader) checkMachine(m *machine) {
 	now := p.core.now
-	if m.instanceType == nil && p.core.catalog != nil {
-		m.instanceType = p.core.catalog[m.record.InstanceType]
+	if m.instanceType == nil && p.core.catalog.Types() != nil {
+		m.instanceType = p.core.catalog.Types()[m.record.InstanceType]
 	}
 	up := m.inUse()
 	quiet := p.detector.Silence(now, m.contact.LastContact())
--- a/internal/coordination/oversized.go
+++ b/internal/coordination/oversized.go
@@ -27,7 +27,7 @@
 		if found != nil && m.instanceType.Price <= found.instanceType.Price {
 			continue
 		}
-		for _, t := range p.core.catalog {
+		for _, t := range p.core.catalog.Types() {
 			saved, smaller := savedByReplacing(m.instanceType, t, service, replicas)
 			if smaller && service.AllowsInstanceType(t.Name) && saved >= lowestPrice {
 				found = m
@@ -67,7 +67,7 @@
 // lowestPrice is the lowest price of an ordinary machine.
 func (p *partitionLeader) lowestPrice() float64 {
 	lowest := 0.0
-	for _, t := range p.core.catalog {
+	for _, t := range p.core.catalog.Types() {
 		if lowest == 0 || t.Price < lowest {
 			lowest = t.Price
 		}
--- a/internal/coordination/planning.go
+++ b/internal/coordination/planning.go
@@ -24,7 +24,7 @@
 // schedule plans the waiting tasks and starts those whose slot is now. What stays without a
 // place in time becomes requests for capacity, and what is not needed is given up.
 func (p *partitionLeader) schedule() {
-	if p.core.catalog == nil || !p.plan.due(p.core.now) {
+	if p.core.catalog.Types() == nil || !p.plan.due(p.core.now) {
 		return
 	}
 	p.plan.begin(p.core.now)
@@ -222,7 +222,7 @@
 // shortestBoot is how long the quickest instance type that takes the job's tasks takes to boot.
 func (p *partitionLeader) shortestBoot(j *job) micros.Time {
 	shortest := micros.Max
-	for _, t := range p.core.catalog {
+	for _, t := range p.core.catalog.Types() {
 		if j.AllowsInstanceType(t.Name) && j.Resources.Fits(t.Capacity) {
 			shortest = min(shortest, t.Boot)
 		}
--- a/internal/coordination/submission.go
+++ b/internal/coordination/submission.go
@@ -130,7 +130,7 @@
 		return unknownTeam
 	case !team.CanEverRun(j):
 		return exceedsTeamLimit
-	case !c.catalog.Fits(j):
+	case !c.catalog.Types().Fits(j):
 		return fitsNoInstanceType
 	}
 	return schedulable
@@ -140,7 +140,7 @@
 // exist, or on which its tasks do not fit.
 func (c *Core) pruneInstanceTypes(j *workload.Job) {
 	j.InstanceTypes = slices.DeleteFunc(slices.Clone(j.InstanceTypes), func(name string) bool {
-		instanceType := c.catalog[name]
+		instanceType := c.catalog.Types()[name]
 		return instanceType == nil || !j.Resources.Fits(instanceType.Capacity)
 	})
 	slices.Sort(j.InstanceTypes)
