--- a/internal/scenario/actions_test.go
+++ b/internal/scenario/actions_test.go
@@ -209,7 +209,7 @@
 	if what == "" {
 		return []string{""}
 	}
-	if what = w.resolveZone(what); w.zoned && strings.HasPrefix(what, "zone-") {
+	if what = w.resolveZone(what); w.network.zoned && strings.HasPrefix(what, "zone-") {
 		return []string{what}
 	}
 	var ends []string
--- a/internal/scenario/admission_test.go
+++ b/internal/scenario/admission_test.go
@@ -47,11 +47,11 @@
 		}
 	}
 	if class, ok := fields["class"].(string); ok {
-		if w.verdicts.behind == nil {
-			w.verdicts.behind = map[string]int{}
+		if w.observed.verdicts.behind == nil {
+			w.observed.verdicts.behind = map[string]int{}
 		}
 		if l.Level >= 0 {
-			w.verdicts.behind[class]++
+			w.observed.verdicts.behind[class]++
 		}
 		return
 	}
@@ -63,7 +63,7 @@
 		w.breakRule("bench", "verdict of another form: %v", l.Attributes)
 		return
 	}
-	w.verdicts.record(w, epochID{leader, number}, job, admit)
+	w.observed.verdicts.record(w, epochID{leader, number}, job, admit)
 }
 
 func (v *verdicts) record(w *World, epoch epochID, job string, admit bool) {
--- a/internal/scenario/agent_faults_test.go
+++ b/internal/scenario/agent_faults_test.go
@@ -9,7 +9,7 @@
 var agentFaults = map[string]func(*line) agentFault{
 	"die":                  func(*line) agentFault { return func(_ *World, m *machine) { m.vanish() } },
 	"hang":                 agentHangs,
-	"faulty":               func(*line) agentFault { return func(_ *World, m *machine) { m.faulty = true } },
+	"faulty":               func(*line) agentFault { return func(_ *World, m *machine) { m.faults.faulty = true } },
 	"partition-inbound":    partitionInbound,
 	"partition-outbound":   partitionOutbound,
 	"ignore-kills":         agentIgnoresKills,
@@ -49,8 +49,8 @@
 func partitionOutbound(l *line) agentFault {
 	length := l.duration()
 	return func(w *World, m *machine) {
-		m.outboundPartitioned = true
-		w.after(length, func() { m.outboundPartitioned = false })
+		m.faults.outboundPartitioned = true
+		w.after(length, func() { m.faults.outboundPartitioned = false })
 	}
 }
 
@@ -58,22 +58,22 @@
 func agentIgnoresKills(l *line) agentFault {
 	length := l.duration()
 	return func(w *World, m *machine) {
-		m.ignoresKills = true
-		w.after(length, func() { m.ignoresKills = false })
+		m.faults.ignoresKills = true
+		w.after(length, func() { m.faults.ignoresKills = false })
 	}
 }
 
 // replayHeartbeats: heartbeats come again when a partition gets a new leader.
 func replayHeartbeats(l *line) agentFault {
 	length := l.duration()
-	return func(w *World, m *machine) { m.replayUntil = w.now + length }
+	return func(w *World, m *machine) { m.faults.replayUntil = w.now + length }
 }
 
 // duplicateHeartbeats: copies of heartbeats come late, to any node.
 func duplicateHeartbeats(l *line) agentFault {
 	count, by, length := l.count("n", 1), l.seconds("by", 8), l.duration()
 	return func(w *World, m *machine) {
-		m.duplicates, m.duplicateDelay, m.duplicateUntil = count, by, w.now+length
+		m.faults.duplicates, m.faults.duplicateDelay, m.faults.duplicateUntil = count, by, w.now+length
 	}
 }
 
@@ -86,8 +86,8 @@
 func delayCommands(l *line) agentFault {
 	by, length := l.seconds("by", 8), l.duration()
 	return func(w *World, m *machine) {
-		m.commandDelay = by
-		w.after(length, func() { m.commandDelay = 0 })
+		m.faults.commandDelay = by
+		w.after(length, func() { m.faults.commandDelay = 0 })
 	}
 }
 
@@ -101,12 +101,12 @@
 	notice := l.seconds("notice", 0)
 	return func(w *World, m *machine) {
 		if notice > 0 {
-			m.preemptedAt = w.now + notice
+			m.faults.preemptedAt = w.now + notice
 			m.heartbeatSoon()
 		}
 		w.after(notice, func() {
 			m.vanish()
-			m.terminated = true
+			m.lifecycle.terminated = true
 		})
 	}
 }
--- a/internal/scenario/agent_heartbeats_test.go
+++ b/internal/scenario/agent_heartbeats_test.go
@@ -8,40 +8,44 @@
 	"pipitlatch/internal/protocol"
 )
 
+// heartbeat is the next heartbeat on the wire, with a field that no controller knows.
 func (m *machine) heartbeat() []byte {
-	m.sequence++
-	shards := []map[string]any{}
-	for _, id := range m.sortedTaskKeys() {
-		t := m.tasks[id]
-		s := map[string]any{"shard": t.id, "try": t.attempt, "phase": t.phase}
+	m.agent.sequence++
+	tasks := []map[string]any{}
+	for _, key := range m.sortedTaskKeys() {
+		t := m.tasks[key]
+		task := map[string]any{"shard": t.id, "try": t.attempt, "phase": t.phase}
 		if t.phase == "exited" {
-			s["cause"] = t.cause
-			s["stored"] = t.checkpointed
+			task["cause"] = t.cause
+			task["stored"] = t.checkpointed
 		}
-		shards = append(shards, s)
+		tasks = append(tasks, task)
 	}
-	r := map[string]any{"host": m.name, "endpoint": m.address, "hull": m.instanceType.name, "berth": m.zone, "loaners": m.spot,
-		"tenure": m.agentEpoch, "tick": m.sequence, "warrant": m.fencingToken, "recall_s": nil, "shards": shards, "later_field": 1}
-	if m.preemptedAt > 0 {
-		r["recall_s"] = micros.Seconds(m.preemptedAt - m.w.now)
+	r := map[string]any{
+		"host": m.name, "endpoint": m.address, "hull": m.instanceType.name, "berth": m.zone, "loaners": m.spot,
+		"tenure": m.agent.epoch, "tick": m.agent.sequence, "warrant": m.agent.fencingToken,
+		"recall_s": nil, "shards": tasks, "later_field": 1,
+	}
+	if m.faults.preemptedAt > 0 {
+		r["recall_s"] = micros.Seconds(m.faults.preemptedAt - m.w.now)
 	}
 	return encode(r)
 }
 
 func (m *machine) scheduleHeartbeat(in micros.Time) {
-	m.heartbeatTimer++
-	n := m.heartbeatTimer
+	m.heartbeats.timer++
+	n := m.heartbeats.timer
 	m.w.after(in, func() {
-		if n == m.heartbeatTimer {
+		if n == m.heartbeats.timer {
 			m.run(m.sendHeartbeat)
 		}
 	})
 }
 
-// heartbeatSoon lets a report go out soon.
+// heartbeatSoon sends a heartbeat soon: something changed.
 func (m *machine) heartbeatSoon() {
-	if !m.inFlight {
-		m.scheduleHeartbeat(max(0, m.lastHeartbeatAt+500*micros.Millisecond-m.w.now))
+	if !m.heartbeats.inFlight {
+		m.scheduleHeartbeat(max(0, m.heartbeats.lastAt+500*micros.Millisecond-m.w.now))
 	}
 }
 
@@ -49,17 +53,19 @@
 	return micros.FromSeconds(m.w.config.Settings.Workers.ReportS * (0.75 + 0.5*m.w.random.Float64()))
 }
 
+// sendHeartbeat sends a heartbeat to the controller that the agent knows; it counts as
+// unanswered after four seconds.
 func (m *machine) sendHeartbeat() {
-	if m.inFlight {
+	if m.heartbeats.inFlight {
 		return
 	}
 	w := m.w
-	m.inFlight = true
-	m.lastHeartbeatAt = w.now
-	sent, epoch, life, over := w.now, m.agentEpoch, m.agentIncarnation, false
-	n := w.node(m.controller)
+	m.heartbeats.inFlight = true
+	m.heartbeats.lastAt = w.now
+	sent, epoch, incarnation, over := w.now, m.agent.epoch, m.agent.incarnation, false
+	to := w.node(m.heartbeats.controller)
 	end := func(status int, body []byte) {
-		if over || life != m.agentIncarnation {
+		if over || incarnation != m.agent.incarnation {
 			return
 		}
 		over = true
@@ -67,98 +73,124 @@
 	}
 	raw := m.heartbeat()
 	w.after(4*micros.Second, func() { end(0, nil) })
-	if w.sendHeartbeat != nil {
-		w.sendHeartbeat(m, raw, end)
+	if w.loopback.sendHeartbeat != nil {
+		w.loopback.sendHeartbeat(m, raw, end)
 		return
 	}
-	if m.outboundPartitioned {
+	if m.faults.outboundPartitioned {
 		return // the connection is not made
 	}
-	if w.now < m.replayUntil && len(w.replayedHeartbeats) < 1000 {
-		w.replayedHeartbeats = append(w.replayedHeartbeats, raw)
+	m.duplicate(raw)
+	w.send(m.name, to.name, func() { to.receiveHeartbeat(m, raw, end) })
+}
+
+// duplicate keeps a heartbeat for the next partition leader and sends late copies, if the
+// machine's faults want it.
+func (m *machine) duplicate(raw []byte) {
+	w := m.w
+	if w.now < m.faults.replayUntil && len(w.observed.replayedHeartbeats) < 1000 {
+		w.observed.replayedHeartbeats = append(w.observed.replayedHeartbeats, raw)
 	}
-	for range m.duplicates {
-		if w.now >= m.duplicateUntil {
+	for range m.faults.duplicates {
+		if w.now >= m.faults.duplicateUntil {
 			break
 		}
 		to := w.nodes[w.random.IntN(len(w.nodes))]
-		w.after(w.random.Int64N(int64(m.duplicateDelay)), func() { to.receiveDuplicate(raw) })
+		w.after(w.random.Int64N(int64(m.faults.duplicateDelay)), func() { to.receiveDuplicate(raw) })
 	}
-	w.send(m.name, n.name, func() {
-		if !n.up() {
-			w.send(n.name, m.name, func() { end(0, nil) })
-			return
-		}
-		rep, err := protocol.ParseHeartbeat(raw)
-		if err != nil {
-			w.breakRule("bench", "a report cannot be read: %v", err)
-			return
+}
+
+// receiveHeartbeat hands a heartbeat in and sends the answer back to its machine.
+func (n *node) receiveHeartbeat(m *machine, raw []byte, end replyFunc) {
+	w := n.w
+	if !n.up() {
+		w.send(n.name, m.name, func() { end(0, nil) })
+		return
+	}
+	heartbeat, err := protocol.ParseHeartbeat(raw)
+	if err != nil {
+		w.breakRule("bench", "a heartbeat cannot be read: %v", err)
+		return
+	}
+	n.request(func(id messages.RequestID) messages.Input {
+		return &messages.HeartbeatRequest{Request: id, Heartbeat: heartbeat}
+	}, func(a messages.Response) {
+		status, body := 503, []byte(nil)
+		switch a.Kind {
+		case messages.HeartbeatAcknowledged:
+			status, body = 200, protocol.EncodeHeartbeatReply(a.FencingToken, a.Commands)
+		case messages.HeartbeatRedirected:
+			status, body = 421, protocol.EncodeRedirect(a.RedirectTo)
 		}
-		n.request(func(id messages.RequestID) messages.Input {
-			return &messages.HeartbeatRequest{Request: id, Heartbeat: rep}
-		}, func(a messages.Response) {
-			status, body := 503, []byte(nil)
-			switch a.Kind {
-			case messages.HeartbeatAcknowledged:
-				status, body = 200, protocol.EncodeHeartbeatReply(a.FencingToken, a.Commands)
-			case messages.HeartbeatRedirected:
-				status, body = 421, protocol.EncodeRedirect(a.RedirectTo)
-			}
-			w.send(n.name, m.name, func() { end(status, body) })
-		})
+		w.send(n.name, m.name, func() { end(status, body) })
 	})
 }
 
+// receiveReply takes the answer to a heartbeat that was sent in an agent epoch; status 0: none.
 func (m *machine) receiveReply(sent micros.Time, epoch uint64, status int, body []byte) {
-	m.inFlight = false
-	nextNode := func() {
-		for i, n := range m.w.nodes {
-			if n.name == m.controller {
-				m.controller = m.w.nodes[(i+1)%len(m.w.nodes)].name
-				break
-			}
-		}
-		m.scheduleHeartbeat(micros.Second)
-	}
+	m.heartbeats.inFlight = false
 	switch status {
 	case 200:
-		var r struct {
-			FencingToken uint64         `json:"warrant"`
-			Commands     []agentCommand `json:"orders"`
-		}
-		if json.Unmarshal(body, &r) != nil {
-			nextNode()
-			return
-		}
-		m.scheduleHeartbeat(m.heartbeatInterval())
-		if r.FencingToken < m.fencingToken || epoch != m.agentEpoch {
-			return // dropped; stays with this node
-		}
-		m.acknowledgedAt = max(m.acknowledgedAt, sent)
-		m.observeToken(r.FencingToken)
-		m.execute(r.Commands)
+		m.receiveCommands(sent, epoch, body)
 	case 421:
-		var r struct {
-			Controller string `json:"steward"`
-		}
-		_ = json.Unmarshal(body, &r)
-		if r.Controller == "" || r.Controller == m.controller || m.w.node(r.Controller) == nil {
-			nextNode()
-			return
-		}
-		m.controller = r.Controller
-		m.scheduleHeartbeat(m.w.random.Int64N(500 * micros.Millisecond))
+		m.followRedirect(body)
 	default:
-		nextNode()
+		m.tryNextController()
 	}
 }
 
-func (m *machine) observeToken(token uint64) {
-	if token > m.fencingToken {
-		m.fencingToken = token
-		if half := micros.FromSeconds(m.w.config.Settings.Workers.LeaseS / 2); m.tokenAnnouncedAt == 0 || m.w.now-m.tokenAnnouncedAt > half {
-			m.tokenAnnouncedAt = m.w.now
-			m.heartbeatSoon()
+// tryNextController has the next heartbeat go to another controller.
+func (m *machine) tryNextController() {
+	for i, n := range m.w.nodes {
+		if n.name == m.heartbeats.controller {
+			m.heartbeats.controller = m.w.nodes[(i+1)%len(m.w.nodes)].name
+			break
 		}
 	}
+	m.scheduleHeartbeat(micros.Second)
+}
+
+func (m *machine) receiveCommands(sent micros.Time, epoch uint64, body []byte) {
+	var r struct {
+		FencingToken uint64         `json:"warrant"`
+		Commands     []agentCommand `json:"orders"`
+	}
+	if json.Unmarshal(body, &r) != nil {
+		m.tryNextController()
+		return
+	}
+	m.scheduleHeartbeat(m.heartbeatInterval())
+	if r.FencingToken < m.agent.fencingToken || epoch != m.agent.epoch {
+		return // dropped; stays with this node
+	}
+	m.agent.acknowledgedAt = max(m.agent.acknowledgedAt, sent)
+	m.observeToken(r.FencingToken)
+	m.execute(r.Commands)
+}
+
+func (m *machine) followRedirect(body []byte) {
+	var r struct {
+		Controller string `json:"steward"`
+	}
+	err := json.Unmarshal(body, &r)
+	if err != nil || r.Controller == "" || r.Controller == m.heartbeats.controller || m.w.node(r.Controller) == nil {
+		m.tryNextController()
+		return
+	}
+	m.heartbeats.controller = r.Controller
+	m.scheduleHeartbeat(m.w.random.Int64N(500 * micros.Millisecond))
+}
+
+// observeToken takes a higher fencing token; that is a change, which is reported, but not more
+// often than once in half a lease.
+func (m *machine) observeToken(token uint64) {
+	if token <= m.agent.fencingToken {
+		return
+	}
+	m.agent.fencingToken = token
+	halfLease := micros.FromSeconds(m.w.config.Settings.Workers.LeaseS / 2)
+	if m.agent.tokenAnnouncedAt == 0 || m.w.now-m.agent.tokenAnnouncedAt > halfLease {
+		m.agent.tokenAnnouncedAt = m.w.now
+		m.heartbeatSoon()
+	}
 }
--- a/internal/scenario/agent_tasks_test.go
+++ b/internal/scenario/agent_tasks_test.go
@@ -52,18 +52,18 @@
 
 // deliverCommand delivers what is sent straight to the worker.
 func (m *machine) deliverCommand(run func()) {
-	if m.commandDelay > 0 {
-		m.w.after(m.w.random.Int64N(int64(m.commandDelay)), func() { m.run(run) })
+	if m.faults.commandDelay > 0 {
+		m.w.after(m.w.random.Int64N(int64(m.faults.commandDelay)), func() { m.run(run) })
 		return
 	}
 	m.run(run)
 }
 
-func (m *machine) serveStatus(reply func(int, []byte)) {
+func (m *machine) serveStatus(reply replyFunc) {
 	m.deliverCommand(func() { reply(200, m.heartbeat()) })
 }
 
-func (m *machine) serveCommands(body []byte, reply func(int, []byte)) {
+func (m *machine) serveCommands(body []byte, reply replyFunc) {
 	m.deliverCommand(func() {
 		var r struct {
 			FencingToken *uint64        `json:"warrant"`
@@ -74,7 +74,7 @@
 			reply(400, nil)
 			return
 		}
-		if *r.FencingToken < m.fencingToken || *r.AgentEpoch != m.agentEpoch {
+		if *r.FencingToken < m.agent.fencingToken || *r.AgentEpoch != m.agent.epoch {
 			reply(409, m.heartbeat())
 			return
 		}
@@ -84,33 +84,20 @@
 	})
 }
 
-func (m *machine) execute(orders []agentCommand) {
-	for _, o := range orders {
-		key := o.Task + "#" + strconv.FormatUint(o.Attempt, 10)
+// execute carries commands out, each once.
+func (m *machine) execute(commands []agentCommand) {
+	for _, c := range commands {
+		key := c.Task + "#" + strconv.FormatUint(c.Attempt, 10)
 		t := m.tasks[key]
-		switch o.Operation {
+		switch c.Operation {
 		case "run":
 			if t == nil {
-				m.startTask(key, o)
+				m.startTask(key, c)
 			}
 		case "kill":
-			if t == nil || t.phase == "exited" || m.ignoresKills {
-				continue
+			if t != nil && t.phase != "exited" && !m.faults.ignoresKills {
+				m.killTask(key, t, c.GracePeriodS)
 			}
-			if t.phase == "running" && t.job.checkpointInterval > 0 && o.GracePeriodS >= t.job.checkpointS && o.GracePeriodS > 0 {
-				t.phase = "saving"
-				life := t.generation
-				m.w.after(micros.FromSeconds(t.job.checkpointS), func() {
-					m.run(func() {
-						if m.tasks[key] == t && t.generation == life && t.phase == "saving" {
-							t.checkpointed = true
-							m.exitTask(t, "stopped")
-						}
-					})
-				})
-				continue
-			}
-			m.exitTask(t, "stopped")
 		case "forget":
 			if t != nil && t.phase == "exited" {
 				delete(m.tasks, key)
@@ -119,6 +106,25 @@
 	}
 }
 
+// killTask stops a task: at once, or after a checkpoint if it can make one within its grace period.
+func (m *machine) killTask(key string, t *agentTask, gracePeriodS float64) {
+	e := t.job.execution
+	if t.phase != "running" || e.checkpointInterval <= 0 || gracePeriodS < e.checkpointS || gracePeriodS <= 0 {
+		m.exitTask(t, "stopped")
+		return
+	}
+	t.phase = "saving"
+	generation := t.generation
+	m.w.after(micros.FromSeconds(e.checkpointS), func() {
+		m.run(func() {
+			if m.tasks[key] == t && t.generation == generation && t.phase == "saving" {
+				t.checkpointed = true
+				m.exitTask(t, "stopped")
+			}
+		})
+	})
+}
+
 func (m *machine) exitTask(t *agentTask, cause string) {
 	t.phase, t.cause = "exited", cause
 	t.generation++
@@ -132,10 +138,10 @@
 	t := &agentTask{id: o.Task, attempt: o.Attempt, phase: "exited", cause: "unknown", job: j}
 	m.tasks[key] = t
 	defer m.heartbeatSoon()
-	if j == nil || n < 0 || n >= j.taskCount || !j.sent {
+	if j == nil || n < 0 || n >= j.spec.taskCount || !j.requests.sent {
 		return
 	}
-	cores, ram := m.instanceType.cores-j.cores, m.instanceType.ramGB-j.ram
+	cores, ram := m.instanceType.cores-j.spec.cores, m.instanceType.ramGB-j.spec.ram
 	for _, id := range m.sortedTaskKeys() { // in order: a sum of fractions depends on it
 		other := m.tasks[id]
 		if other == t || other.phase == "exited" {
@@ -145,8 +151,8 @@
 			t.cause = "busy"
 			return
 		}
-		cores -= other.job.cores
-		ram -= other.job.ram
+		cores -= other.job.spec.cores
+		ram -= other.job.spec.ram
 	}
 	if cores < 0 || ram < 0 {
 		t.cause = "no_room"
@@ -162,7 +168,7 @@
 			}
 			m.cacheImage(j)
 			t.phase = "running"
-			m.w.users.checkStart(m, t, n)
+			m.w.users.checkStart(m, t)
 			m.heartbeatSoon()
 			m.finishTaskLater(key, t, n)
 		})
@@ -172,30 +178,31 @@
 func (m *machine) finishTaskLater(key string, t *agentTask, n int) {
 	j := t.job
 	life := t.generation
-	length := micros.Time(float64(j.runTime) * m.speed)
+	length := micros.Time(float64(j.execution.runTime) * m.speed)
 	if n%3 == 2 {
-		length = micros.Time(float64(length) * j.thirdTaskFactor)
+		length = micros.Time(float64(length) * j.execution.thirdTaskFactor)
 	}
 	switch {
-	case j.done[n]:
+	case j.observed.done[n]:
 		length = 0
-	case m.faulty || j.alwaysFails:
+	case m.faults.faulty || j.execution.alwaysFails:
 		length = micros.Second
-	case j.shape == "service":
+	case j.spec.shape == "service":
 		return
 	}
-	failing := m.faulty || j.alwaysFails
+	failing := m.faults.faulty || j.execution.alwaysFails
 	m.w.after(length, func() {
 		m.run(func() {
 			if m.tasks[key] != t || t.generation != life || t.phase != "running" {
 				return
 			}
-			if failing && !j.done[n] {
+			if failing && !j.observed.done[n] {
 				m.exitTask(t, "error")
 				return
 			}
-			j.done[n] = true
-			if u := m.w.users; len(j.done) == j.taskCount && m.w.now < u.cancelUntil && m.w.random.Float64() < u.cancelShare {
+			j.observed.done[n] = true
+			u, last := m.w.users, len(j.observed.done) == j.spec.taskCount
+			if last && m.w.now < u.cancelUntil && m.w.random.Float64() < u.cancelShare {
 				u.cancel(j)
 			}
 			m.exitTask(t, "done")
@@ -211,24 +218,24 @@
 
 // fetchTime is how long a task waits for its image: one fetch serves all that wait.
 func (m *machine) fetchTime(j *userJob) micros.Time {
-	if slices.ContainsFunc(m.images, func(c cachedImage) bool { return c.name == j.image }) {
+	if slices.ContainsFunc(m.cache.images, func(c cachedImage) bool { return c.name == j.spec.image }) {
 		return 0
 	}
-	if m.imageArrivals[j.image] <= m.w.now {
-		m.imageArrivals[j.image] = m.w.now + micros.FromSeconds(j.imageGB/m.instanceType.fetchGBPerSecond)
+	if m.cache.arrivals[j.spec.image] <= m.w.now {
+		m.cache.arrivals[j.spec.image] = m.w.now + micros.FromSeconds(j.spec.imageGB/m.instanceType.fetchGBPerSecond)
 	}
-	return m.imageArrivals[j.image] - m.w.now
+	return m.cache.arrivals[j.spec.image] - m.w.now
 }
 
 // cacheImage keeps the images that were used last.
 func (m *machine) cacheImage(j *userJob) {
-	m.images = slices.DeleteFunc(m.images, func(c cachedImage) bool { return c.name == j.image })
-	m.images = append(m.images, cachedImage{j.image, j.imageGB})
+	m.cache.images = slices.DeleteFunc(m.cache.images, func(c cachedImage) bool { return c.name == j.spec.image })
+	m.cache.images = append(m.cache.images, cachedImage{j.spec.image, j.spec.imageGB})
 	sum := 0.0
-	for _, c := range m.images {
+	for _, c := range m.cache.images {
 		sum += c.gb
 	}
-	for ; sum > m.instanceType.cacheGB && len(m.images) > 1; m.images = m.images[1:] {
-		sum -= m.images[0].gb
+	for ; sum > m.instanceType.cacheGB && len(m.cache.images) > 1; m.cache.images = m.cache.images[1:] {
+		sum -= m.cache.images[0].gb
 	}
 }
--- a/internal/scenario/agent_test.go
+++ b/internal/scenario/agent_test.go
@@ -13,49 +13,72 @@
 	zone         string
 	spot         bool
 	createdAt    micros.Time
-	speed        float64
+	speed        float64 // its tasks' run times are multiplied by it
 
-	booted           bool
-	gone             bool
-	goneAt           micros.Time
-	terminated       bool
-	hung             bool
-	whenResumed      []func()
-	faulty           bool
-	commandDelay     micros.Time // commands sent straight to it are delayed by up to this
-	preemptedAt      micros.Time // when it is taken; 0: no notice
-	agentDown        bool        // between two runs of the worker
-	agentIncarnation int         // counts them
+	lifecycle  machineLifecycle
+	faults     machineFaults
+	agent      agentState
+	heartbeats heartbeatState
+	tasks      map[string]*agentTask
+	cache      imageCache
+}
+
+// machineLifecycle is how far a machine got.
+type machineLifecycle struct {
+	booted     bool
+	gone       bool // it runs no more, whether the cloud knows it or not
+	goneAt     micros.Time
+	terminated bool // the cloud has ended it
+}
 
-	outboundPartitioned bool        // its reports reach nobody
+// machineFaults are the faults of a machine and its agent.
+type machineFaults struct {
+	hung                bool
+	whenResumed         []func()    // what came while it hung
+	faulty              bool        // it fails every task
+	commandDelay        micros.Time // commands sent straight to it are delayed by up to this
+	preemptedAt         micros.Time // when the cloud takes it; 0: no notice
+	outboundPartitioned bool        // its heartbeats reach nobody
 	ignoresKills        bool        // stops have no effect
-	replayUntil         micros.Time // reports are kept until then, for the next holder
-	duplicates          int         // of every report
-	duplicateDelay      micros.Time // copies of its reports come up to this late
-	duplicateUntil      micros.Time // reports are copied until then
+	replayUntil         micros.Time // heartbeats are kept until then, for the next partition leader
+	duplicates          int         // of every heartbeat
+	duplicateDelay      micros.Time // duplicates come up to this late
+	duplicateUntil      micros.Time // heartbeats are duplicated until then
+}
 
-	agentEpoch       uint64
+// agentState is what an agent knows of itself and of those that command it.
+type agentState struct {
+	down             bool // between two runs of the agent
+	incarnation      int  // counts them
+	epoch            uint64
 	sequence         uint64
 	fencingToken     uint64
-	acknowledgedAt   micros.Time // when the last answered report was sent
-	controller       string      // node it reports to
-	inFlight         bool
-	heartbeatTimer   int // counts report timers
-	lastHeartbeatAt  micros.Time
+	acknowledgedAt   micros.Time // when the last answered heartbeat was sent
 	tokenAnnouncedAt micros.Time // last time a higher token counted as a change
-	tasks            map[string]*agentTask
-	images           []cachedImage          // most recently used last
-	imageArrivals    map[string]micros.Time // images being fetched: when they will be there
+}
+
+// heartbeatState is about an agent's heartbeats.
+type heartbeatState struct {
+	controller string // node that they are sent to
+	inFlight   bool
+	timer      int // counts timers: only the newest has an effect
+	lastAt     micros.Time
+}
+
+// imageCache has the images on a machine.
+type imageCache struct {
+	images   []cachedImage          // most recently used last
+	arrivals map[string]micros.Time // images being fetched: when they will be there
 }
 
 func (m *machine) boot() {
-	if m.gone || m.booted {
+	if m.lifecycle.gone || m.lifecycle.booted {
 		return
 	}
-	m.booted = true
-	m.agentEpoch = 1
-	m.acknowledgedAt = m.w.now
-	m.controller = m.w.nodes[m.w.random.IntN(len(m.w.nodes))].name
+	m.lifecycle.booted = true
+	m.agent.epoch = 1
+	m.agent.acknowledgedAt = m.w.now
+	m.heartbeats.controller = m.w.nodes[m.w.random.IntN(len(m.w.nodes))].name
 	m.watchLease()
 	m.sendHeartbeat()
 }
@@ -63,35 +86,35 @@
 // restart ends the agent and begins it anew under its old name: agent epoch, sequence and
 // fencing token start again.
 func (m *machine) restart(back micros.Time) {
-	if m.gone || !m.booted {
+	if m.lifecycle.gone || !m.lifecycle.booted {
 		return
 	}
-	m.agentDown = true
-	m.agentIncarnation++
-	m.heartbeatTimer++
-	m.tasks, m.images, m.imageArrivals = map[string]*agentTask{}, nil, map[string]micros.Time{}
+	m.agent.down = true
+	m.agent.incarnation++
+	m.heartbeats.timer++
+	m.tasks, m.cache.images, m.cache.arrivals = map[string]*agentTask{}, nil, map[string]micros.Time{}
 	m.w.after(back, func() {
-		m.agentDown, m.inFlight, m.hung, m.whenResumed = false, false, false, nil
-		m.agentEpoch, m.sequence, m.fencingToken, m.tokenAnnouncedAt = 1, 0, 0, 0
-		m.acknowledgedAt = m.w.now
-		m.controller = m.w.nodes[m.w.random.IntN(len(m.w.nodes))].name
+		m.agent.down, m.heartbeats.inFlight, m.faults.hung, m.faults.whenResumed = false, false, false, nil
+		m.agent.epoch, m.agent.sequence, m.agent.fencingToken, m.agent.tokenAnnouncedAt = 1, 0, 0, 0
+		m.agent.acknowledgedAt = m.w.now
+		m.heartbeats.controller = m.w.nodes[m.w.random.IntN(len(m.w.nodes))].name
 		m.run(m.sendHeartbeat)
 	})
 }
 
 func (m *machine) vanish() {
-	m.gone = true
-	m.goneAt = m.w.now
+	m.lifecycle.gone = true
+	m.lifecycle.goneAt = m.w.now
 	m.tasks = map[string]*agentTask{}
 }
 
 // run runs something on the machine: later, if it hangs.
 func (m *machine) run(run func()) {
-	if m.gone || m.agentDown {
+	if m.lifecycle.gone || m.agent.down {
 		return
 	}
-	if m.hung {
-		m.whenResumed = append(m.whenResumed, run)
+	if m.faults.hung {
+		m.faults.whenResumed = append(m.faults.whenResumed, run)
 		return
 	}
 	m.expireLease()
@@ -99,11 +122,11 @@
 }
 
 func (m *machine) hang(length micros.Time) {
-	m.hung = true
+	m.faults.hung = true
 	m.w.after(length, func() {
-		m.hung = false
-		late := m.whenResumed
-		m.whenResumed = nil
+		m.faults.hung = false
+		late := m.faults.whenResumed
+		m.faults.whenResumed = nil
 		for _, run := range late {
 			m.run(run)
 		}
@@ -112,21 +135,21 @@
 
 // expireLease ends the session if its lease has run out.
 func (m *machine) expireLease() {
-	if m.w.now-m.acknowledgedAt <= micros.FromSeconds(m.w.config.Settings.Workers.LeaseS) {
+	if m.w.now-m.agent.acknowledgedAt <= micros.FromSeconds(m.w.config.Settings.Workers.LeaseS) {
 		return
 	}
 	m.tasks = map[string]*agentTask{}
-	m.agentEpoch++
-	m.sequence = 0
-	m.acknowledgedAt = m.w.now
+	m.agent.epoch++
+	m.agent.sequence = 0
+	m.agent.acknowledgedAt = m.w.now
 }
 
 func (m *machine) watchLease() {
 	m.w.after(100*micros.Millisecond, func() {
-		if m.gone {
+		if m.lifecycle.gone {
 			return
 		}
-		if m.agentDown {
+		if m.agent.down {
 			m.watchLease()
 			return
 		}
--- a/internal/scenario/balancer_test.go
+++ b/internal/scenario/balancer_test.go
@@ -16,44 +16,51 @@
 
 // probeHealth asks every node once a second whether it is well.
 func (u *users) probeHealth() {
-	w := u.w
 	for _, b := range u.balancers {
 		n := b.node
-		ok := n.up() && !n.paused && n.core.Healthy() && w.cutBetween(usersHost, n.name) == nil
-		b.recentProbes = append(b.recentProbes, ok)
-		b.recentProbes = b.recentProbes[max(0, len(b.recentProbes)-6):]
-		k := len(b.recentProbes)
-		bad := 0
-		for _, ok := range b.recentProbes {
-			if !ok {
-				bad++
-			}
+		b.record(u.w.now, n.up() && !n.paused && n.core.Healthy() && u.w.cutBetween(usersHost, n.name) == nil)
+	}
+	u.w.after(micros.Second, u.probeHealth)
+}
+
+// record takes the result of a probe. A node is removed after two bad ones in a row, or three of
+// six; it is back after two good ones, and a delay that doubles if it was removed of late.
+func (b *balancer) record(now micros.Time, ok bool) {
+	probes := append(b.recentProbes, ok)
+	probes = probes[max(0, len(probes)-6):]
+	b.recentProbes = probes
+	count, bad := len(probes), 0
+	for _, ok := range probes {
+		if !ok {
+			bad++
 		}
-		switch {
-		case b.healthy && (bad >= 3 || (k >= 2 && !b.recentProbes[k-1] && !b.recentProbes[k-2])):
-			if b.removedAt > 0 && w.now-b.removedAt < 120*micros.Second {
-				b.readmissionDelay = min(60*micros.Second, 2*b.readmissionDelay)
-			} else {
-				b.readmissionDelay = 3 * micros.Second
-			}
-			b.healthy, b.removedAt = false, w.now
-		case !b.healthy && ok && (!b.everHealthy || (k >= 2 && b.recentProbes[k-2] && w.now-b.removedAt >= b.readmissionDelay)):
-			b.healthy, b.everHealthy, b.recentProbes = true, true, nil
+	}
+	beforeOK := count >= 2 && probes[count-2]
+	twoBad := count >= 2 && !probes[count-1] && !probes[count-2]
+	switch {
+	case b.healthy && (bad >= 3 || twoBad):
+		if b.removedAt > 0 && now-b.removedAt < 120*micros.Second {
+			b.readmissionDelay = min(60*micros.Second, 2*b.readmissionDelay)
+		} else {
+			b.readmissionDelay = 3 * micros.Second
 		}
+		b.healthy, b.removedAt = false, now
+	case !b.healthy && ok && (!b.everHealthy || (beforeOK && now-b.removedAt >= b.readmissionDelay)):
+		b.healthy, b.everHealthy, b.recentProbes = true, true, nil
 	}
-	w.after(micros.Second, u.probeHealth)
 }
 
 // connect finds the node of a user's connection: the one it has, while that node
 // lives and has not been unhealthy for long, or a healthy one.
 func (u *users) connect(j *userJob) *balancer {
 	w := u.w
-	if j != nil && j.connection != nil {
-		b := j.connection
-		if b.node.incarnation == j.connectionIncarnation && b.node.up() && (b.healthy || w.now-b.removedAt < 5*micros.Second) {
+	if j != nil && j.requests.connection != nil {
+		b := j.requests.connection
+		same := b.node.up() && b.node.incarnation == j.requests.connectionIncarnation
+		if same && (b.healthy || w.now-b.removedAt < 5*micros.Second) {
 			return b
 		}
-		j.connection = nil
+		j.requests.connection = nil
 	}
 	var list []*balancer
 	for _, b := range u.balancers {
@@ -66,7 +73,7 @@
 	}
 	b := list[w.random.IntN(len(list))]
 	if j != nil {
-		j.connection, j.connectionIncarnation = b, b.node.incarnation
+		j.requests.connection, j.requests.connectionIncarnation = b, b.node.incarnation
 	}
 	return b
 }
@@ -75,7 +82,7 @@
 func (u *users) pinConnection(j *userJob, n *node) {
 	for _, b := range u.balancers {
 		if b.node == n {
-			j.connection, j.connectionIncarnation = b, n.incarnation
+			j.requests.connection, j.requests.connectionIncarnation = b, n.incarnation
 		}
 	}
 }
--- a/internal/scenario/checks_test.go
+++ b/internal/scenario/checks_test.go
@@ -31,7 +31,7 @@
 
 func (w checkWorld) addJob(ref string, set map[string]string) *userJob {
 	j := w.users.newJob(ref, set)
-	j.accepted = 1
+	j.told.accepted = 1
 	w.users.jobs[ref] = j
 	w.users.order = append(w.users.order, ref)
 	return j
@@ -41,22 +41,22 @@
 var provocations = map[string]func(w checkWorld){
 	"ran_twice": func(w checkWorld) {
 		w.task(w.first, 0)
-		w.users.checkStart(w.second, w.task(w.second, 0), 0)
+		w.users.checkStart(w.second, w.task(w.second, 0))
 	},
 	"quota": func(w checkWorld) {
 		w.task(w.first, 0)
 		w.task(w.first, 1)
-		w.users.checkStart(w.second, w.task(w.second, 2), 2)
+		w.users.checkStart(w.second, w.task(w.second, 2))
 	},
 	"wrong_place": func(w checkWorld) {
-		w.job.zone = "b"
-		w.users.checkStart(w.first, w.task(w.first, 0), 0)
+		w.job.spec.zone = "b"
+		w.users.checkStart(w.first, w.task(w.first, 0))
 	},
 	"ran_cancelled": func(w checkWorld) {
 		w.job.cancelRequested = true
 		w.answer("cancelled")
 		w.task(w.first, 0)
-		w.first.acknowledgedAt = w.now + 60*micros.Second // somebody goes on answering it
+		w.first.agent.acknowledgedAt = w.now + 60*micros.Second // somebody goes on answering it
 		w.run(40 * micros.Second)
 	},
 	"forgotten": func(w checkWorld) {
@@ -68,19 +68,22 @@
 	"idle_room": func(w checkWorld) { w.run(300 * micros.Second) },
 	"too_early": func(w checkWorld) {
 		w.addJob("wk-000002", map[string]string{})
-		w.job.dependencies = []string{"wk-000002"}
-		w.users.checkStart(w.first, w.task(w.first, 0), 0)
+		w.job.spec.dependencies = []string{"wk-000002"}
+		w.users.checkStart(w.first, w.task(w.first, 0))
 	},
 	"orphaned": func(w checkWorld) {
 		n := w.addJob("wk-000002", map[string]string{})
-		w.job.dependencies = []string{"wk-000002"}
-		n.cancelled = w.now + 1
+		w.job.spec.dependencies = []string{"wk-000002"}
+		n.told.cancelled = w.now + 1
 		w.now += 60 * micros.Second
 		w.answer("queued")
 	},
 	"two_verdicts": func(w checkWorld) {
 		for _, admit := range []bool{true, false} {
-			w.observeAdmissionLog(messages.LogRecord{Message: "admission verdict", Attributes: []any{"job", "wk-000001", "epoch", uint64(2), "leader", uint64(1), "admit", admit}})
+			w.observeAdmissionLog(messages.LogRecord{
+				Message:    "admission verdict",
+				Attributes: []any{"job", "wk-000001", "epoch", uint64(2), "leader", uint64(1), "admit", admit},
+			})
 		}
 	},
 	"accepted_twice": func(w checkWorld) {
@@ -97,8 +100,8 @@
 	"accepted": func(w checkWorld) {
 		w.users.sendOddRequests(w.now + 1)
 		for _, j := range w.users.jobs {
-			if j.cores > 1000 {
-				j.accepted = w.now
+			if j.spec.cores > 1000 {
+				j.told.accepted = w.now
 			}
 		}
 		w.run(10 * micros.Second)
@@ -115,7 +118,9 @@
 				t.Fatal(err)
 			}
 			base.addType(parseLine(2, "type small cores=8 ram=32"))
-			w := checkWorld{World: base, first: base.cloud.addMachine(base.cloud.instanceTypes[0], "a", false, true), second: base.cloud.addMachine(base.cloud.instanceTypes[0], "a", false, true)}
+			small := base.cloud.instanceTypes[0]
+			w := checkWorld{World: base}
+			w.first, w.second = base.cloud.addMachine(small, "a", false, true), base.cloud.addMachine(small, "a", false, true)
 			w.run(micros.Second)
 			w.job = w.addJob("wk-000001", map[string]string{"tasks": "3", "cores": "4"})
 			provoke(w)
--- a/internal/scenario/cluster_test.go
+++ b/internal/scenario/cluster_test.go
@@ -16,9 +16,9 @@
 	zones, nodeZones := []string{"a", "b"}, []string{"a"}
 	if l.settings["zones"] != "" {
 		zones = strings.Split(l.settings["zones"], ",")
-		nodeZones, w.zoned = zones, true
+		nodeZones, w.network.zoned = zones, true
 	}
-	w.interZoneDelay = micros.FromSeconds(l.number("distance_ms", 0) / 1000)
+	w.network.interZoneDelay = micros.FromSeconds(l.number("distance_ms", 0) / 1000)
 	members := clusterMembers(l.count("nodes", 3), nodeZones)
 	for i := range members {
 		settings := clusterSettings(l, members, i)
--- a/internal/scenario/controller_test.go
+++ b/internal/scenario/controller_test.go
@@ -104,9 +104,9 @@
 	case l.Message == "duplicate task attempt":
 		w.breakRule("conflict", "%s: %v", n.name, l.Attributes)
 	case l.Message == "partition leadership acquired":
-		w.failovers++
-		kept := w.replayedHeartbeats
-		w.replayedHeartbeats = nil
+		w.observed.failovers++
+		kept := w.observed.replayedHeartbeats
+		w.observed.replayedHeartbeats = nil
 		for _, raw := range kept {
 			for _, o := range w.nodes {
 				w.after(w.random.Int64N(300*micros.Millisecond), func() { o.receiveDuplicate(raw) })
@@ -114,7 +114,7 @@
 		}
 	case l.Message == "all machines reconciled" && len(l.Attributes) == 4:
 		if ms, ok := l.Attributes[3].(micros.Time); ok {
-			w.longestReconciliation = max(w.longestReconciliation, ms*micros.Millisecond)
+			w.observed.longestReconciliation = max(w.observed.longestReconciliation, ms*micros.Millisecond)
 		}
 	}
 	w.observeAdmissionLog(l)
@@ -124,7 +124,7 @@
 func (n *node) callStore(c messages.StoreCall) {
 	req := protocol.EncodeStoreRequest(c.Request)
 	n.w.digest.request(n, "state", req, c.Timeout)
-	n.call(storeHost, c.Timeout, func(reply func(int, []byte)) {
+	n.call(storeHost, c.Timeout, func(reply replyFunc) {
 		n.w.store.handle(n.name, req, reply)
 	}, func(status int, body []byte) {
 		r, _ := protocol.DecodeStoreReply(c.Request.Kind, status, body)
@@ -135,7 +135,7 @@
 func (n *node) callCloud(c messages.CloudCall) {
 	req := protocol.EncodeCloudRequest(&c)
 	n.w.digest.request(n, "cloud", req, c.Timeout)
-	n.call(cloudHost, c.Timeout, func(reply func(int, []byte)) {
+	n.call(cloudHost, c.Timeout, func(reply replyFunc) {
 		n.w.cloud.handle(req, reply)
 	}, func(status int, body []byte) {
 		r, _ := protocol.DecodeCloudReply(c.Operation, status, body)
@@ -155,15 +155,15 @@
 	if w.cutBetween(n.name, target) != nil {
 		for _, cmd := range c.Commands {
 			if cmd.Operation == messages.Start {
-				w.startsIntoCuts++
+				w.observed.startsIntoCuts++
 			}
 		}
 	}
 	if n.agentCallsInFlight++; n.agentCallsInFlight > n.config.Sockets().Calls {
 		w.breakRule("sockets", "%s: %d calls to workers at once", n.name, n.agentCallsInFlight)
 	}
-	n.call(target, c.Timeout, func(reply func(int, []byte)) {
-		if m == nil || m.gone || !m.booted {
+	n.call(target, c.Timeout, func(reply replyFunc) {
+		if m == nil || m.lifecycle.gone || !m.lifecycle.booted {
 			return
 		}
 		if c.StatusOnly {
@@ -193,7 +193,7 @@
 }
 
 // call sends a request and hands in the answer, or status 0 after the timeout.
-func (n *node) call(to string, timeout micros.Time, handle func(reply func(int, []byte)), done func(int, []byte)) {
+func (n *node) call(to string, timeout micros.Time, handle func(reply replyFunc), done replyFunc) {
 	w, life, over := n.w, n.incarnation, false
 	finish := func(status int, body []byte) {
 		if n.incarnation == life && !over {
@@ -210,7 +210,7 @@
 }
 
 // request hands a request in and calls then with the answer.
-func (n *node) request(input func(messages.RequestID) messages.Input, then func(messages.Response)) {
+func (n *node) request(input inputOf, then func(messages.Response)) {
 	if n.core == nil {
 		return
 	}
--- a/internal/scenario/deployment_expectations_test.go
+++ b/internal/scenario/deployment_expectations_test.go
@@ -10,8 +10,8 @@
 
 // expectStartsIntoCuts: starts sent to machines that nothing reaches.
 func expectStartsIntoCuts(w *World, l *line) string {
-	if !l.bounds(0, 0).contain(float64(w.startsIntoCuts)) {
-		return fmt.Sprintf("%d starts", w.startsIntoCuts)
+	if !l.bounds(0, 0).contain(float64(w.observed.startsIntoCuts)) {
+		return fmt.Sprintf("%d starts", w.observed.startsIntoCuts)
 	}
 	return ""
 }
@@ -20,7 +20,7 @@
 func expectMachines(w *World, l *line) string {
 	n := 0
 	for _, m := range w.cloud.sorted() {
-		if !m.gone && !m.terminated {
+		if !m.lifecycle.gone && !m.lifecycle.terminated {
 			n++
 		}
 	}
@@ -32,8 +32,8 @@
 
 // expectReconciled: all machines, by every new partition leader.
 func expectReconciled(w *World, l *line) string {
-	if w.longestReconciliation == 0 || w.longestReconciliation > l.within(5) {
-		return fmt.Sprintf("after %v s", micros.Seconds(w.longestReconciliation))
+	if w.observed.longestReconciliation == 0 || w.observed.longestReconciliation > l.within(5) {
+		return fmt.Sprintf("after %v s", micros.Seconds(w.observed.longestReconciliation))
 	}
 	return ""
 }
@@ -48,7 +48,7 @@
 
 // expectTerminated: a machine.
 func expectTerminated(w *World, l *line) string {
-	if m := w.cloud.machines[l.word(2)]; m == nil || !m.terminated {
+	if m := w.cloud.machines[l.word(2)]; m == nil || !m.lifecycle.terminated {
 		return "it is there"
 	}
 	return ""
@@ -56,8 +56,8 @@
 
 // expectFailovers: how often a partition got a leader.
 func expectFailovers(w *World, l *line) string {
-	if !l.bounds(0, math.Inf(1)).contain(float64(w.failovers)) {
-		return strconv.Itoa(w.failovers)
+	if !l.bounds(0, math.Inf(1)).contain(float64(w.observed.failovers)) {
+		return strconv.Itoa(w.observed.failovers)
 	}
 	return ""
 }
@@ -66,8 +66,8 @@
 func expectExtraStarts(w *World, l *line) string {
 	n := 0
 	for _, j := range w.users.jobs {
-		if j.cancelled == 0 {
-			n += max(0, j.starts-len(j.done))
+		if j.told.cancelled == 0 {
+			n += max(0, j.observed.starts-len(j.observed.done))
 		}
 	}
 	if !l.bounds(0, 0).contain(float64(n)) {
@@ -98,8 +98,8 @@
 func expectControllers(w *World, l *line) string {
 	got := map[string]bool{}
 	for _, m := range w.cloud.sorted() {
-		if m.booted && !m.gone {
-			got[m.controller] = true
+		if m.lifecycle.booted && !m.lifecycle.gone {
+			got[m.heartbeats.controller] = true
 		}
 	}
 	if !l.bounds(1, math.Inf(1)).contain(float64(len(got))) {
@@ -112,7 +112,7 @@
 func expectAcceptedShare(w *World, l *line) string {
 	jobs, accepted := w.users.jobsOfClass(l.word(2)), 0
 	for _, j := range jobs {
-		if j.accepted != 0 {
+		if j.told.accepted != 0 {
 			accepted++
 		}
 	}
@@ -129,11 +129,12 @@
 func expectBegunInTime(w *World, l *line) string {
 	within := l.within(60)
 	for _, j := range w.users.jobsOfClass(l.word(2)) {
-		if j.accepted == 0 || j.cancelled != 0 || w.now-j.accepted < within {
+		if j.told.accepted == 0 || j.told.cancelled != 0 || w.now-j.told.accepted < within {
 			continue
 		}
-		if j.firstStart == 0 || j.firstStart-j.accepted > within {
-			return fmt.Sprintf("%s began %v s after it was accepted", j.ref, micros.Seconds(j.firstStart-j.accepted))
+		if j.observed.firstStart == 0 || j.observed.firstStart-j.told.accepted > within {
+			wait := micros.Seconds(j.observed.firstStart - j.told.accepted)
+			return fmt.Sprintf("%s began %v s after it was accepted", j.ref, wait)
 		}
 	}
 	return ""
@@ -141,7 +142,7 @@
 
 // expectBehind: how often a class was told to be behind its fair share by more than the bound.
 func expectBehind(w *World, l *line) string {
-	if n := w.verdicts.behind[l.word(2)]; !l.bounds(0, math.Inf(1)).contain(float64(n)) {
+	if n := w.observed.verdicts.behind[l.word(2)]; !l.bounds(0, math.Inf(1)).contain(float64(n)) {
 		return fmt.Sprintf("%v times", n)
 	}
 	return ""
@@ -149,7 +150,7 @@
 
 // expectEpochs: under which submissions were judged.
 func expectEpochs(w *World, l *line) string {
-	if n := len(w.verdicts.byEpoch); !l.bounds(0, math.Inf(1)).contain(float64(n)) {
+	if n := len(w.observed.verdicts.byEpoch); !l.bounds(0, math.Inf(1)).contain(float64(n)) {
 		return fmt.Sprintf("%v", n)
 	}
 	return ""
--- a/internal/scenario/deployment_test.go
+++ b/internal/scenario/deployment_test.go
@@ -89,7 +89,9 @@
 }
 
 // upgradeShape is that of rolling upgrades.
-var upgradeShape = deploymentShape{teams: []string{"alpha"}, writeRPS: 60, smallerLimits: true, connections: 600, logLevel: "info"}
+var upgradeShape = deploymentShape{
+	teams: []string{"alpha"}, writeRPS: 60, smallerLimits: true, connections: 600, logLevel: "info",
+}
 
 // newDeployment prepares stand-ins, settings and machines; no controller runs yet.
 func newDeployment(t *testing.T, like deploymentShape) *deployment {
@@ -102,7 +104,8 @@
 	}
 	d := &deployment{
 		live: newLive(t, w), t: t, like: like, client: newHTTPClient(),
-		settings: map[string]string{}, running: map[string]*process{}, version: map[string]string{}, operator: map[string]string{},
+		settings: map[string]string{}, running: map[string]*process{},
+		version: map[string]string{}, operator: map[string]string{},
 	}
 	ctx, cancel := context.WithCancel(d.ctx)
 	d.ctx = ctx
@@ -131,7 +134,7 @@
 		members = append(members, m)
 	}
 	for i, m := range members {
-		store := d.listen(func(r protocol.HTTPRequest, reply func(int, []byte)) { d.w.store.handle(m.member, r, reply) })
+		store := d.listen(func(r protocol.HTTPRequest, reply replyFunc) { d.w.store.handle(m.member, r, reply) })
 		settings := d.settingsOf(m, slices.Delete(slices.Clone(members), i, i+1), store, cloud)
 		d.settings[m.member] = filepath.Join(d.t.TempDir(), m.member+".toml")
 		if err := os.WriteFile(d.settings[m.member], []byte(settings.toml()), 0o600); err != nil {
@@ -201,7 +204,9 @@
 	for node, p := range d.running {
 		p.mu.Lock()
 		for _, line := range strings.Split(p.log.String(), "\n") {
-			if (strings.Contains(line, "partition leadership acquired") || strings.Contains(line, "queue taken")) && line > at { // lines begin with their time
+			// The second is how earlier versions log it. Lines begin with their time.
+			acquired := strings.Contains(line, "partition leadership acquired") || strings.Contains(line, "queue taken")
+			if acquired && line > at {
 				best, at = node, line
 			}
 		}
@@ -219,10 +224,10 @@
 
 // storeRefuses has the state service refuse one controller for a while.
 func (d *deployment) storeRefuses(node string, length time.Duration) {
-	d.with(func(w *World) { w.store.refusedMembers[node] = true })
+	d.with(func(w *World) { w.store.faults.refusedMembers[node] = true })
 	time.Sleep(length)
 	d.with(func(w *World) {
-		delete(w.store.refusedMembers, node)
+		delete(w.store.faults.refusedMembers, node)
 		w.store.answerWatches()
 	})
 }
--- a/internal/scenario/digest_test.go
+++ b/internal/scenario/digest_test.go
@@ -65,7 +65,8 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &digest{file: f, packed: gzip.NewWriter(f), full: os.Getenv("PIPITLATCH_DIGESTS_FULL") == "1", sums: map[digestKey]*digestSum{}}
+	full := os.Getenv("PIPITLATCH_DIGESTS_FULL") == "1"
+	d := &digest{file: f, packed: gzip.NewWriter(f), full: full, sums: map[digestKey]*digestSum{}}
 	d.out = bufio.NewWriter(d.packed)
 	return d, nil
 }
@@ -115,7 +116,8 @@
 		return a.sender < b.sender || (a.sender == b.sender && a.kind < b.kind)
 	})
 	for _, k := range keys {
-		fmt.Fprintf(d.out, "%d %s %s %d %016x\n", d.second*micros.Second, k.sender, k.kind, d.sums[k].count, d.sums[k].hash.Sum64())
+		sum := d.sums[k]
+		fmt.Fprintf(d.out, "%d %s %s %d %016x\n", d.second*micros.Second, k.sender, k.kind, sum.count, sum.hash.Sum64())
 	}
 	clear(d.sums)
 }
@@ -189,7 +191,8 @@
 	default:
 		panic("an answer of unknown kind")
 	}
-	d.message(n, "answer:"+kind, fmt.Sprintf("request-%d", a.Request), body, []byte(a.Text), []byte(strconv.FormatInt(a.RetryAfter, 10)))
+	retryAfter := strconv.FormatInt(a.RetryAfter, 10)
+	d.message(n, "answer:"+kind, fmt.Sprintf("request-%d", a.Request), body, []byte(a.Text), []byte(retryAfter))
 }
 
 // finish records the state service's keys and ends the record.
--- a/internal/scenario/expectations_test.go
+++ b/internal/scenario/expectations_test.go
@@ -102,83 +102,83 @@
 }
 
 func expectDone(j *userJob, _ *line) string {
-	if !j.toldDone {
-		return fmt.Sprintf("%d of %d tasks done, told %q", len(j.done), j.taskCount, j.lastPhase)
+	if !j.told.done {
+		return fmt.Sprintf("%d of %d tasks done, told %q", len(j.observed.done), j.spec.taskCount, j.told.lastPhase)
 	}
 	return ""
 }
 
 func expectCancelled(j *userJob, _ *line) string {
-	if j.cancelled == 0 {
-		return "not cancelled, told " + j.lastPhase
+	if j.told.cancelled == 0 {
+		return "not cancelled, told " + j.told.lastPhase
 	}
 	return ""
 }
 
 func expectRefused(j *userJob, l *line) string {
-	if strconv.Itoa(j.refused) != l.word(3) {
-		return fmt.Sprintf("answered %d", j.refused)
+	if strconv.Itoa(j.told.refused) != l.word(3) {
+		return fmt.Sprintf("answered %d", j.told.refused)
 	}
 	return ""
 }
 
 func expectAccepted(j *userJob, l *line) string {
-	if j.accepted == 0 || j.accepted-j.submittedAt > l.within(60) {
-		return fmt.Sprintf("accepted after %v s", micros.Seconds(j.accepted-j.submittedAt))
+	if j.told.accepted == 0 || j.told.accepted-j.submittedAt > l.within(60) {
+		return fmt.Sprintf("accepted after %v s", micros.Seconds(j.told.accepted-j.submittedAt))
 	}
 	return ""
 }
 
 func expectStarted(j *userJob, l *line) string {
-	if j.firstStart == 0 || j.firstStart-j.submittedAt > l.within(60) {
-		return fmt.Sprintf("started after %v s", micros.Seconds(j.firstStart-j.submittedAt))
+	if j.observed.firstStart == 0 || j.observed.firstStart-j.submittedAt > l.within(60) {
+		return fmt.Sprintf("started after %v s", micros.Seconds(j.observed.firstStart-j.submittedAt))
 	}
 	return ""
 }
 
 // expectStopped: no task on a machine any more, after its user was told.
 func expectStopped(j *userJob, l *line) string {
-	if j.cancelled == 0 || j.onMachineAfterCancel > l.within(5) {
-		return fmt.Sprintf("its last task was on a machine %v s after", micros.Seconds(j.onMachineAfterCancel))
+	if j.told.cancelled == 0 || j.observed.onMachineAfterCancel > l.within(5) {
+		return fmt.Sprintf("its last task was on a machine %v s after", micros.Seconds(j.observed.onMachineAfterCancel))
 	}
 	return ""
 }
 
 func expectDoneWithin(j *userJob, l *line) string {
-	if j.doneAt == 0 {
+	if j.told.doneAt == 0 {
 		return "not done"
 	}
-	if j.doneAt-j.submittedAt > l.within(60) {
-		return fmt.Sprintf("done after %v s", micros.Seconds(j.doneAt-j.submittedAt))
+	if j.told.doneAt-j.submittedAt > l.within(60) {
+		return fmt.Sprintf("done after %v s", micros.Seconds(j.told.doneAt-j.submittedAt))
 	}
 	return ""
 }
 
 func expectNeverStarted(j *userJob, _ *line) string {
-	if j.starts > 0 {
-		return fmt.Sprintf("%d starts", j.starts)
+	if j.observed.starts > 0 {
+		return fmt.Sprintf("%d starts", j.observed.starts)
 	}
 	return ""
 }
 
 // expectReplicaSeconds: how long replicas ran, all together.
 func expectReplicaSeconds(j *userJob, l *line) string {
-	if got := micros.Seconds(j.replicaTime); !l.bounds(0, math.Inf(1)).contain(got) {
+	if got := micros.Seconds(j.observed.replicaTime); !l.bounds(0, math.Inf(1)).contain(got) {
 		return fmt.Sprintf("%.1f s", got)
 	}
 	return ""
 }
 
 func expectStarts(j *userJob, l *line) string {
-	if !l.bounds(0, 1).contain(float64(j.starts)) {
-		return fmt.Sprintf("%d starts", j.starts)
+	if !l.bounds(0, 1).contain(float64(j.observed.starts)) {
+		return fmt.Sprintf("%d starts", j.observed.starts)
 	}
 	return ""
 }
 
 func expectPhase(j *userJob, l *line) string {
-	if j.lastPhase != l.word(3) {
-		return "told " + j.lastPhase
+	if j.told.lastPhase != l.word(3) {
+		return "told " + j.told.lastPhase
 	}
 	return ""
 }
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -26,65 +26,91 @@
 	asked map[string]bool
 }
 
+// judgedJob is what a job's answers came to so far.
+type judgedJob struct {
+	created  int
+	accepted bool
+	final    string
+}
+
+// judge is what a history is held against.
+type judge struct {
+	history  *history
+	jobs     map[string]*judgedJob
+	verdicts map[epochID]map[string]bool
+	wrong    []string
+}
+
 // judge says what the history shows that must not be.
 func (h *history) judge() []string {
-	var wrong []string
-	fault := func(a answer, format string, args ...any) {
-		wrong = append(wrong, fmt.Sprintf("%v %s: %s", a.at.Round(time.Millisecond), a.ref, fmt.Sprintf(format, args...)))
-	}
-	type job struct {
-		created  int
-		accepted bool
-		final    string
-	}
-	jobs := map[string]*job{}
-	verdicts := map[epochID]map[string]bool{}
+	j := &judge{history: h, jobs: map[string]*judgedJob{}, verdicts: map[epochID]map[string]bool{}}
 	slices.SortStableFunc(h.answers, func(a, b answer) int { return int(a.at - b.at) })
 	for _, a := range h.answers {
-		j := jobs[a.ref]
-		if j == nil {
-			j = &job{}
-			jobs[a.ref] = j
+		job := j.jobs[a.ref]
+		if job == nil {
+			job = &judgedJob{}
+			j.jobs[a.ref] = job
 		}
 		if a.epoch != (epochID{}) {
-			if verdicts[a.epoch] == nil {
-				verdicts[a.epoch] = map[string]bool{}
-			}
-			if had, ok := verdicts[a.epoch][a.ref]; ok && had != a.admit {
-				fault(a, "two verdicts in epoch %d of leader %d", a.epoch.number, a.epoch.leader)
-			}
-			verdicts[a.epoch][a.ref] = a.admit
+			j.takeVerdict(a)
 			continue
 		}
-		switch {
-		case a.status == 201:
-			if j.created++; j.created > 1 {
-				fault(a, "accepted anew %d times", j.created)
-			}
-			j.accepted = true
-		case a.status == 200:
-			j.accepted = true
-		case j.accepted && (a.status == 400 || a.status == 404 || a.status == 422):
-			fault(a, "accepted, then %d", a.status)
+		j.takeStatus(job, a)
+		j.takePhase(job, a)
+	}
+	for ref, job := range j.jobs {
+		if job.accepted && job.final == "" && h.asked[ref] {
+			j.fault(answer{ref: ref}, "accepted, and not over at the end")
 		}
-		if a.phase == "done" || a.phase == "cancelled" {
-			if j.final != "" && j.final != a.phase {
-				fault(a, "%s, then %s", j.final, a.phase)
-			}
-			j.final = a.phase
-			if a.phase == "done" && !h.done[a.ref] {
-				fault(a, "called done, its tasks are not")
-			}
-		} else if a.phase != "" && j.final != "" {
-			fault(a, "%s, then %s", j.final, a.phase)
+	}
+	return j.wrong
+}
+
+func (j *judge) fault(a answer, format string, args ...any) {
+	j.wrong = append(j.wrong, fmt.Sprintf("%v %s: %s", a.at.Round(time.Millisecond), a.ref, fmt.Sprintf(format, args...)))
+}
+
+// takeVerdict: no reference gets two verdicts in one epoch.
+func (j *judge) takeVerdict(a answer) {
+	if j.verdicts[a.epoch] == nil {
+		j.verdicts[a.epoch] = map[string]bool{}
+	}
+	if had, ok := j.verdicts[a.epoch][a.ref]; ok && had != a.admit {
+		j.fault(a, "two verdicts in epoch %d of leader %d", a.epoch.number, a.epoch.leader)
+	}
+	j.verdicts[a.epoch][a.ref] = a.admit
+}
+
+// takeStatus: a job is accepted anew once, and not forgotten after it.
+func (j *judge) takeStatus(job *judgedJob, a answer) {
+	switch {
+	case a.status == 201:
+		if job.created++; job.created > 1 {
+			j.fault(a, "accepted anew %d times", job.created)
 		}
+		job.accepted = true
+	case a.status == 200:
+		job.accepted = true
+	case job.accepted && (a.status == 400 || a.status == 404 || a.status == 422):
+		j.fault(a, "accepted, then %d", a.status)
 	}
-	for ref, j := range jobs {
-		if j.accepted && j.final == "" && h.asked[ref] {
-			fault(answer{ref: ref}, "accepted, and not over at the end")
+}
+
+// takePhase: a final phase stays, and "done" is true.
+func (j *judge) takePhase(job *judgedJob, a answer) {
+	if a.phase != "done" && a.phase != "cancelled" {
+		if a.phase != "" && job.final != "" {
+			j.fault(a, "%s, then %s", job.final, a.phase)
 		}
+		return
+	}
+	if job.final != "" && job.final != a.phase {
+		j.fault(a, "%s, then %s", job.final, a.phase)
+	}
+	job.final = a.phase
+	if a.phase == "done" && !j.history.done[a.ref] {
+		j.fault(a, "called done, its tasks are not")
 	}
-	return wrong
 }
 
 // TestHistoryCheckerCanFail: each fault that the checker is there for is found.
@@ -97,16 +123,22 @@
 	if wrong := (&history{answers: good, done: done, asked: done}).judge(); len(wrong) > 0 {
 		t.Errorf("a good history: %v", wrong)
 	}
+	and := func(a answer) []answer { return append(slices.Clone(good), a) }
+	nested := []answer{
+		{ref: ref, epoch: epoch, admit: false},
+		{ref: "wk-2", epoch: epoch, admit: true},
+		{ref: ref, epoch: epoch, admit: true},
+	}
 	for name, h := range map[string]*history{
-		"two verdicts":         {answers: append(slices.Clone(good), answer{ref: ref, epoch: epoch, admit: false}), done: done},
-		"accepted twice":       {answers: append(slices.Clone(good), answer{ref: ref, status: 201}), done: done},
-		"forgotten":            {answers: append(slices.Clone(good), answer{ref: ref, status: 404}), done: done},
-		"refused once it was":  {answers: append(slices.Clone(good), answer{ref: ref, status: 422}), done: done},
-		"two final answers":    {answers: append(slices.Clone(good), answer{ref: ref, phase: "cancelled"}), done: done},
-		"an older answer":      {answers: append(slices.Clone(good), answer{ref: ref, phase: "running"}), done: done},
+		"two verdicts":         {answers: and(answer{ref: ref, epoch: epoch, admit: false}), done: done},
+		"accepted twice":       {answers: and(answer{ref: ref, status: 201}), done: done},
+		"forgotten":            {answers: and(answer{ref: ref, status: 404}), done: done},
+		"refused once it was":  {answers: and(answer{ref: ref, status: 422}), done: done},
+		"two final answers":    {answers: and(answer{ref: ref, phase: "cancelled"}), done: done},
+		"an older answer":      {answers: and(answer{ref: ref, phase: "running"}), done: done},
 		"done, but is not":     {answers: good},
 		"never over":           {answers: good[:6], done: done, asked: done},
-		"two verdicts, nested": {answers: []answer{{ref: ref, epoch: epoch, admit: false}, {ref: "wk-2", epoch: epoch, admit: true}, {ref: ref, epoch: epoch, admit: true}}},
+		"two verdicts, nested": {answers: nested},
 	} {
 		if len(h.judge()) == 0 {
 			t.Errorf("%s: not found", name)
--- a/internal/scenario/live_test.go
+++ b/internal/scenario/live_test.go
@@ -41,8 +41,8 @@
 			s.CloseClientConnections()
 		}
 	})
-	w.listenAddress = func(m *machine) string {
-		return l.listen(func(r protocol.HTTPRequest, reply func(int, []byte)) {
+	w.loopback.listenAddress = func(m *machine) string {
+		return l.listen(func(r protocol.HTTPRequest, reply replyFunc) {
 			if r.Path == "/show" {
 				m.serveStatus(reply)
 			} else {
@@ -50,7 +50,7 @@
 			}
 		})
 	}
-	w.sendHeartbeat = l.post
+	w.loopback.sendHeartbeat = l.post
 	return l
 }
 
@@ -65,7 +65,7 @@
 }
 
 // listen serves a stand-in at an address of its own.
-func (l *live) listen(handle func(r protocol.HTTPRequest, reply func(int, []byte))) string {
+func (l *live) listen(handle func(r protocol.HTTPRequest, reply replyFunc)) string {
 	s := httptest.NewServer(l.serve(handle))
 	l.servers = append(l.servers, s)
 	return s.Listener.Addr().String()
@@ -80,7 +80,7 @@
 }
 
 // serve hands a request to a stand-in and waits for its answer.
-func (l *live) serve(handle func(r protocol.HTTPRequest, reply func(int, []byte))) http.Handler {
+func (l *live) serve(handle func(r protocol.HTTPRequest, reply replyFunc)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -109,17 +109,18 @@
 }
 
 func newHTTPClient() *http.Client {
-	return &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext, IdleConnTimeout: time.Minute}}
+	transport := &http.Transport{DialContext: (&net.Dialer{}).DialContext, IdleConnTimeout: time.Minute}
+	return &http.Client{Timeout: 5 * time.Second, Transport: transport}
 }
 
 // post sends a worker's report over its own connection.
-func (l *live) post(m *machine, raw []byte, end func(int, []byte)) {
+func (l *live) post(m *machine, raw []byte, end replyFunc) {
 	n, _ := strconv.Atoi(strings.TrimPrefix(m.name, "vm-"))
 	for len(l.clients) <= n {
 		l.clients = append(l.clients, newHTTPClient())
 	}
 	c, control := l.clients[n], l.control
-	if a := l.nodes[m.controller]; a != "" {
+	if a := l.nodes[m.heartbeats.controller]; a != "" {
 		control = a
 	}
 	go func() {
--- a/internal/scenario/loopback_test.go
+++ b/internal/scenario/loopback_test.go
@@ -36,12 +36,13 @@
 		return
 	}
 	const length = 15 * time.Second
-	before, reports := f.process.cpu(), 0
-	f.with(func(*World) { reports = f.oks })
+	before, heartbeats := f.process.cpu(), 0
+	f.with(func(*World) { heartbeats = f.oks })
 	time.Sleep(length)
 	used := f.process.cpu() - before
-	f.with(func(*World) { reports = f.oks - reports })
-	f.t.Logf("steady: %.1f%% of a core, %.0f reports a second", 100*used.Seconds()/length.Seconds(), float64(reports)/length.Seconds())
+	f.with(func(*World) { heartbeats = f.oks - heartbeats })
+	seconds := length.Seconds()
+	f.t.Logf("steady: %.1f%% of a core, %.0f heartbeats a second", 100*used.Seconds()/seconds, float64(heartbeats)/seconds)
 }
 
 // fleetSize is how many stand-in workers there are: PIPITLATCH_FLEET, or a few.
@@ -61,9 +62,10 @@
 		t.Fatal(err)
 	}
 	f := &loopbackFleet{
-		live: newLive(t, w), t: t, size: fleetSize(), connections: connections, memory: 441, program: build(t, repositoryRoot),
+		live: newLive(t, w), t: t, size: fleetSize(), connections: connections, memory: 441,
+		program: build(t, repositoryRoot),
 	}
-	f.storeAddress = f.listen(func(r protocol.HTTPRequest, reply func(int, []byte)) { w.store.handle("node-0", r, reply) })
+	f.storeAddress = f.listen(func(r protocol.HTTPRequest, reply replyFunc) { w.store.handle("node-0", r, reply) })
 	f.cloudAddress = f.listen(w.cloud.handle)
 	f.control = freeAddress(t)
 	f.writeSettings()
@@ -131,7 +133,7 @@
 				set = map[string]string{"shape": "service", "rank": "production", "cores": "10", "tasks": "10", "image": "i"}
 			}
 			j := w.users.newJob(fmt.Sprintf("wk-%06d", i), set)
-			j.sent = true
+			j.requests.sent = true
 			w.users.jobs[j.ref] = j
 			f.jobs = append(f.jobs, j)
 		}
@@ -156,7 +158,7 @@
 // withToken is how many machines have a token.
 func (f *loopbackFleet) withToken(w *World) (n int) {
 	for _, m := range w.cloud.machines {
-		if m.fencingToken > 0 {
+		if m.agent.fencingToken > 0 {
 			n++
 		}
 	}
@@ -166,7 +168,7 @@
 // served tells whether all services run and all arrays are done.
 func (f *loopbackFleet) served(*World) bool {
 	for _, j := range f.jobs {
-		if j.shape == "service" && j.starts < 10 || j.shape == "array" && len(j.done) < 10 {
+		if j.spec.shape == "service" && j.observed.starts < 10 || j.spec.shape == "array" && len(j.observed.done) < 10 {
 			return false
 		}
 	}
@@ -244,7 +246,7 @@
 	f.until("replicas run", func(*World) bool {
 		starts := 0
 		for _, j := range f.jobs {
-			starts += j.starts
+			starts += j.observed.starts
 		}
 		return starts >= f.size/4
 	})
--- a/internal/scenario/many_teams_test.go
+++ b/internal/scenario/many_teams_test.go
@@ -15,7 +15,8 @@
 	names.WriteString("greedy:0:0")
 	for i := range teams {
 		fmt.Fprintf(&names, ",team-%03d:0:0", i)
-		fmt.Fprintf(&jobs, "at %d.%d submit wk-2%05d jobs=%d every=25 class=small team=team-%03d cores=1 ram=1 runs=1\n", 20+i%25, i%10, i*10, each, i)
+		fmt.Fprintf(&jobs, "at %d.%d submit wk-2%05d jobs=%d every=25 ", 20+i%25, i%10, i*10, each)
+		fmt.Fprintf(&jobs, "class=small team=team-%03d cores=1 ram=1 runs=1\n", i)
 	}
 	w := playWorld(t, "cluster seed=3 fair=yes connections=2000 teams="+names.String()+`
 type small cores=8 ram=32 boot=5 capacity=12 spot_capacity=0 fetch=5
@@ -30,9 +31,9 @@
 	}
 	served, taken := map[string]int{}, map[string]int{}
 	for _, ref := range w.users.order {
-		if j := w.users.jobs[ref]; j.accepted != 0 {
-			served[j.team]++
-			taken[j.class]++
+		if j := w.users.jobs[ref]; j.told.accepted != 0 {
+			served[j.spec.team]++
+			taken[j.spec.class]++
 		}
 	}
 	if without := teams + 1 - len(served); without > 0 {
@@ -42,7 +43,7 @@
 	if taken["small"] < teams*each*9/10 {
 		t.Errorf("%d of %d small jobs taken", taken["small"], teams*each)
 	}
-	if len(w.verdicts.byEpoch) == 0 {
+	if len(w.observed.verdicts.byEpoch) == 0 {
 		t.Error("no epoch")
 	}
 }
--- a/internal/scenario/network_test.go
+++ b/internal/scenario/network_test.go
@@ -6,6 +6,9 @@
 	"pipitlatch/internal/micros"
 )
 
+// replyFunc takes the answer to a request; status 0: there was none.
+type replyFunc func(status int, body []byte)
+
 // storeHost, cloudHost and usersHost are the names of those that are neither controllers nor
 // machines, as ends of cuts.
 const (
@@ -14,6 +17,13 @@
 	usersHost = "users"
 )
 
+// network is what lies between hosts.
+type network struct {
+	cuts           []*cut
+	interZoneDelay micros.Time // one way
+	zoned          bool        // controllers are in zones too
+}
+
 // cut is an interruption between two hosts, or between one host and all others. An
 // end may be a zone, with all that is in it now or later.
 type cut struct {
@@ -25,7 +35,7 @@
 
 // cutBetween finds what keeps packets from a from reaching b.
 func (w *World) cutBetween(a, b string) *cut {
-	for _, c := range w.cuts {
+	for _, c := range w.network.cuts {
 		if w.separatedBy(c, b, a) || (!c.inbound && w.separatedBy(c, a, b)) {
 			return c
 		}
@@ -67,20 +77,20 @@
 		return
 	}
 	delay := 200 + w.random.Int64N(300)
-	if w.interZoneDelay > 0 {
+	if w.network.interZoneDelay > 0 {
 		if a, b := w.zoneOf(from), w.zoneOf(to); a != "" && b != "" && a != b {
-			delay += w.interZoneDelay
+			delay += w.network.interZoneDelay
 		}
 	}
 	w.after(delay, run)
 }
 
 func (w *World) startCut(c *cut, length micros.Time) {
-	w.cuts = append(w.cuts, c)
+	w.network.cuts = append(w.network.cuts, c)
 	w.after(length, func() {
-		for i := range w.cuts {
-			if w.cuts[i] == c {
-				w.cuts = append(w.cuts[:i], w.cuts[i+1:]...)
+		for i := range w.network.cuts {
+			if w.network.cuts[i] == c {
+				w.network.cuts = append(w.network.cuts[:i], w.network.cuts[i+1:]...)
 				break
 			}
 		}
--- a/internal/scenario/overload_test.go
+++ b/internal/scenario/overload_test.go
@@ -22,21 +22,21 @@
 
 // offeredFlow is one flow of the overload: so many jobs a second.
 type offeredFlow struct {
-	flow  admission.Flow
-	rate  float64
-	set   map[string]string
-	least float64 // share that must be taken
+	flow   admission.Flow
+	rate   float64
+	fields string  // of its jobs
+	least  float64 // share that must be accepted
 }
 
 // overloadFlows ask for some three times of what the state service stores: 20 changes a
 // second, of which a job takes two and everything else some.
 var overloadFlows = []offeredFlow{
-	{admission.Flow{Team: "alpha", Class: "bulk"}, 14, map[string]string{"cores": "2", "runs": "3"}, 0.02},
-	{admission.Flow{Team: "alpha", Class: "nightly"}, 4, map[string]string{"cores": "2", "runs": "4"}, 0.05},
-	{admission.Flow{Team: "beta", Class: "counter"}, 0.8, map[string]string{"cores": "1", "runs": "2", "rank": "urgent"}, 0.7},
-	{admission.Flow{Team: "beta", Class: "batch"}, 4, map[string]string{"cores": "2", "runs": "4"}, 0.1},
-	{admission.Flow{Team: "gamma", Class: "low"}, 0.8, map[string]string{"cores": "2", "runs": "3", "rank": "low"}, 0.7},
-	{admission.Flow{Team: "gamma", Class: "huge"}, 0.3, map[string]string{"cores": "4", "tasks": "2", "runs": "6", "rank": "low"}, 0.5},
+	{admission.Flow{Team: "alpha", Class: "bulk"}, 14, "cores=2 runs=3", 0.02},
+	{admission.Flow{Team: "alpha", Class: "nightly"}, 4, "cores=2 runs=4", 0.05},
+	{admission.Flow{Team: "beta", Class: "counter"}, 0.8, "cores=1 runs=2 rank=urgent", 0.7},
+	{admission.Flow{Team: "beta", Class: "batch"}, 4, "cores=2 runs=4", 0.1},
+	{admission.Flow{Team: "gamma", Class: "low"}, 0.8, "cores=2 runs=3 rank=low", 0.7},
+	{admission.Flow{Team: "gamma", Class: "huge"}, 0.3, "cores=4 tasks=2 runs=6 rank=low", 0.5},
 }
 
 // overload plays one overload with three real processes.
@@ -52,7 +52,8 @@
 }
 
 // verdictLine matches the verdicts of this version and of those before it.
-var verdictLine = regexp.MustCompile(`msg=(?:verdict|"admission verdict") job=(\S+) epoch=(\d+) leader=(\d+) admit=(true|false)`)
+var verdictLine = regexp.MustCompile(
+	`msg=(?:verdict|"admission verdict") job=(\S+) epoch=(\d+) leader=(\d+) admit=(true|false)`)
 
 // takeLog takes the verdicts out of a controller's log, and drops the rest of what is told
 // only for debugging.
@@ -80,14 +81,11 @@
 		f.rate *= shortBulk
 	}
 	for i := 0; time.Since(o.begin) < o.length; i++ {
-		set := map[string]string{"team": f.flow.Team, "class": f.flow.Class, "ram": "1", "image": "i", "size": "0.1", "spot": "yes"}
-		for k, v := range f.set {
-			set[k] = v
-		}
+		fields := tinyJob(fmt.Sprintf("team=%s class=%s ram=1 spot=yes %s", f.flow.Team, f.flow.Class, f.fields))
 		var j *userJob
 		o.with(func(w *World) {
-			j = w.users.newJob(fmt.Sprintf("wk-%06d", len(o.jobs)+1), set)
-			j.sent, j.submittedAt = true, w.now
+			j = w.users.newJob(fmt.Sprintf("wk-%06d", len(o.jobs)+1), fields)
+			j.requests.sent, j.submittedAt = true, w.now
 			w.users.jobs[j.ref] = j
 			w.users.order = append(w.users.order, j.ref)
 			o.jobs = append(o.jobs, j)
@@ -114,7 +112,7 @@
 			return
 		}
 	}
-	o.with(func(w *World) { j.accepted = w.now })
+	o.with(func(w *World) { j.told.accepted = w.now })
 	for {
 		if !o.sleep(time.Duration(2000+rand.IntN(1500)) * time.Millisecond) {
 			return
@@ -136,7 +134,8 @@
 }
 
 func (o *overload) request(method, path string, body []byte, patience time.Duration) (*http.Response, []byte) {
-	r, err := http.NewRequestWithContext(o.ctx, method, "http://"+o.nodes[nodeName(rand.IntN(3))]+path, bytes.NewReader(body))
+	address := o.nodes[nodeName(rand.IntN(3))]
+	r, err := http.NewRequestWithContext(o.ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		panic(err)
 	}
@@ -183,7 +182,7 @@
 	phase := ""
 	o.with(func(w *World) {
 		w.users.receiveStatus(j, body)
-		phase = j.lastPhase
+		phase = j.told.lastPhase
 	})
 	o.note(answer{ref: j.ref, phase: phase})
 	return phase
@@ -225,15 +224,15 @@
 		for _, j := range o.jobs {
 			r := &out[o.flowOf[j.ref]]
 			r.offered++
-			if j.accepted == 0 {
+			if j.told.accepted == 0 {
 				continue
 			}
 			r.accepted++
-			if len(j.done) == j.taskCount {
+			if len(j.observed.done) == j.spec.taskCount {
 				r.served++
 			}
-			if j.firstStart != 0 {
-				r.longest = max(r.longest, micros.Seconds(j.firstStart-j.accepted))
+			if j.observed.firstStart != 0 {
+				r.longest = max(r.longest, micros.Seconds(j.observed.firstStart-j.told.accepted))
 			}
 		}
 	})
@@ -242,7 +241,9 @@
 	for i := range out {
 		out[i].refused = o.refused[i]
 		taken += int64(out[i].accepted)
-		claims = append(claims, admission.Claim{Flow: overloadFlows[i].flow, TeamWeight: 1, ClassWeight: 1, Demand: int64(out[i].offered)})
+		claims = append(claims, admission.Claim{
+			Flow: overloadFlows[i].flow, TeamWeight: 1, ClassWeight: 1, Demand: int64(out[i].offered),
+		})
 	}
 	for i, n := range admission.Divide(taken, 0, claims) {
 		out[i].fair = n
@@ -290,18 +291,21 @@
 	if commit := os.Getenv("PIPITLATCH_OVERLOAD_COMMIT"); commit != "" {
 		program = programAt(t, commit)
 	}
-	o := &overload{deployment: newDeployment(t, like), length: time.Duration(seconds) * time.Second, flowOf: map[string]int{},
-		refused: make([]int, len(overloadFlows)), patience: min(time.Minute, time.Duration(seconds)*time.Second*2/3)}
+	length := time.Duration(seconds) * time.Second
+	o := &overload{
+		deployment: newDeployment(t, like), length: length, flowOf: map[string]int{},
+		refused: make([]int, len(overloadFlows)), patience: min(time.Minute, length*2/3),
+	}
 	if os.Getenv("PIPITLATCH_OVERLOAD_COMMIT") == "" && os.Getenv("PIPITLATCH_OVERLOAD_OFF") == "" {
 		o.configure(program, "fair_admission { enabled: true epoch_ms: 2000 lag_s: 15 }")
 	}
 	o.take = o.takeLog
-	o.with(func(w *World) { w.store.writeRPS = like.writeRPS })
+	o.with(func(w *World) { w.store.limits.writeRPS = like.writeRPS })
 	for i := range 3 {
 		o.start(nodeName(i), program)
 	}
 	o.until("machines obey", func(w *World) bool {
-		return slices.ContainsFunc(w.cloud.sorted(), func(m *machine) bool { return m.fencingToken > 0 })
+		return slices.ContainsFunc(w.cloud.sorted(), func(m *machine) bool { return m.agent.fencingToken > 0 })
 	})
 	o.begin = time.Now()
 	var offers sync.WaitGroup
@@ -336,7 +340,7 @@
 	h.done, h.asked = map[string]bool{}, map[string]bool{}
 	o.with(func(w *World) {
 		for _, j := range o.jobs {
-			h.done[j.ref] = len(j.done) == j.taskCount
+			h.done[j.ref] = len(j.observed.done) == j.spec.taskCount
 			h.asked[j.ref] = true
 		}
 		for _, b := range w.broken {
@@ -355,11 +359,12 @@
 		}
 	}
 	reports := o.report()
-	t.Logf("%v of overload, %d answers and verdicts, %d epochs, Jain's index %.3f", o.length, len(h.answers), len(epochs), jain(reports))
+	t.Logf("%v of overload, %d answers and verdicts, %d epochs, Jain's index %.3f",
+		o.length, len(h.answers), len(epochs), jain(reports))
 	for i, r := range reports {
 		f := overloadFlows[i]
-		t.Logf("%-14s offered %5d taken %5d refused %6d served %5d longest wait %6.1f s fair share %5d", f.flow.Team+"/"+f.flow.Class,
-			r.offered, r.accepted, r.refused, r.served, r.longest, r.fair)
+		t.Logf("%-14s offered %5d accepted %5d refused %6d served %5d longest wait %6.1f s fair share %5d",
+			f.flow.Team+"/"+f.flow.Class, r.offered, r.accepted, r.refused, r.served, r.longest, r.fair)
 		if float64(r.accepted) < f.least*float64(r.offered) {
 			t.Errorf("%v: %d of %d taken", f.flow, r.accepted, r.offered)
 		}
--- a/internal/scenario/recorded_deployment_test.go
+++ b/internal/scenario/recorded_deployment_test.go
@@ -39,12 +39,12 @@
 		return
 	}
 	s.loaded = storage.NewCache(storage.Keys{Prefix: "pl/"})
-	s.lastLeaseID++
-	s.leaseExpiry[s.lastLeaseID] = s.w.now + micros.Second // of the processes that were registered
+	s.leases.lastID++
+	s.leases.expiry[s.leases.lastID] = s.w.now + micros.Second // of the processes that were registered
 	for _, r := range d.Rows {
 		leaseID := uint64(0)
 		if strings.HasPrefix(r.Key, "pl/node/") || r.Key == "pl/leader" {
-			leaseID = s.lastLeaseID
+			leaseID = s.leases.lastID
 		}
 		s.keys[r.Key] = storedRecord{r.Value, r.ModRevision, leaseID}
 		key := strings.Replace(r.Key, "pl/~over/", "pl/job/", 1)
@@ -63,9 +63,9 @@
 	}
 	e := s.loaded.Jobs[j.ref]
 	j.cancelRequested = e.Job.Phase == workload.Cancelled
-	for t := range j.taskCount {
+	for t := range j.spec.taskCount {
 		if e.Job.Phase == workload.Done || (e.Completed != nil && e.Completed.Has(t)) {
-			j.done[t] = true
+			j.observed.done[t] = true
 		}
 	}
 }
--- a/internal/scenario/rules_test.go
+++ b/internal/scenario/rules_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"slices"
 	"strings"
 
 	"pipitlatch/internal/micros"
@@ -15,62 +16,88 @@
 		u.w.breakRule("bench", "%s: bad answer %s", j.ref, body)
 		return
 	}
-	if j.toldDone && s.Phase != "done" {
+	if j.told.done && s.Phase != "done" {
 		u.w.breakRule("went_back", "%s: done, then %s", j.ref, s.Phase)
 	}
-	if j.cancelled != 0 && s.Phase != "cancelled" {
+	if j.told.cancelled != 0 && s.Phase != "cancelled" {
 		u.w.breakRule("went_back", "%s: cancelled, then %s", j.ref, s.Phase)
 	}
 	if s.Phase == "queued" || s.Phase == "running" {
-		if at := u.dependencyCancelledAt(j, map[string]bool{}); at != 0 && u.w.now-max(at, j.submittedAt) > micros.FromSeconds(u.w.config.Settings.Workers.CancelS) {
+		at := u.dependencyCancelledAt(j, map[string]bool{})
+		if at != 0 && u.w.now-max(at, j.submittedAt) > u.w.cancelTimeout() {
 			u.w.breakRule("orphaned", "%s is called %s though a job before it was cancelled", j.ref, s.Phase)
 		}
 	}
-	j.lastPhase, j.unansweredSince = s.Phase, 0
+	j.told.lastPhase, j.requests.unansweredSince = s.Phase, 0
 	switch s.Phase {
 	case "done":
-		if j.doneAt == 0 {
-			j.doneAt = u.w.now
-			u.verifyReads(j)
-		}
-		j.toldDone = true
-		if len(j.done) < j.taskCount {
-			u.w.breakRule("not_done", "%s: told done with %d of %d tasks", j.ref, len(j.done), j.taskCount)
-		}
+		u.receiveDone(j)
 	case "cancelled":
-		if j.cancelled == 0 {
-			j.cancelled = u.w.now
-			u.verifyReads(j)
-		}
-		if !j.cancelRequested && !u.dependencyCancelRequested(j, map[string]bool{}) {
-			u.w.breakRule("went_back", "%s: cancelled, but not by its user", j.ref)
-		}
+		u.receiveCancelled(j)
+	}
+}
+
+func (u *users) receiveDone(j *userJob) {
+	if j.told.doneAt == 0 {
+		j.told.doneAt = u.w.now
+		u.verifyReads(j)
+	}
+	j.told.done = true
+	if len(j.observed.done) < j.spec.taskCount {
+		u.w.breakRule("not_done", "%s: told done with %d of %d tasks", j.ref, len(j.observed.done), j.spec.taskCount)
+	}
+}
+
+func (u *users) receiveCancelled(j *userJob) {
+	if j.told.cancelled == 0 {
+		j.told.cancelled = u.w.now
+		u.verifyReads(j)
 	}
+	if !j.cancelRequested && !u.dependencyCancelRequested(j, map[string]bool{}) {
+		u.w.breakRule("went_back", "%s: cancelled, but not by its user", j.ref)
+	}
+}
+
+// cancelTimeout is within how long a cancelled job's tasks have to be off their machines.
+func (w *World) cancelTimeout() micros.Time {
+	return micros.FromSeconds(w.config.Settings.Workers.CancelS)
 }
 
 // checkStart checks the rules for a start.
-func (u *users) checkStart(m *machine, t *agentTask, n int) {
+func (u *users) checkStart(m *machine, t *agentTask) {
 	u.startCount++
 	j := t.job
-	j.starts++
-	if j.firstStart == 0 {
-		j.firstStart = u.w.now
+	j.observed.starts++
+	if j.observed.firstStart == 0 {
+		j.observed.firstStart = u.w.now
 	}
-	cancelS := micros.FromSeconds(u.w.config.Settings.Workers.CancelS)
-	for _, ref := range j.dependencies {
-		if n := u.jobs[ref]; n != nil && len(n.done) < n.taskCount {
+	for _, ref := range j.spec.dependencies {
+		if d := u.jobs[ref]; d != nil && len(d.observed.done) < d.spec.taskCount {
 			u.w.breakRule("too_early", "%s starts on %s before %s is done", t.id, m.name, ref)
 		}
 	}
-	if j.cancelled != 0 && u.w.now-j.cancelled > cancelS {
+	if j.told.cancelled != 0 && u.w.now-j.told.cancelled > u.w.cancelTimeout() {
 		u.w.breakRule("ran_cancelled", "%s starts on %s", t.id, m.name)
 	}
-	if (m.spot && !j.spotAllowed) || (j.zone != "" && j.zone != m.zone) || (j.instanceTypes != nil && !contains(j.instanceTypes, m.instanceType.name)) {
+	if !j.spec.allows(m) {
 		u.w.breakRule("wrong_place", "%s starts on %s: %s in %s, spot %v", t.id, m.name, m.instanceType.name, m.zone, m.spot)
 	}
-	inZone := 0
+	u.checkPlacement(m, t)
+	u.checkQuota(j.spec.team)
+}
+
+// allows tells whether a machine is of the kind and in the zone that the job asks for.
+func (s *jobSpec) allows(m *machine) bool {
+	return (!m.spot || s.spotAllowed) && (s.zone == "" || s.zone == m.zone) &&
+		(s.instanceTypes == nil || slices.Contains(s.instanceTypes, m.instanceType.name))
+}
+
+// checkPlacement checks a start against the job's other tasks: that no task runs twice, and where
+// they are.
+func (u *users) checkPlacement(m *machine, t *agentTask) {
+	j, inZone := t.job, 0
 	for _, o := range u.w.cloud.sorted() {
-		if o.gone {
+		if o.lifecycle.gone {
 			continue
 		}
 		for _, x := range o.tasks {
@@ -82,81 +109,90 @@
 			}
 			if o.zone == m.zone {
 				inZone++
-			} else if j.oneZone {
+			} else if j.spec.oneZone {
 				u.w.breakRule("wrong_place", "%s starts in %s, others are in %s", t.id, m.zone, o.zone)
 			}
 		}
 	}
-	if j.apart && inZone+1 > (j.taskCount+1)/2 {
-		u.w.breakRule("wrong_place", "%s: %d of %d tasks in %s", t.id, inZone+1, j.taskCount, m.zone)
+	if j.spec.apart && inZone+1 > (j.spec.taskCount+1)/2 {
+		u.w.breakRule("wrong_place", "%s: %d of %d tasks in %s", t.id, inZone+1, j.spec.taskCount, m.zone)
 	}
+}
+
+// checkQuota checks that a team uses no more cores than its limit.
+func (u *users) checkQuota(team string) {
 	use := 0.0
-	for _, o := range u.w.cloud.sorted() {
-		if o.gone {
+	for _, m := range u.w.cloud.sorted() {
+		if m.lifecycle.gone {
 			continue
 		}
-		for _, x := range o.tasks {
-			if x.on() && x.job.team == j.team {
-				use += x.job.cores
+		for _, t := range m.tasks {
+			if t.on() && t.job.spec.team == team {
+				use += t.job.spec.cores
 			}
 		}
 	}
-	for _, team := range u.w.config.Settings.Teams {
-		if team.Name == j.team && team.CPUsMax > 0 && use > team.CPUsMax+1e-6 {
-			u.w.breakRule("quota", "%s uses %v of %v cores", j.team, use, team.CPUsMax)
+	for _, t := range u.w.config.Settings.Teams {
+		if t.Name == team && t.CPUsMax > 0 && use > t.CPUsMax+1e-6 {
+			u.w.breakRule("quota", "%s uses %v of %v cores", team, use, t.CPUsMax)
 		}
 	}
 }
 
-func contains(list []string, s string) bool {
-	for _, x := range list {
-		if x == s {
-			return true
-		}
-	}
-	return false
-}
-
 // answerTimeout is how long after all troubles a job may go without an answer.
 const answerTimeout = 75 * micros.Second
 
+// checkInterval is how often rules are checked that hold all the time.
+const checkInterval = 100 * micros.Millisecond
+
 // checkContinuously checks, ten times a second, that cancelled tasks are gone in time, and
-// counts replicas.
+// counts replicas; once a second, what takes longer to check.
 func (u *users) checkContinuously() {
-	const every = 100 * micros.Millisecond
-	cancelS := micros.FromSeconds(u.w.config.Settings.Workers.CancelS)
 	if u.w.cloud != nil {
 		for _, m := range u.w.cloud.sorted() {
-			if m.gone {
-				continue
+			if !m.lifecycle.gone {
+				u.checkTasks(m)
 			}
-			for _, id := range m.sortedTaskKeys() {
-				t := m.tasks[id]
-				if !t.on() {
-					continue
-				}
-				if t.job.cancelled != 0 {
-					t.job.onMachineAfterCancel = u.w.now - t.job.cancelled
-				}
-				if t.job.cancelled != 0 && u.w.now-t.job.cancelled > cancelS {
-					u.w.breakRule("ran_cancelled", "%s is on %s", t.id, m.name)
-				}
-				t.job.replicaTime += every
+		}
+	}
+	u.checkAnswers()
+	if u.w.now%micros.Second < checkInterval {
+		u.checkStarvation()
+		u.checkBlocks()
+	}
+	u.w.after(checkInterval, u.checkContinuously)
+}
+
+// checkTasks checks that no task of a job that was cancelled is on a machine for too long.
+func (u *users) checkTasks(m *machine) {
+	for _, key := range m.sortedTaskKeys() {
+		t := m.tasks[key]
+		if !t.on() {
+			continue
+		}
+		if cancelled := t.job.told.cancelled; cancelled != 0 {
+			t.job.observed.onMachineAfterCancel = u.w.now - cancelled
+			if u.w.now-cancelled > u.w.cancelTimeout() {
+				u.w.breakRule("ran_cancelled", "%s is on %s", t.id, m.name)
 			}
 		}
+		t.job.observed.replicaTime += checkInterval
 	}
+}
+
+// checkAnswers checks that questions about jobs that were accepted are answered in the end.
+func (u *users) checkAnswers() {
 	for _, ref := range u.order {
 		j := u.jobs[ref]
-		if j.accepted != 0 && !j.reportedForgotten && j.unansweredSince != 0 && u.w.now-max(j.unansweredSince, u.w.faultsOver) > answerTimeout {
-			j.reportedForgotten = true
-			u.w.breakRule("forgotten", "%s: no question about it was answered since %.3f", ref, micros.Seconds(j.unansweredSince))
+		since := j.requests.unansweredSince
+		if j.told.accepted == 0 || j.told.reportedForgotten || since == 0 {
+			continue
+		}
+		if u.w.now-max(since, u.w.faultsOver) > answerTimeout {
+			j.told.reportedForgotten = true
+			u.w.breakRule("forgotten", "%s: no question about it was answered since %.3f", ref, micros.Seconds(since))
 		}
 	}
-	if u.w.now%micros.Second < every {
-		u.checkStarvation()
-		u.checkBlocks()
-	}
-	u.w.after(every, u.checkContinuously)
 }
 
 // checkUnknownLookup checks the answer to a question for a job that nobody submitted.
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -34,7 +34,8 @@
 			t.Fatal(err)
 		}
 		for name, text := range Cases(string(text)) {
-			t.Run(strings.TrimSuffix(strings.TrimSuffix(filepath.Base(f), ".txt")+"/"+name, "/"), func(t *testing.T) { playScenario(t, text) })
+			scenario := strings.TrimSuffix(strings.TrimSuffix(filepath.Base(f), ".txt")+"/"+name, "/")
+			t.Run(scenario, func(t *testing.T) { playScenario(t, text) })
 		}
 	}
 }
@@ -62,21 +63,78 @@
 
 // faults a drawn scenario may have; %d is a length or a delay in seconds.
 var faults = []string{
-	"store down for=%d", "store refuse partition-leader for=%d", "store slow 0.4 for=%d", "store lose-replies 0.3 for=%d", "store commit-late 0.3 for=%d",
-	"crash partition-leader back=%d", "crash all back=%d", "crash others back=%d", "crash partition-leader back=0.2", "roll every=%d back=3", "pause partition-leader for=%d",
-	"cut partition-leader others for=%d", "cut partition-leader store hold for=%d", "cut partition-leader for=%d", "cut all hold for=%d",
-	"agent any die", "agent any hang for=%d", "agent spot preempt", "agent spot preempt notice=%d", "agent any faulty", "agent any delay-commands by=6 for=%d", "agent all delay-commands by=4 for=%d", "agent any slow factor=4",
-	"cut vm-000001 hold for=%d", "cut vm-000002 for=%d", "cut vm-000001 partition-leader hold for=%d",
-	"isolate partition-leader for=%d", "isolate node-0 hold for=%d", "crash all back=0.2", "crash node-1 back=0.05",
-	"agent any partition-inbound for=%d", "agent all duplicate-heartbeats by=35 for=%d", "agent any restart back=0.3", "agent all restart back=0.2",
-	"pause others for=%d", "pause all for=%d", "agent third die", "agent half hang for=%d", "agent zone-a die", "agent zone-b hang for=%d",
-	"cut zone-b hold for=%d", "cut third hold for=%d", "agent third partition-inbound for=%d", "agent half restart back=0.2", "agent fifth faulty",
-	"cut leader-zone next-zone hold for=%d", "cut leader-zone third-zone for=%d", "cut next-zone third-zone hold for=%d", "cut leader-zone hold for=%d",
-	"cut next-zone for=%d", "cut nodes nodes for=%d", "cut others partition-leader hold for=%d", "store refuse node-1 for=%d",
-	"agent any partition-outbound for=%d", "agent third partition-outbound for=%d", "agent half replay-heartbeats for=%d", "agent all replay-heartbeats for=%d", "agent any ignore-kills for=%d",
-	"cancel-now n=2 hang=%d", "cancel-now n=3", "cancel-at-end share=0.4 for=%d", "odd-requests for=%d", "verify-reads for=%d", "verify-reads for=60",
-	"store refuse partition-leader for=%d", "store lose-replies 0.5 for=%d", "cloud reply-late 3 for=%d",
-	"cloud down for=%d", "cloud create-late 8 for=%d", "cloud never-boot 0.5 for=%d", "cloud slow-boot 3 for=%d", "cloud full for=%d",
+	"store down for=%d",
+	"store refuse partition-leader for=%d",
+	"store slow 0.4 for=%d",
+	"store lose-replies 0.3 for=%d",
+	"store commit-late 0.3 for=%d",
+	"crash partition-leader back=%d",
+	"crash all back=%d",
+	"crash others back=%d",
+	"crash partition-leader back=0.2",
+	"roll every=%d back=3",
+	"pause partition-leader for=%d",
+	"cut partition-leader others for=%d",
+	"cut partition-leader store hold for=%d",
+	"cut partition-leader for=%d",
+	"cut all hold for=%d",
+	"agent any die",
+	"agent any hang for=%d",
+	"agent spot preempt",
+	"agent spot preempt notice=%d",
+	"agent any faulty",
+	"agent any delay-commands by=6 for=%d",
+	"agent all delay-commands by=4 for=%d",
+	"agent any slow factor=4",
+	"cut vm-000001 hold for=%d",
+	"cut vm-000002 for=%d",
+	"cut vm-000001 partition-leader hold for=%d",
+	"isolate partition-leader for=%d",
+	"isolate node-0 hold for=%d",
+	"crash all back=0.2",
+	"crash node-1 back=0.05",
+	"agent any partition-inbound for=%d",
+	"agent all duplicate-heartbeats by=35 for=%d",
+	"agent any restart back=0.3",
+	"agent all restart back=0.2",
+	"pause others for=%d",
+	"pause all for=%d",
+	"agent third die",
+	"agent half hang for=%d",
+	"agent zone-a die",
+	"agent zone-b hang for=%d",
+	"cut zone-b hold for=%d",
+	"cut third hold for=%d",
+	"agent third partition-inbound for=%d",
+	"agent half restart back=0.2",
+	"agent fifth faulty",
+	"cut leader-zone next-zone hold for=%d",
+	"cut leader-zone third-zone for=%d",
+	"cut next-zone third-zone hold for=%d",
+	"cut leader-zone hold for=%d",
+	"cut next-zone for=%d",
+	"cut nodes nodes for=%d",
+	"cut others partition-leader hold for=%d",
+	"store refuse node-1 for=%d",
+	"agent any partition-outbound for=%d",
+	"agent third partition-outbound for=%d",
+	"agent half replay-heartbeats for=%d",
+	"agent all replay-heartbeats for=%d",
+	"agent any ignore-kills for=%d",
+	"cancel-now n=2 hang=%d",
+	"cancel-now n=3",
+	"cancel-at-end share=0.4 for=%d",
+	"odd-requests for=%d",
+	"verify-reads for=%d",
+	"verify-reads for=60",
+	"store refuse partition-leader for=%d",
+	"store lose-replies 0.5 for=%d",
+	"cloud reply-late 3 for=%d",
+	"cloud down for=%d",
+	"cloud create-late 8 for=%d",
+	"cloud never-boot 0.5 for=%d",
+	"cloud slow-boot 3 for=%d",
+	"cloud full for=%d",
 }
 
 // TestDrawnFaults draws two or three faults at once; whatever happens, no rule
@@ -84,42 +142,55 @@
 func TestDrawnFaults(t *testing.T) {
 	t.Log("seed", flag.Lookup("rapid.seed").Value)
 	rapid.Check(t, func(t *rapid.T) {
-		var b strings.Builder
-		// Zones with nothing between them but machines, or with the controllers in them
-		// and a distance.
-		zones, far := "a,b", ""
-		if rapid.Bool().Draw(t, "zoned") {
-			zones = "a,b,c"
-			far = fmt.Sprintf(" zones=a,b,c distance_ms=%d", rapid.IntRange(0, 40).Draw(t, "distance"))
-		}
-		if rapid.Bool().Draw(t, "fair") {
-			far += " fair=yes lag=10"
-		}
-		fmt.Fprintf(&b, "cluster teams=alpha:16:24,beta:8:40,gamma:8:16 wait=urgent:4 guarantee=6 partitions=%d seed=%d%s\n", rapid.IntRange(1, 2).Draw(t, "queues"),
-			rapid.IntRange(1, 1000).Draw(t, "seed"), far)
-		fmt.Fprintf(&b, "type small cores=8 ram=32 zones=%s capacity=3 spot_capacity=2 boot=15\n", zones)
-		b.WriteString("at 0 submit wk-000001 shape=service rank=production cores=2\n")
-		b.WriteString("at 1 submit wk-000010 jobs=4 every=3 tasks=5 cores=4 runs=8 spot=yes team=alpha\n")
-		b.WriteString("at 2 submit wk-000020 jobs=3 every=9 tasks=4 cores=2 runs=12 apart=yes team=beta\n")
-		b.WriteString("at 4 submit wk-000040 jobs=2 every=20 tasks=3 cores=8 ram=30 runs=10 spot=yes team=gamma rank=low\n")
-		b.WriteString("at 20 submit wk-000050 jobs=3 every=8 tasks=4 cores=2 runs=15 spot=yes team=alpha rank=urgent class=urgent\n")
-		b.WriteString("at 30 submit wk-000030 tasks=6 cores=2 runs=30 one_zone=yes team=beta\n")
-		fmt.Fprintf(&b, "at %d cancel wk-000030\n", rapid.IntRange(32, 60).Draw(t, "cancel"))
-		for range rapid.IntRange(1, 3).Draw(t, "faults") {
-			f := rapid.SampledFrom(faults).Draw(t, "fault")
-			at := rapid.IntRange(5, 60).Draw(t, "at")
-			if strings.Contains(f, "%d") {
-				f = fmt.Sprintf(f, rapid.IntRange(2, 25).Draw(t, "for"))
-			}
-			fmt.Fprintf(&b, "at %d %s\n", at, f)
-		}
-		b.WriteString("until 260\nexpect done all\n")
-		r, err := Play(b.String(), func(string, ...any) {})
+		text := drawDeployment(t) + drawFaults(t) + "until 260\nexpect done all\n"
+		r, err := Play(text, func(string, ...any) {})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(r.Broken)+len(r.Failed) > 0 {
-			t.Fatalf("%s\nbroken: %s\nfailed: %s", b.String(), strings.Join(r.Broken, "\n"), strings.Join(r.Failed, "\n"))
+			t.Fatalf("%s\nbroken: %s\nfailed: %s", text, strings.Join(r.Broken, "\n"), strings.Join(r.Failed, "\n"))
 		}
 	})
 }
+
+// drawDeployment draws a deployment with its jobs: with zones that have nothing but machines in
+// them, or with controllers in the zones and a distance.
+func drawDeployment(t *rapid.T) string {
+	var b strings.Builder
+	zones, more := "a,b", ""
+	if rapid.Bool().Draw(t, "zoned") {
+		zones = "a,b,c"
+		more = fmt.Sprintf(" zones=a,b,c distance_ms=%d", rapid.IntRange(0, 40).Draw(t, "distance"))
+	}
+	if rapid.Bool().Draw(t, "fair") {
+		more += " fair=yes lag=10"
+	}
+	partitions := rapid.IntRange(1, 2).Draw(t, "queues")
+	seed := rapid.IntRange(1, 1000).Draw(t, "seed")
+	b.WriteString("cluster teams=alpha:16:24,beta:8:40,gamma:8:16 wait=urgent:4 guarantee=6 ")
+	fmt.Fprintf(&b, "partitions=%d seed=%d%s\n", partitions, seed, more)
+	fmt.Fprintf(&b, "type small cores=8 ram=32 zones=%s capacity=3 spot_capacity=2 boot=15\n", zones)
+	b.WriteString(`at 0 submit wk-000001 shape=service rank=production cores=2
+at 1 submit wk-000010 jobs=4 every=3 tasks=5 cores=4 runs=8 spot=yes team=alpha
+at 2 submit wk-000020 jobs=3 every=9 tasks=4 cores=2 runs=12 apart=yes team=beta
+at 4 submit wk-000040 jobs=2 every=20 tasks=3 cores=8 ram=30 runs=10 spot=yes team=gamma rank=low
+at 20 submit wk-000050 jobs=3 every=8 tasks=4 cores=2 runs=15 spot=yes team=alpha rank=urgent class=urgent
+at 30 submit wk-000030 tasks=6 cores=2 runs=30 one_zone=yes team=beta
+`)
+	fmt.Fprintf(&b, "at %d cancel wk-000030\n", rapid.IntRange(32, 60).Draw(t, "cancel"))
+	return b.String()
+}
+
+// drawFaults draws one to three faults.
+func drawFaults(t *rapid.T) string {
+	var b strings.Builder
+	for range rapid.IntRange(1, 3).Draw(t, "faults") {
+		f := rapid.SampledFrom(faults).Draw(t, "fault")
+		at := rapid.IntRange(5, 60).Draw(t, "at")
+		if strings.Contains(f, "%d") {
+			f = fmt.Sprintf(f, rapid.IntRange(2, 25).Draw(t, "for"))
+		}
+		fmt.Fprintf(&b, "at %d %s\n", at, f)
+	}
+	return b.String()
+}
--- a/internal/scenario/service_faults_test.go
+++ b/internal/scenario/service_faults_test.go
@@ -42,8 +42,8 @@
 	return func(w *World) {
 		s := w.store
 		for _, n := range w.nodesFor(target) {
-			s.refusedMembers[n.name] = true
-			w.after(length, func() { delete(s.refusedMembers, n.name); s.answerWatches() })
+			s.faults.refusedMembers[n.name] = true
+			w.after(length, func() { delete(s.faults.refusedMembers, n.name); s.answerWatches() })
 		}
 	}
 }
@@ -52,7 +52,7 @@
 func storeLimits(l *line) effect {
 	operations, valueBytes, writeRPS := l.count("ops", 4), int(l.number("kb", 2)*1024), l.number("write_rps", 18)
 	return func(w *World) {
-		w.store.maxOperations, w.store.maxValueBytes, w.store.writeRPS = operations, valueBytes, writeRPS
+		w.store.limits.maxOperations, w.store.limits.maxValueBytes, w.store.limits.writeRPS = operations, valueBytes, writeRPS
 	}
 }
 
@@ -60,16 +60,16 @@
 func storeDelaysKey(l *line) effect {
 	key, by, length := l.word(2), l.seconds("by", 60), l.duration()
 	return func(w *World) {
-		w.store.delayedKeys[key] = by
-		w.after(length, func() { delete(w.store.delayedKeys, key) })
+		w.store.faults.delayedKeys[key] = by
+		w.after(length, func() { delete(w.store.faults.delayedKeys, key) })
 	}
 }
 
 func storeSlow(l *line) effect {
 	delay, length := micros.FromSeconds(l.numberAt(2)), l.duration()
 	return func(w *World) {
-		w.store.delay = delay
-		w.after(length, func() { w.store.delay = 0 })
+		w.store.faults.delay = delay
+		w.after(length, func() { w.store.faults.delay = 0 })
 	}
 }
 
@@ -77,8 +77,8 @@
 func storeLosesReplies(l *line) effect {
 	share, length := l.numberAt(2), l.duration()
 	return func(w *World) {
-		w.store.lostReplyShare = share
-		w.after(length, func() { w.store.lostReplyShare = 0 })
+		w.store.faults.lostReplyShare = share
+		w.after(length, func() { w.store.faults.lostReplyShare = 0 })
 	}
 }
 
@@ -86,8 +86,8 @@
 func storeCommitsLate(l *line) effect {
 	share, length := l.numberAt(2), l.duration()
 	return func(w *World) {
-		w.store.lateCommitShare = share
-		w.after(length, func() { w.store.lateCommitShare = 0 })
+		w.store.faults.lateCommitShare = share
+		w.after(length, func() { w.store.faults.lateCommitShare = 0 })
 	}
 }
 
@@ -112,8 +112,8 @@
 func cloudDown(l *line) effect {
 	length := l.duration()
 	return func(w *World) {
-		w.cloud.down = true
-		w.after(length, func() { w.cloud.down = false })
+		w.cloud.faults.down = true
+		w.after(length, func() { w.cloud.faults.down = false })
 	}
 }
 
@@ -121,8 +121,8 @@
 func cloudCreatesLate(l *line) effect {
 	delay, length := micros.FromSeconds(l.numberAt(2)), l.duration()
 	return func(w *World) {
-		w.cloud.createDelay = delay
-		w.after(length, func() { w.cloud.createDelay = 0 })
+		w.cloud.faults.createDelay = delay
+		w.after(length, func() { w.cloud.faults.createDelay = 0 })
 	}
 }
 
@@ -130,8 +130,8 @@
 func cloudRepliesLate(l *line) effect {
 	delay, length := micros.FromSeconds(l.numberAt(2)), l.duration()
 	return func(w *World) {
-		w.cloud.createReplyDelay = delay
-		w.after(length, func() { w.cloud.createReplyDelay = 0 })
+		w.cloud.faults.createReplyDelay = delay
+		w.after(length, func() { w.cloud.faults.createReplyDelay = 0 })
 	}
 }
 
@@ -139,16 +139,16 @@
 func cloudNeverBoots(l *line) effect {
 	share, length := l.numberAt(2), l.duration()
 	return func(w *World) {
-		w.cloud.neverBootShare = share
-		w.after(length, func() { w.cloud.neverBootShare = 0 })
+		w.cloud.faults.neverBootShare = share
+		w.after(length, func() { w.cloud.faults.neverBootShare = 0 })
 	}
 }
 
 func cloudBootsSlowly(l *line) effect {
 	factor, length := l.numberAt(2), l.duration()
 	return func(w *World) {
-		w.cloud.bootFactor = factor
-		w.after(length, func() { w.cloud.bootFactor = 1 })
+		w.cloud.faults.bootFactor = factor
+		w.after(length, func() { w.cloud.faults.bootFactor = 1 })
 	}
 }
 
--- a/internal/scenario/starvation_rule_test.go
+++ b/internal/scenario/starvation_rule_test.go
@@ -1,8 +1,6 @@
 package scenario
 
-import (
-	"pipitlatch/internal/micros"
-)
+import "pipitlatch/internal/micros"
 
 // starvationTimeout is how long after all troubles a job may wait while there is room.
 const starvationTimeout = 90 * micros.Second
@@ -13,37 +11,52 @@
 	if u.w.cloud == nil {
 		return
 	}
-	use := map[string]float64{}
-	for _, m := range u.w.cloud.sorted() {
-		if !m.gone {
-			for _, t := range m.tasks {
-				if t.phase != "exited" {
-					use[t.job.team] += t.job.cores
-				}
-			}
-		}
-	}
+	use := u.coresByTeam()
 	for _, ref := range u.order {
 		j := u.jobs[ref]
-		if j.accepted == 0 || j.toldDone || j.cancelled != 0 || j.cancelRequested || j.alwaysFails || !u.hasPendingTask(j) || u.isBlocked(j) || !u.hasCapacity(j, use[j.team]) {
-			j.starvedSince = 0
+		if !u.isWaiting(j) || !u.hasCapacity(j, use[j.spec.team]) {
+			j.observed.starvedSince = 0
 			continue
 		}
-		if j.starvedSince == 0 {
-			j.starvedSince = u.w.now
+		if j.observed.starvedSince == 0 {
+			j.observed.starvedSince = u.w.now
 		}
-		if u.w.now-max(j.starvedSince, u.w.faultsOver) > starvationTimeout {
-			j.starvedSince = u.w.now
+		if u.w.now-max(j.observed.starvedSince, u.w.faultsOver) > starvationTimeout {
+			j.observed.starvedSince = u.w.now
 			u.w.breakRule("idle_room", "%s waits though a machine has room", ref)
 		}
 	}
 }
 
+// coresByTeam are the cores in use.
+func (u *users) coresByTeam() map[string]float64 {
+	use := map[string]float64{}
+	for _, m := range u.w.cloud.sorted() {
+		if m.lifecycle.gone {
+			continue
+		}
+		for _, t := range m.tasks {
+			if t.phase != "exited" {
+				use[t.job.spec.team] += t.job.spec.cores
+			}
+		}
+	}
+	return use
+}
+
+// isWaiting tells whether a job could run and has a task that does not.
+func (u *users) isWaiting(j *userJob) bool {
+	if j.told.accepted == 0 || j.told.done || j.told.cancelled != 0 || j.cancelRequested || j.execution.alwaysFails {
+		return false
+	}
+	return u.hasPendingTask(j) && !u.isBlocked(j)
+}
+
 // hasPendingTask tells whether a job has a task that is neither done nor on a machine.
 func (u *users) hasPendingTask(j *userJob) bool {
-	on := len(j.done)
+	on := len(j.observed.done)
 	for _, m := range u.w.cloud.machines {
-		if m.gone {
+		if m.lifecycle.gone {
 			continue
 		}
 		for _, t := range m.tasks {
@@ -52,14 +65,14 @@
 			}
 		}
 	}
-	return on < j.taskCount
+	return on < j.spec.taskCount
 }
 
 // isBlocked tells whether a job's user knows that it has to wait for others, or is cancelled
 // with one.
 func (u *users) isBlocked(j *userJob) bool {
-	for _, ref := range j.dependencies {
-		if n := u.jobs[ref]; n == nil || !n.toldDone {
+	for _, ref := range j.spec.dependencies {
+		if n := u.jobs[ref]; n == nil || !n.told.done {
 			return true
 		}
 	}
@@ -69,37 +82,53 @@
 // hasCapacity tells whether some machine could take a task of the job now.
 func (u *users) hasCapacity(j *userJob, use float64) bool {
 	for _, t := range u.w.config.Settings.Teams {
-		if t.Name == j.team && t.CPUsMax > 0 && use+j.cores > t.CPUsMax {
+		if t.Name == j.spec.team && t.CPUsMax > 0 && use+j.spec.cores > t.CPUsMax {
 			return false
 		}
 	}
-	inZone, other := map[string]int{}, false
-	for _, m := range u.w.cloud.machines {
-		for _, t := range m.tasks {
-			if t.job == j && t.phase != "exited" && !m.gone {
-				inZone[m.zone]++
-			}
-		}
-	}
+	inZone := u.tasksByZone(j)
 	for _, m := range u.w.cloud.sorted() {
-		if m.gone || !m.booted || m.hung || m.faulty || m.agentDown || m.preemptedAt > 0 || (m.spot && !j.spotAllowed) || (j.zone != "" && j.zone != m.zone) ||
-			(j.instanceTypes != nil && !contains(j.instanceTypes, m.instanceType.name)) || u.w.now-m.createdAt < starvationTimeout {
+		if !m.healthy() || u.w.now-m.createdAt < starvationTimeout || !j.spec.allows(m) {
 			continue
 		}
-		other = len(inZone) > 0 && inZone[m.zone] == 0
-		if (j.oneZone && other) || (j.apart && inZone[m.zone] >= (j.taskCount+1)/2) {
+		elsewhere := len(inZone) > 0 && inZone[m.zone] == 0
+		if (j.spec.oneZone && elsewhere) || (j.spec.apart && inZone[m.zone] >= (j.spec.taskCount+1)/2) {
 			continue
 		}
-		cores, ram := m.instanceType.cores-j.cores, m.instanceType.ramGB-j.ram
+		if m.fits(&j.spec) {
+			return true
+		}
+	}
+	return false
+}
+
+// tasksByZone are the tasks of a job on machines.
+func (u *users) tasksByZone(j *userJob) map[string]int {
+	inZone := map[string]int{}
+	for _, m := range u.w.cloud.machines {
 		for _, t := range m.tasks {
-			if t.phase != "exited" {
-				cores -= t.job.cores
-				ram -= t.job.ram
+			if t.job == j && t.phase != "exited" && !m.lifecycle.gone {
+				inZone[m.zone]++
 			}
 		}
-		if cores >= 0 && ram >= 0 {
-			return true
+	}
+	return inZone
+}
+
+// healthy tells whether a machine runs and nothing is known against it.
+func (m *machine) healthy() bool {
+	return m.lifecycle.booted && !m.lifecycle.gone && !m.faults.hung && !m.faults.faulty && !m.agent.down &&
+		m.faults.preemptedAt == 0
+}
+
+// fits tells whether a machine has room for a task.
+func (m *machine) fits(s *jobSpec) bool {
+	cores, ram := m.instanceType.cores-s.cores, m.instanceType.ramGB-s.ram
+	for _, t := range m.tasks {
+		if t.phase != "exited" {
+			cores -= t.job.spec.cores
+			ram -= t.job.spec.ram
 		}
 	}
-	return false
+	return cores >= 0 && ram >= 0
 }
--- a/internal/scenario/store_leases_test.go
+++ b/internal/scenario/store_leases_test.go
@@ -7,7 +7,7 @@
 	"pipitlatch/internal/micros"
 )
 
-func (s *keyValueStore) grantLease(body []byte, reply func(int, []byte)) {
+func (s *keyValueStore) grantLease(body []byte, reply replyFunc) {
 	var g struct {
 		TTL int64 `json:"ttl_ms"`
 	}
@@ -15,17 +15,17 @@
 		reply(400, nil)
 		return
 	}
-	s.lastLeaseID++
-	s.leaseTTL[s.lastLeaseID] = g.TTL * micros.Millisecond
-	s.leaseExpiry[s.lastLeaseID] = s.w.now + s.leaseTTL[s.lastLeaseID]
-	reply(200, encode(map[string]any{"permit": s.lastLeaseID}))
+	s.leases.lastID++
+	s.leases.ttl[s.leases.lastID] = g.TTL * micros.Millisecond
+	s.leases.expiry[s.leases.lastID] = s.w.now + s.leases.ttl[s.leases.lastID]
+	reply(200, encode(map[string]any{"permit": s.leases.lastID}))
 }
 
 // expireLeases revokes the leases that nobody kept alive.
 func (s *keyValueStore) expireLeases() {
-	if !s.down {
-		for _, id := range sortedIDs(s.leaseExpiry) {
-			if s.w.now > s.leaseExpiry[id] {
+	if !s.faults.down {
+		for _, id := range sortedIDs(s.leases.expiry) {
+			if s.w.now > s.leases.expiry[id] {
 				s.revokeLease(id)
 			}
 		}
@@ -34,7 +34,7 @@
 }
 
 func (s *keyValueStore) revokeLease(id uint64) {
-	delete(s.leaseExpiry, id)
+	delete(s.leases.expiry, id)
 	var gone []string
 	for k, v := range s.keys {
 		if v.leaseID == id {
--- a/internal/scenario/store_test.go
+++ b/internal/scenario/store_test.go
@@ -31,51 +31,72 @@
 	keys         map[string]storedRecord
 	revision     uint64
 	changes      []storeChange
-	historyLimit int
-	leaseExpiry  map[uint64]micros.Time // ends
-	leaseTTL     map[uint64]micros.Time
-	lastLeaseID  uint64
+	historyLimit int // changes that are kept
+	leases       leaseTable
 	watches      []*pendingWatch
+	faults       storeFaultState
+	limits       storeLimitState
+	tooLarge     int                  // requests refused for their size
+	largest      map[string]writeSize // of the transactions carried out, by kind
+	loaded       *storage.Cache       // of records that an earlier deployment left
+}
+
+// leaseTable has the leases by their ids.
+type leaseTable struct {
+	expiry map[uint64]micros.Time
+	ttl    map[uint64]micros.Time
+	lastID uint64
+}
 
+// storeFaultState are the faults that the store has now.
+type storeFaultState struct {
 	down            bool
 	refusedMembers  map[string]bool
 	delay           micros.Time
-	lostReplyShare  float64 // of transactions: executed, but not answered
-	lateCommitShare float64 // of transactions: executed late, and not answered
-	maxOperations   int
-	maxValueBytes   int
-	writeRPS        float64 // 0: the pace is not enforced
-	writeTokens     float64
-	writeTokensAt   micros.Time
-	tooLarge        int                    // requests refused for their size
-	delayedKeys     map[string]micros.Time // transactions that set a key: carried out so much later, and not answered
-	largest         map[string]writeSize   // of the transactions carried out, by kind
-	loaded          *storage.Cache         // of records that an earlier deployment left
+	lostReplyShare  float64                // of transactions: executed, but not answered
+	lateCommitShare float64                // of transactions: executed late, and not answered
+	delayedKeys     map[string]micros.Time // transactions that set one are executed so much later, and not answered
+}
+
+// storeLimitState are the limits that the store enforces.
+type storeLimitState struct {
+	maxOperations int
+	maxValueBytes int
+	writeRPS      float64 // 0: the pace is not enforced
+	writeTokens   float64
+	writeTokensAt micros.Time
 }
 
 func newKeyValueStore(w *World) *keyValueStore {
-	store := &keyValueStore{w: w, keys: map[string]storedRecord{}, historyLimit: 10_000, leaseExpiry: map[uint64]micros.Time{}, leaseTTL: map[uint64]micros.Time{},
-		refusedMembers: map[string]bool{}, delayedKeys: map[string]micros.Time{}, largest: map[string]writeSize{}, maxOperations: w.config.Settings.State.TxnOps, maxValueBytes: int(w.config.Settings.State.ValueKB * 1024)}
-	store.expireLeases()
-	return store
+	limits := w.config.Settings.State
+	s := &keyValueStore{
+		w: w, keys: map[string]storedRecord{}, historyLimit: 10_000, largest: map[string]writeSize{},
+		leases: leaseTable{expiry: map[uint64]micros.Time{}, ttl: map[uint64]micros.Time{}},
+		faults: storeFaultState{refusedMembers: map[string]bool{}, delayedKeys: map[string]micros.Time{}},
+		limits: storeLimitState{maxOperations: limits.TxnOps, maxValueBytes: int(limits.ValueKB * 1024)},
+	}
+	s.expireLeases()
+	return s
 }
 
-func (s *keyValueStore) refuses(from string) bool { return s.down || s.refusedMembers[from] }
+func (s *keyValueStore) refuses(from string) bool {
+	return s.faults.down || s.faults.refusedMembers[from]
+}
 
 // outage begins or ends an outage for all. After one, leases have their full
 // time again.
 func (s *keyValueStore) outage(down bool) {
-	s.down = down
+	s.faults.down = down
 	if !down {
-		for id := range s.leaseExpiry {
-			s.leaseExpiry[id] = s.w.now + s.leaseTTL[id]
+		for id := range s.leases.expiry {
+			s.leases.expiry[id] = s.w.now + s.leases.ttl[id]
 		}
 		s.answerWatches()
 	}
 }
 
-func (s *keyValueStore) handle(from string, r protocol.HTTPRequest, reply func(int, []byte)) {
-	delay := 1*micros.Millisecond + s.w.random.Int64N(3*micros.Millisecond) + s.delay
+func (s *keyValueStore) handle(from string, r protocol.HTTPRequest, reply replyFunc) {
+	delay := 1*micros.Millisecond + s.w.random.Int64N(3*micros.Millisecond) + s.faults.delay
 	s.w.after(delay, func() {
 		if s.refuses(from) {
 			reply(503, []byte(`{"error":"unavailable"}`))
@@ -85,7 +106,7 @@
 	})
 }
 
-func (s *keyValueStore) serve(from string, r protocol.HTTPRequest, reply func(int, []byte)) {
+func (s *keyValueStore) serve(from string, r protocol.HTTPRequest, reply replyFunc) {
 	u, err := url.Parse(r.Path)
 	if err != nil {
 		reply(400, nil)
@@ -108,11 +129,11 @@
 		s.grantLease(r.Body, reply)
 	case r.Method == "POST" && strings.HasSuffix(u.Path, "/touch"):
 		id, _ := strconv.ParseUint(strings.TrimSuffix(strings.TrimPrefix(u.Path, "/grants/"), "/touch"), 10, 64)
-		if _, ok := s.leaseExpiry[id]; !ok {
+		if _, ok := s.leases.expiry[id]; !ok {
 			reply(404, []byte(`{}`))
 			return
 		}
-		s.leaseExpiry[id] = s.w.now + s.leaseTTL[id]
+		s.leases.expiry[id] = s.w.now + s.leases.ttl[id]
 		reply(200, encode(map[string]any{"permit": id}))
 	case r.Method == "POST" && u.Path == "/commit":
 		s.transact(r.Body, reply)
@@ -121,7 +142,7 @@
 	}
 }
 
-func (s *keyValueStore) listRecords(q url.Values, reply func(int, []byte)) {
+func (s *keyValueStore) listRecords(q url.Values, reply replyFunc) {
 	var keys []string
 	for k := range s.keys {
 		if strings.HasPrefix(k, q.Get("under")) && k > q.Get("after") {
--- a/internal/scenario/store_transactions_test.go
+++ b/internal/scenario/store_transactions_test.go
@@ -22,17 +22,17 @@
 }
 
 // transact commits: at once, or late, or without an answer.
-func (s *keyValueStore) transact(body []byte, reply func(int, []byte)) {
+func (s *keyValueStore) transact(body []byte, reply replyFunc) {
 	if by := s.commitDelay(body); by > 0 {
 		s.w.after(by, func() { s.commit(body) })
 		return
 	}
 	switch x := s.w.random.Float64(); {
-	case x < s.lostReplyShare:
+	case x < s.faults.lostReplyShare:
 		s.commit(body)
-	case x < s.lostReplyShare+s.lateCommitShare:
+	case x < s.faults.lostReplyShare+s.faults.lateCommitShare:
 		s.w.after(micros.Second+s.w.random.Int64N(20*micros.Second), func() {
-			if !s.down {
+			if !s.faults.down {
 				s.commit(body)
 			}
 		})
@@ -44,72 +44,112 @@
 // commitDelay is how much later a transaction is carried out, by the keys that it sets.
 func (s *keyValueStore) commitDelay(body []byte) micros.Time {
 	var t transaction
-	if len(s.delayedKeys) == 0 || json.Unmarshal(body, &t) != nil {
+	if len(s.faults.delayedKeys) == 0 || json.Unmarshal(body, &t) != nil {
 		return 0
 	}
 	by := micros.Time(0)
 	for _, x := range t.Writes {
-		by = max(by, s.delayedKeys[x.Set])
+		by = max(by, s.faults.delayedKeys[x.Set])
 	}
 	return by
 }
 
+// maxBodyBytes is how large a transaction may be.
+const maxBodyBytes = 64 << 10
+
+// commit carries a transaction out, or answers why not.
 func (s *keyValueStore) commit(body []byte) (int, []byte) {
 	var t transaction
-	if json.Unmarshal(body, &t) != nil || len(t.Writes) > s.maxOperations || len(t.Compares) > 4*s.maxOperations || len(body) > 64<<10 {
+	most := s.limits.maxOperations
+	if json.Unmarshal(body, &t) != nil || len(t.Writes) > most || len(t.Compares) > 4*most || len(body) > maxBodyBytes {
 		s.tooLarge++
 		return 400, []byte(`{"error":"malformed"}`)
 	}
-	if s.writeRPS > 0 {
-		s.writeTokens = min(s.writeRPS, s.writeTokens+s.writeRPS*micros.Seconds(s.w.now-s.writeTokensAt))
-		s.writeTokensAt = s.w.now
-		if s.writeTokens < float64(len(t.Writes)) {
-			return 429, []byte(`{"error":"too many changes"}`)
-		}
-		s.writeTokens -= float64(len(t.Writes))
+	if !s.limits.take(len(t.Writes), s.w.now) {
+		return 429, []byte(`{"error":"too many changes"}`)
+	}
+	if failed := s.failedCompares(&t); len(failed) > 0 {
+		return 409, encode(map[string]any{"failed": failed, "ledger": s.revision})
+	}
+	if fault := s.faultOfWrites(&t); fault != "" {
+		return 400, encode(map[string]any{"error": fault})
+	}
+	if len(t.Writes) > 0 {
+		s.revision++
+		s.measure(&t, len(body))
 	}
+	s.apply(&t)
+	s.answerWatches()
+	return 200, encode(map[string]any{"ledger": s.revision})
+}
+
+// take tells whether so many writes are within the pace now.
+func (l *storeLimitState) take(writes int, now micros.Time) bool {
+	if l.writeRPS <= 0 {
+		return true
+	}
+	l.writeTokens = min(l.writeRPS, l.writeTokens+l.writeRPS*micros.Seconds(now-l.writeTokensAt))
+	l.writeTokensAt = now
+	if l.writeTokens < float64(writes) {
+		return false
+	}
+	l.writeTokens -= float64(writes)
+	return true
+}
+
+// failedCompares are the keys that have another mod revision than the transaction wants.
+func (s *keyValueStore) failedCompares(t *transaction) []string {
 	var failed []string
 	for _, c := range t.Compares {
 		if s.keys[c.Key].modRevision != c.ModRevision {
 			failed = append(failed, c.Key)
 		}
 	}
-	if len(failed) > 0 {
-		return 409, encode(map[string]any{"failed": failed, "ledger": s.revision})
-	}
+	return failed
+}
+
+// faultOfWrites is why writes cannot be carried out, or nothing.
+func (s *keyValueStore) faultOfWrites(t *transaction) string {
 	for _, x := range t.Writes {
-		if len(x.Value) > s.maxValueBytes {
+		if len(x.Value) > s.limits.maxValueBytes {
 			s.tooLarge++
-			return 400, []byte(`{"error":"value too large"}`)
+			return "value too large"
 		}
 		if x.Set != "" && x.Lease != 0 {
-			if _, ok := s.leaseExpiry[x.Lease]; !ok {
-				return 400, []byte(`{"error":"no such lease"}`)
+			if _, ok := s.leases.expiry[x.Lease]; !ok {
+				return "no such lease"
 			}
 		}
 	}
-	if len(t.Writes) > 0 {
-		s.revision++
-		s.measure(&t, len(body))
-	}
+	return ""
+}
+
+// apply carries out the writes of a transaction.
+func (s *keyValueStore) apply(t *transaction) {
 	for _, x := range t.Writes {
-		if x.Delete != "" {
-			if _, ok := s.keys[x.Delete]; ok {
-				delete(s.keys, x.Delete)
-				s.changes = append(s.changes, storeChange{modRevision: s.revision, key: x.Delete, delete: true})
-			}
+		if x.Delete == "" {
+			s.keys[x.Set] = storedRecord{x.Value, s.revision, x.Lease}
+			s.changes = append(s.changes, storeChange{modRevision: s.revision, key: x.Set, value: x.Value})
 			continue
 		}
-		s.keys[x.Set] = storedRecord{x.Value, s.revision, x.Lease}
-		s.changes = append(s.changes, storeChange{modRevision: s.revision, key: x.Set, value: x.Value})
+		if _, ok := s.keys[x.Delete]; ok {
+			delete(s.keys, x.Delete)
+			s.changes = append(s.changes, storeChange{modRevision: s.revision, key: x.Delete, delete: true})
+		}
 	}
-	s.answerWatches()
-	return 200, encode(map[string]any{"ledger": s.revision})
 }
 
 // writeSize is how large a transaction is in everything that the service limits.
 type writeSize struct{ operations, compares, value, body int }
 
+// max is the larger of two sizes in every respect.
+func (s writeSize) max(other writeSize) writeSize {
+	return writeSize{
+		operations: max(s.operations, other.operations), compares: max(s.compares, other.compares),
+		value: max(s.value, other.value), body: max(s.body, other.body),
+	}
+}
+
 // recordKind is the part of a key that says what its record is.
 func recordKind(key string) string {
 	kind, _, _ := strings.Cut(strings.TrimPrefix(key, "pl/"), "/")
@@ -129,8 +169,6 @@
 		size.value = max(size.value, len(x.Value))
 	}
 	for kind := range kinds {
-		had := s.largest[kind]
-		s.largest[kind] = writeSize{max(had.operations, size.operations), max(had.compares, size.compares),
-			max(had.value, size.value), max(had.body, size.body)}
+		s.largest[kind] = s.largest[kind].max(size)
 	}
 }
--- a/internal/scenario/store_watches_test.go
+++ b/internal/scenario/store_watches_test.go
@@ -13,11 +13,11 @@
 	member        string
 	prefix        string
 	afterRevision uint64
-	reply         func(int, []byte)
+	reply         replyFunc
 	answered      bool
 }
 
-func (s *keyValueStore) watch(from string, q url.Values, reply func(int, []byte)) {
+func (s *keyValueStore) watch(from string, q url.Values, reply replyFunc) {
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
 	block, _ := strconv.ParseInt(q.Get("block_ms"), 10, 64)
 	if len(s.changes) > s.historyLimit {
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -14,17 +13,22 @@
 // pipelineCommit is a version that already serves jobs that wait on others.
 const pipelineCommit = "2ac89afe98092af152de8aba244567fd1d67d41f"
 
+// tinyJob are the fields of a job whose image is there at once.
+func tinyJob(fields string) map[string]string {
+	return parseLine(0, "submit image=i size=0.1 "+fields).settings
+}
+
 // submit has a user submit a job, and ask for it until it is over.
 func (d *deployment) submit(set map[string]string) *userJob {
 	var j *userJob
 	d.with(func(w *World) {
 		j = w.users.newJob(fmt.Sprintf("wk-%06d", len(d.jobs)+1), set)
-		j.sent, j.submittedAt = true, w.now
+		j.requests.sent, j.submittedAt = true, w.now
 		w.users.jobs[j.ref] = j
 		w.users.order = append(w.users.order, j.ref)
 		d.jobs = append(d.jobs, j)
 	})
-	d.people.Go(func() { d.user(d.ctx, j, d.client) })
+	d.people.Go(func() { d.user(j) })
 	return j
 }
 
@@ -32,18 +36,20 @@
 func (d *deployment) submitAccepted(set map[string]string) *userJob {
 	d.t.Helper()
 	j := d.submit(set)
-	d.until(j.ref+" is accepted", func(*World) bool { return j.accepted != 0 })
+	d.until(j.ref+" is accepted", func(*World) bool { return j.told.accepted != 0 })
 	return j
 }
 
 // load submits for some seconds; every sixth job is cancelled while it runs. With pipelines,
 // every other job is followed by two stages, the last of which waits on both before it.
 func (d *deployment) load(seconds int, pipelines bool) {
-	stage := map[string]string{"tasks": "4", "cores": "1", "ram": "1", "runs": "2", "spot": "yes", "image": "i", "size": "0.1"}
+	stage := tinyJob("tasks=4 cores=1 ram=1 runs=2 spot=yes")
 	for i := range seconds * 2 {
 		j := d.submit(stage)
 		if i%6 == 5 {
-			time.AfterFunc(time.Duration(rand.IntN(3000))*time.Millisecond, func() { d.with(func(*World) { j.cancelRequested = true }) })
+			time.AfterFunc(time.Duration(rand.IntN(3000))*time.Millisecond, func() {
+				d.with(func(*World) { j.cancelRequested = true })
+			})
 		}
 		if pipelines && i%2 == 1 {
 			d.people.Go(func() {
@@ -62,69 +68,82 @@
 		if d.ctx.Err() != nil {
 			return nil
 		}
-		d.with(func(*World) { accepted = before.accepted != 0 })
+		d.with(func(*World) { accepted = before.told.accepted != 0 })
 	}
-	return d.submit(map[string]string{"tasks": "2", "cores": "1", "ram": "1", "runs": "1", "spot": "yes", "image": "i", "size": "0.1", "depends_on": waits})
+	return d.submit(tinyJob("tasks=2 cores=1 ram=1 runs=1 spot=yes depends_on=" + waits))
 }
 
 // user submits a job and asks for it until it is over, at a node drawn each time.
-func (d *deployment) user(ctx context.Context, j *userJob, client *http.Client) {
-	draw := func() string { return d.nodes[fmt.Sprintf("node-%d", rand.IntN(3))] }
-	call := func(method, path string, body []byte, took func(u *users, status int, answer []byte)) {
-		r, err := http.NewRequestWithContext(ctx, method, "http://"+draw()+path, bytes.NewReader(body))
-		if err != nil {
-			panic(err)
-		}
-		resp, err := client.Do(r)
-		if err != nil {
-			return
-		}
-		defer resp.Body.Close()
-		if answer, err := io.ReadAll(resp.Body); err == nil {
-			d.with(func(w *World) { took(w.users, resp.StatusCode, answer) })
-		}
-	}
-	over := func() (over bool) {
-		d.with(func(*World) { over = j.toldDone || j.cancelled != 0 })
-		return over
-	}
-	for !over() && ctx.Err() == nil {
-		accepted, cancel := false, false
-		d.with(func(*World) { accepted, cancel = j.accepted != 0, j.cancelRequested })
+func (d *deployment) user(j *userJob) {
+	for d.ctx.Err() == nil {
+		over, accepted, cancel := false, false, false
+		d.with(func(*World) {
+			over = j.told.done || j.told.cancelled != 0
+			accepted, cancel = j.told.accepted != 0, j.cancelRequested
+		})
 		switch {
+		case over:
+			return
 		case !accepted:
-			call("POST", "/submissions", j.body, func(u *users, status int, answer []byte) {
-				switch status {
-				case 200, 201:
-					j.accepted = u.w.now
-					u.receiveStatus(j, answer)
-				case 400, 422:
-					u.w.breakRule("refused", "%s: %d %s", j.ref, status, answer)
-				}
+			d.call("POST", "/submissions", j.body, func(u *users, status int, answer []byte) {
+				u.receiveSubmitted(j, status, answer)
 			})
 		case cancel:
-			call("POST", "/submissions/"+j.ref+"/abort", nil, func(u *users, status int, answer []byte) {
+			d.call("POST", "/submissions/"+j.ref+"/abort", nil, func(u *users, status int, answer []byte) {
 				if status == 200 {
 					u.receiveStatus(j, answer)
 				}
 			})
 		default:
-			call("GET", "/submissions/"+j.ref, nil, func(u *users, status int, answer []byte) {
-				switch status {
-				case 200:
-					u.receiveStatus(j, answer)
-				case 404:
-					u.w.breakRule("forgotten", "%s: accepted, then 404", j.ref)
-				}
+			d.call("GET", "/submissions/"+j.ref, nil, func(u *users, status int, answer []byte) {
+				u.receiveLookup(j, status, answer)
 			})
 		}
 		select {
-		case <-ctx.Done():
+		case <-d.ctx.Done():
 		case <-time.After(300 * time.Millisecond):
 		}
 	}
 }
 
+// call sends a request to a node that is drawn, and hands the answer in, if there is one.
+func (d *deployment) call(method, path string, body []byte, then func(u *users, status int, answer []byte)) {
+	address := d.nodes[nodeName(rand.IntN(3))]
+	r, err := http.NewRequestWithContext(d.ctx, method, "http://"+address+path, bytes.NewReader(body))
+	if err != nil {
+		panic(err)
+	}
+	resp, err := d.client.Do(r)
+	if err != nil {
+		return
+	}
+	defer resp.Body.Close()
+	if answer, err := io.ReadAll(resp.Body); err == nil {
+		d.with(func(w *World) { then(w.users, resp.StatusCode, answer) })
+	}
+}
+
+// receiveSubmitted takes the answer to a submission to a real process.
+func (u *users) receiveSubmitted(j *userJob, status int, answer []byte) {
+	switch status {
+	case 200, 201:
+		j.told.accepted = u.w.now
+		u.receiveStatus(j, answer)
+	case 400, 422:
+		u.w.breakRule("refused", "%s: %d %s", j.ref, status, answer)
+	}
+}
+
+// receiveLookup takes the answer to a question for a job that was accepted.
+func (u *users) receiveLookup(j *userJob, status int, answer []byte) {
+	switch status {
+	case 200:
+		u.receiveStatus(j, answer)
+	case 404:
+		u.w.breakRule("forgotten", "%s: accepted, then 404", j.ref)
+	}
+}
+
 // upgrade is one way in which three controllers are upgraded.
 type upgrade struct {
 	name      string
@@ -182,8 +201,7 @@
 // then, others do not.
 func burst(d *deployment, upgraded int) {
 	for range 120 {
-		d.submit(map[string]string{"tasks": "1", "cores": "1", "ram": "1", "runs": "1", "spot": "yes", "image": "i", "size": "0.1",
-			"class": fmt.Sprint("burst-", upgraded)})
+		d.submit(tinyJob(fmt.Sprint("tasks=1 cores=1 ram=1 runs=1 spot=yes class=burst-", upgraded)))
 	}
 	partitionLeaderRestarts(d, upgraded)
 }
@@ -193,7 +211,8 @@
 // after each; the state service's limits shrink the moment after the last is new, and jobs
 // wait on others. The stand-ins check the rules, as in the scenarios.
 func TestRollingUpgrade(t *testing.T) {
-	production, pipelines, current := programAt(t, productionCommit(t)), programAt(t, pipelineCommit), build(t, repositoryRoot)
+	production, pipelines := programAt(t, productionCommit(t)), programAt(t, pipelineCommit)
+	current := build(t, repositoryRoot)
 	for _, u := range []upgrade{
 		{"production/holder_ends", false, false, [3]int{0, 1, 2}, time.Second, partitionLeaderRestarts},
 		{"production/quick_return", false, false, [3]int{2, 1, 0}, 100 * time.Millisecond, quickRestart},
@@ -222,17 +241,19 @@
 	for node := range d.nodes {
 		d.start(node, old)
 	}
-	service := d.submit(map[string]string{"shape": "service", "rank": "production", "cores": "2", "tasks": "3", "image": "i", "size": "0.1"})
-	d.until("the service runs", func(*World) bool { return service.starts >= 3 })
+	service := d.submit(tinyJob("shape=service rank=production cores=2 tasks=3"))
+	d.until("the service runs", func(*World) bool { return service.observed.starts >= 3 })
 	// Long enough that its tasks end long after the whole roll.
-	long := d.submit(map[string]string{"tasks": "6", "cores": "1", "runs": "60", "image": "i", "size": "0.1"})
-	d.until("the long job runs", func(*World) bool { return long.starts >= 6 })
+	long := d.submit(tinyJob("tasks=6 cores=1 runs=60"))
+	d.until("the long job runs", func(*World) bool { return long.observed.starts >= 6 })
 	d.load(3, u.pipelines)
 	for i, n := range u.order {
 		d.restart(nodeName(n), current, u.back)
 		if i == 2 {
 			d.with(func(w *World) {
-				w.store.maxOperations, w.store.maxValueBytes, w.store.writeRPS, w.store.tooLarge = 4, 2048, 18, 0
+				l := &w.store.limits
+				l.maxOperations, l.maxValueBytes, l.writeRPS = 4, 2048, 18
+				w.store.tooLarge = 0
 			})
 		}
 		d.load(3, u.pipelines)
@@ -242,7 +263,7 @@
 	u.playPipeline(d, current)
 	d.until("everything is done", func(*World) bool {
 		for _, j := range d.jobs {
-			if j != service && !j.toldDone && j.cancelled == 0 {
+			if j != service && !j.told.done && j.told.cancelled == 0 {
 				return false
 			}
 		}
@@ -257,15 +278,15 @@
 // playPipeline has a pipeline of three stages taken, which all new processes do, with the
 // holder's end in the midst, and one that is cancelled at its head.
 func (u *upgrade) playPipeline(d *deployment, current string) {
-	first := d.submitAccepted(map[string]string{"tasks": "4", "cores": "1", "runs": "3", "image": "i", "size": "0.1"})
-	second := d.submitAccepted(map[string]string{"tasks": "4", "cores": "1", "runs": "2", "image": "i", "size": "0.1", "depends_on": first.ref})
-	d.submitAccepted(map[string]string{"tasks": "2", "cores": "1", "runs": "1", "image": "i", "size": "0.1", "depends_on": second.ref + "," + first.ref})
-	head := d.submitAccepted(map[string]string{"tasks": "1", "cores": "1", "runs": "300", "image": "i", "size": "0.1"})
-	tail := d.submitAccepted(map[string]string{"tasks": "1", "cores": "1", "runs": "1", "image": "i", "size": "0.1", "depends_on": head.ref})
+	first := d.submitAccepted(tinyJob("tasks=4 cores=1 runs=3"))
+	second := d.submitAccepted(tinyJob("tasks=4 cores=1 runs=2 depends_on=" + first.ref))
+	d.submitAccepted(tinyJob("tasks=2 cores=1 runs=1 depends_on=" + second.ref + "," + first.ref))
+	head := d.submitAccepted(tinyJob("tasks=1 cores=1 runs=300"))
+	tail := d.submitAccepted(tinyJob("tasks=1 cores=1 runs=1 depends_on=" + head.ref))
 	d.restart(d.partitionLeader(), current, 500*time.Millisecond)
 	d.with(func(*World) { head.cancelRequested = true })
 	d.load(3, true)
-	d.until("what waits on a cancelled job is cancelled", func(*World) bool { return tail.cancelled != 0 })
+	d.until("what waits on a cancelled job is cancelled", func(*World) bool { return tail.told.cancelled != 0 })
 }
 
 // goBack has a process of the older version read what the new one wrote, which it does
@@ -275,8 +296,9 @@
 	node, other := nodeName(0), nodeName(1)
 	d.restart(node, old, 500*time.Millisecond)
 	d.until("the older version has read the state", func(*World) bool { return d.running[node].said("state read") })
-	waiting := []byte(`{"ref":"wk-900000","jobclass":"c","owner":"alpha","shape":"array","rank":"low","shards":1,"cores":1,"gpus":0,"ram_gb":1,` +
-		`"bundle":"i","size_gb":0.1,"hulls":null,"berth":null,"one_zone":false,"apart":false,"loaners":true,"expect_s":1,` +
+	waiting := []byte(`{"ref":"wk-900000","jobclass":"c","owner":"alpha","shape":"array","rank":"low",` +
+		`"shards":1,"cores":1,"gpus":0,"ram_gb":1,"bundle":"i","size_gb":0.1,` +
+		`"hulls":null,"berth":null,"one_zone":false,"apart":false,"loaners":true,"expect_s":1,` +
 		`"snapshot_every_s":0,"snapshot_s":0,"due_s":null,"waits_on":["wk-000001"]}`)
 	answers := func() (status int, retryAfter string) {
 		resp, err := d.client.Post("http://"+d.nodes[other]+"/submissions", "application/json", bytes.NewReader(waiting))
@@ -309,8 +331,9 @@
 // check holds what was seen against the rules; nothing may be lost for the upgrade alone.
 func (d *deployment) check(long, service *userJob) {
 	d.with(func(w *World) {
-		if long.starts > 6 || service.starts > 3 {
-			d.t.Errorf("tasks were lost for the upgrade alone: %d starts of 6, %d of 3 replicas", long.starts, service.starts)
+		if long.observed.starts > 6 || service.observed.starts > 3 {
+			d.t.Errorf("tasks were lost for the upgrade alone: %d starts of 6, %d of 3 replicas",
+				long.observed.starts, service.observed.starts)
 		}
 		if w.store.tooLarge > 0 {
 			d.t.Errorf("%d requests were refused for their size", w.store.tooLarge)
--- a/internal/scenario/user_actions_test.go
+++ b/internal/scenario/user_actions_test.go
@@ -60,7 +60,7 @@
 	w.users.submit(j)
 	if s.cancel > 0 && w.random.Float64() < s.cancel {
 		w.after(micros.Second+w.random.Int64N(15*micros.Second), func() {
-			if !j.toldDone {
+			if !j.told.done {
 				w.users.cancel(j)
 			}
 		})
@@ -75,7 +75,7 @@
 
 // whenAccepted waits until a user was told that a job is accepted.
 func (w *World) whenAccepted(j *userJob, then func()) {
-	if j.accepted != 0 {
+	if j.told.accepted != 0 {
 		then()
 		return
 	}
--- a/internal/scenario/user_jobs_test.go
+++ b/internal/scenario/user_jobs_test.go
@@ -11,97 +11,154 @@
 
 // userJob is a job as its user knows it.
 type userJob struct {
-	ref                string
-	shape              string
-	team               string
-	class              string
-	ignoresRetryAfter  bool        // its user comes back after a second, whatever it was told
-	submitsEverywhere  bool        // its user asks at every node in the same instant
-	retryAfter         micros.Time // as it was last told
-	timesAccepted      int         // answers that it was accepted anew
-	taskCount          int
-	cores, ram         float64
-	image              string
-	imageGB            float64
-	instanceTypes      []string
-	zone               string
-	oneZone            bool
-	apart              bool
-	spotAllowed        bool
+	ref             string
+	spec            jobSpec
+	execution       jobExecution
+	body            []byte // of its submission
+	submittedAt     micros.Time
+	cancelRequested bool
+	requests        jobRequests
+	told            jobAnswers
+	observed        jobObservations
+}
+
+// jobSpec is what a job asks for.
+type jobSpec struct {
+	shape         string
+	team          string
+	class         string
+	taskCount     int
+	cores, ram    float64
+	image         string
+	imageGB       float64
+	instanceTypes []string
+	zone          string
+	oneZone       bool
+	apart         bool
+	spotAllowed   bool
+	dependencies  []string // jobs that it needs
+}
+
+// jobExecution is how a job's tasks run.
+type jobExecution struct {
 	runTime            micros.Time // true run time
 	thirdTaskFactor    float64     // times that for every third task
 	checkpointInterval float64
 	checkpointS        float64
 	alwaysFails        bool
-	body               []byte
+}
 
-	connection            *balancer // the connection it keeps
-	connectionIncarnation int
-	unansweredSince       micros.Time // first question since the last answer; 0: none
+// jobRequests are how a job's user asks.
+type jobRequests struct {
 	sent                  bool
-	submittedAt           micros.Time
-	accepted              micros.Time // 0: not yet
-	refused               int
-	done                  map[int]bool
-	cancelRequested       bool
-	cancelled             micros.Time // when its user was told
-	toldDone              bool
-	lastPhase             string
-	starts                int
-	firstStart            micros.Time
-	doneAt                micros.Time // when its user was first told
-	reportedForgotten     bool        // reported as forgotten
-	starvedSince          micros.Time // it waits though there is room; 0: it does not
-	onMachineAfterCancel  micros.Time // how long after its user was told a task was on a machine
-	dependencies          []string    // jobs that it needs
-	replicaTime           micros.Time
-}
-
-// newJob reads a job from fields such as tasks=8 cores=4.
+	ignoresRetryAfter     bool        // its user comes back after a second, whatever it was told
+	submitsEverywhere     bool        // its user asks at every node in the same instant
+	connection            *balancer   // the connection it keeps
+	connectionIncarnation int         // of the node at its other end
+	unansweredSince       micros.Time // first question since the last answer; 0: none
+}
+
+// jobAnswers are what a job's user was told.
+type jobAnswers struct {
+	retryAfter        micros.Time // as it was last told
+	timesAccepted     int         // answers that it was accepted anew
+	accepted          micros.Time // 0: not yet
+	refused           int
+	cancelled         micros.Time
+	done              bool
+	doneAt            micros.Time // when first
+	lastPhase         string
+	reportedForgotten bool // a broken rule, counted once
+}
+
+// jobObservations are what became of a job on machines.
+type jobObservations struct {
+	done                 map[int]bool // tasks
+	starts               int
+	firstStart           micros.Time
+	replicaTime          micros.Time
+	onMachineAfterCancel micros.Time // how long after its user was told a task was on a machine
+	starvedSince         micros.Time // it waits though there is room; 0: it does not
+}
+
+// jobFields are a job's fields, such as tasks=8 cores=4.
+type jobFields map[string]string
+
+func (f jobFields) number(key string, otherwise float64) float64 {
+	if v, err := strconv.ParseFloat(f[key], 64); err == nil {
+		return v
+	}
+	return otherwise
+}
+
+func (f jobFields) text(key, otherwise string) string {
+	if v := f[key]; v != "" {
+		return v
+	}
+	return otherwise
+}
+
+func (f jobFields) given(key string) bool { return f[key] != "" }
+
+// newJob makes a job of its fields.
 func (u *users) newJob(ref string, fields map[string]string) *userJob {
-	num := func(k string, d float64) float64 {
-		if v, err := strconv.ParseFloat(fields[k], 64); err == nil {
-			return v
-		}
-		return d
+	f := jobFields(fields)
+	j := &userJob{
+		ref:  ref,
+		spec: f.spec(u.w.config.Settings.Teams[0].Name),
+		execution: jobExecution{
+			runTime: micros.FromSeconds(f.number("runs", 20)), thirdTaskFactor: f.number("third_task_factor", 1),
+			checkpointInterval: f.number("snapshot", 0), checkpointS: f.number("save", 0), alwaysFails: f.given("always_fails"),
+		},
+		requests: jobRequests{
+			ignoresRetryAfter: f.given("ignores_retry_after"), submitsEverywhere: f.given("submits_everywhere"),
+		},
+		observed: jobObservations{done: map[int]bool{}},
 	}
-	str := func(k, d string) string {
-		if v := fields[k]; v != "" {
-			return v
-		}
-		return d
-	}
-	j := &userJob{ref: ref, shape: str("shape", "array"), team: str("team", u.w.config.Settings.Teams[0].Name), taskCount: int(num("tasks", 1)),
-		cores: num("cores", 4), ram: num("ram", 4), image: str("image", "img-1"), imageGB: num("size", 1), zone: fields["zone"],
-		oneZone: fields["one_zone"] != "", apart: fields["apart"] != "", spotAllowed: fields["spot"] != "",
-		runTime: micros.FromSeconds(num("runs", 20)), checkpointInterval: num("snapshot", 0), checkpointS: num("save", 0),
-		thirdTaskFactor: num("third_task_factor", 1), alwaysFails: fields["always_fails"] != "", done: map[int]bool{}}
-	j.class, j.ignoresRetryAfter, j.submitsEverywhere = str("class", "class-1"), fields["ignores_retry_after"] != "", fields["submits_everywhere"] != ""
-	if v := fields["types"]; v != "" {
-		j.instanceTypes = strings.Split(v, ",")
-	}
-	b := map[string]any{"ref": ref, "jobclass": j.class, "owner": j.team, "shape": j.shape, "rank": str("rank", "standard"),
-		"shards": j.taskCount, "cores": j.cores, "gpus": 0, "ram_gb": j.ram, "bundle": j.image, "size_gb": j.imageGB, "hulls": j.instanceTypes,
-		"berth": nil, "one_zone": j.oneZone, "apart": j.apart, "loaners": j.spotAllowed, "expect_s": num("expect", micros.Seconds(j.runTime)),
-		"snapshot_every_s": j.checkpointInterval, "snapshot_s": j.checkpointS, "due_s": nil, "surprise": true}
-	if j.zone != "" {
-		b["berth"] = j.zone
-	}
-	if d := num("due", 0); d > 0 {
-		b["due_s"] = d
-	}
-	if j.shape == "service" {
-		b["expect_s"] = 0
+	j.body = f.body(j)
+	return j
+}
+
+// spec is what the job asks for; without a team it is that of the first one.
+func (f jobFields) spec(team string) jobSpec {
+	s := jobSpec{
+		shape: f.text("shape", "array"), team: f.text("team", team), class: f.text("class", "class-1"),
+		taskCount: int(f.number("tasks", 1)), cores: f.number("cores", 4), ram: f.number("ram", 4),
+		image: f.text("image", "img-1"), imageGB: f.number("size", 1),
+		zone: f["zone"], oneZone: f.given("one_zone"), apart: f.given("apart"), spotAllowed: f.given("spot"),
 	}
-	if j.instanceTypes == nil {
-		b["hulls"] = nil
+	if f.given("types") {
+		s.instanceTypes = strings.Split(f["types"], ",")
 	}
-	if v := fields["depends_on"]; v != "" {
-		j.dependencies = parseJobRefs(v)
-		b["waits_on"] = j.dependencies
+	if f.given("depends_on") {
+		s.dependencies = parseJobRefs(f["depends_on"])
 	}
-	j.body = encode(b)
-	return j
+	return s
+}
+
+// body is the submission on the wire, with a field that no controller knows.
+func (f jobFields) body(j *userJob) []byte {
+	s, e := j.spec, j.execution
+	b := map[string]any{
+		"ref": j.ref, "jobclass": s.class, "owner": s.team, "shape": s.shape, "rank": f.text("rank", "standard"),
+		"shards": s.taskCount, "cores": s.cores, "gpus": 0, "ram_gb": s.ram, "bundle": s.image, "size_gb": s.imageGB,
+		"hulls": s.instanceTypes, "berth": nil, "one_zone": s.oneZone, "apart": s.apart, "loaners": s.spotAllowed,
+		"expect_s":         f.number("expect", micros.Seconds(e.runTime)),
+		"snapshot_every_s": e.checkpointInterval, "snapshot_s": e.checkpointS, "due_s": nil, "surprise": true,
+	}
+	if s.zone != "" {
+		b["berth"] = s.zone
+	}
+	if due := f.number("due", 0); due > 0 {
+		b["due_s"] = due
+	}
+	if s.shape == "service" {
+		b["expect_s"] = 0
+	}
+	if s.dependencies != nil {
+		b["waits_on"] = s.dependencies
+	}
+	return encode(b)
 }
 
 // parseJobRefs reads "wk-000001,wk-000010..12".
@@ -126,7 +183,11 @@
 	var out []string
 	for _, ref := range u.order {
 		j := u.jobs[ref]
-		if j.accepted != 0 && !j.toldDone && j.cancelled == 0 && j.shape == "array" && !j.alwaysFails && u.dependencyCancelledAt(j, map[string]bool{}) == 0 {
+		open := j.told.accepted != 0 && !j.told.done && j.told.cancelled == 0
+		if !open || j.spec.shape != "array" || j.execution.alwaysFails {
+			continue
+		}
+		if u.dependencyCancelledAt(j, map[string]bool{}) == 0 {
 			out = append(out, ref)
 		}
 	}
@@ -138,7 +199,7 @@
 func (u *users) jobsOfClass(class string) []*userJob {
 	var out []*userJob
 	for _, ref := range u.order {
-		if j := u.jobs[ref]; j.class == class {
+		if j := u.jobs[ref]; j.spec.class == class {
 			out = append(out, j)
 		}
 	}
@@ -148,7 +209,7 @@
 // dependencyCancelRequested tells whether the user of a job before this one asked to cancel it. The
 // answer may still be on its way, or lost, when others already see what was committed.
 func (u *users) dependencyCancelRequested(j *userJob, seen map[string]bool) bool {
-	for _, ref := range j.dependencies {
+	for _, ref := range j.spec.dependencies {
 		n := u.jobs[ref]
 		if n == nil || seen[ref] {
 			continue
@@ -165,13 +226,13 @@
 // through others, is cancelled; 0: nobody was.
 func (u *users) dependencyCancelledAt(j *userJob, seen map[string]bool) micros.Time {
 	first := micros.Time(0)
-	for _, ref := range j.dependencies {
+	for _, ref := range j.spec.dependencies {
 		n := u.jobs[ref]
 		if n == nil || seen[ref] {
 			continue
 		}
 		seen[ref] = true
-		for _, at := range []micros.Time{n.cancelled, u.dependencyCancelledAt(n, seen)} {
+		for _, at := range []micros.Time{n.told.cancelled, u.dependencyCancelledAt(n, seen)} {
 			if at != 0 && (first == 0 || at < first) {
 				first = at
 			}
--- a/internal/scenario/users_test.go
+++ b/internal/scenario/users_test.go
@@ -35,9 +35,12 @@
 	return u
 }
 
+// inputOf makes the input of a request.
+type inputOf func(messages.RequestID) messages.Input
+
 // request sends a request on the job's connection and calls then with the status; 0:
 // none.
-func (u *users) request(j *userJob, patience micros.Time, input func(messages.RequestID) messages.Input, then func(status int, body []byte)) {
+func (u *users) request(j *userJob, patience micros.Time, input inputOf, then replyFunc) {
 	w := u.w
 	b := u.connect(j)
 	if b == nil {
@@ -50,7 +53,7 @@
 		if !over {
 			over = true
 			if status == 0 && j != nil {
-				j.connection = nil // given up with its request
+				j.requests.connection = nil // given up with its request
 			}
 			then(status, body)
 		}
@@ -58,24 +61,10 @@
 	w.after(patience, func() { end(0, nil) })
 	w.send(usersHost, n.name, func() {
 		n.request(input, func(a messages.Response) {
-			status, body := 503, []byte(nil)
-			switch a.Kind {
-			case messages.JobAccepted:
-				status, body = 201, protocol.EncodeJobStatus(a.Job)
-			case messages.JobFound:
-				status, body = 200, protocol.EncodeJobStatus(a.Job)
-			case messages.RequestMalformed:
-				status = 400
-			case messages.JobUnschedulable:
-				status = 422
-			case messages.JobNotFound:
-				status = 404
-			case messages.Overloaded:
-				status = 429
-			}
+			status, body := userReply(&a)
 			w.send(n.name, usersHost, func() {
 				if j != nil {
-					j.retryAfter = a.RetryAfter
+					j.told.retryAfter = a.RetryAfter
 				}
 				end(status, body)
 			})
@@ -83,8 +72,28 @@
 	})
 }
 
+// userReply is an answer to a user on the wire.
+func userReply(a *messages.Response) (int, []byte) {
+	switch a.Kind {
+	case messages.JobAccepted:
+		return 201, protocol.EncodeJobStatus(a.Job)
+	case messages.JobFound:
+		return 200, protocol.EncodeJobStatus(a.Job)
+	case messages.RequestMalformed:
+		return 400, nil
+	case messages.JobUnschedulable:
+		return 422, nil
+	case messages.JobNotFound:
+		return 404, nil
+	case messages.Overloaded:
+		return 429, nil
+	default:
+		return 503, nil
+	}
+}
+
 // requestOf asks one node, whatever the balancer thinks.
-func (u *users) requestOf(n *node, input func(messages.RequestID) messages.Input, then func(messages.Response)) {
+func (u *users) requestOf(n *node, input inputOf, then func(messages.Response)) {
 	u.w.send(usersHost, n.name, func() {
 		n.request(input, func(a messages.Response) { u.w.send(n.name, usersHost, func() { then(a) }) })
 	})
@@ -96,7 +105,7 @@
 		u.order = append(u.order, j.ref)
 		j.submittedAt = u.w.now
 	}
-	j.sent = true
+	j.requests.sent = true
 	body := j.body
 	input := func(id messages.RequestID) messages.Input {
 		ref, job, err := protocol.ParseSubmission(body)
@@ -106,15 +115,15 @@
 		}
 		return s
 	}
-	j.retryAfter = 0
+	j.told.retryAfter = 0
 	u.request(j, 5*micros.Second, input, func(status int, body []byte) {
 		switch status {
 		case 200, 201:
 			u.accepted(j, status)
 			u.receiveStatus(j, body)
 		case 400, 422:
-			j.refused = status
-			if j.accepted != 0 {
+			j.told.refused = status
+			if j.told.accepted != 0 {
 				u.w.breakRule("forgotten", "%s: accepted, then answered %d", j.ref, status)
 			}
 		default:
@@ -123,15 +132,15 @@
 			}
 		}
 	})
-	if j.submitsEverywhere {
+	if j.requests.submitsEverywhere {
 		u.submitElsewhere(j, input)
 	}
 }
 
 // submitElsewhere sends a submission to all nodes but the one that its user is connected to.
-func (u *users) submitElsewhere(j *userJob, input func(messages.RequestID) messages.Input) {
+func (u *users) submitElsewhere(j *userJob, input inputOf) {
 	for _, b := range u.balancers {
-		if j.connection == b || !b.node.up() {
+		if j.requests.connection == b || !b.node.up() {
 			continue
 		}
 		u.w.send(usersHost, b.node.name, func() {
@@ -147,12 +156,12 @@
 // accepted notes that a job was accepted: anew once at most.
 func (u *users) accepted(j *userJob, status int) {
 	if status == 201 {
-		if j.timesAccepted++; j.timesAccepted > 1 {
+		if j.told.timesAccepted++; j.told.timesAccepted > 1 {
 			u.w.breakRule("accepted_twice", "%s: 201 a second time", j.ref)
 		}
 	}
-	if j.accepted == 0 {
-		j.accepted = u.w.now
+	if j.told.accepted == 0 {
+		j.told.accepted = u.w.now
 		u.verifyReads(j)
 		u.w.after(u.w.random.Int64N(5*micros.Second), func() { u.poll(j) })
 	}
@@ -161,21 +170,21 @@
 // retryDelay is when a user submits again that was refused.
 func (u *users) retryDelay(j *userJob) micros.Time {
 	wait := micros.Second
-	if !j.ignoresRetryAfter {
+	if !j.requests.ignoresRetryAfter {
 		// Retry-After is in whole seconds, and up to 30 s of it is honoured.
-		whole := (j.retryAfter + micros.Second - 1) / micros.Second * micros.Second
+		whole := (j.told.retryAfter + micros.Second - 1) / micros.Second * micros.Second
 		wait = max(wait, min(whole, 30*micros.Second))
 	}
 	return wait + u.w.random.Int64N(micros.Second/2)
 }
 
 func (u *users) poll(j *userJob) {
-	if j.unansweredSince == 0 && (j.toldDone || j.cancelled != 0) && u.w.random.IntN(3) > 0 {
+	if j.requests.unansweredSince == 0 && (j.told.done || j.told.cancelled != 0) && u.w.random.IntN(3) > 0 {
 		u.w.after(15*micros.Second, func() { u.poll(j) })
 		return
 	}
-	if j.unansweredSince == 0 {
-		j.unansweredSince = u.w.now
+	if j.requests.unansweredSince == 0 {
+		j.requests.unansweredSince = u.w.now
 	}
 	u.request(j, 2*micros.Second, func(id messages.RequestID) messages.Input {
 		return &messages.Lookup{Request: id, ID: j.ref}
@@ -184,7 +193,7 @@
 		case 200:
 			u.receiveStatus(j, body)
 		case 404:
-			if j.accepted != 0 {
+			if j.told.accepted != 0 {
 				u.w.breakRule("forgotten", "%s: accepted, then answered 404", j.ref)
 			}
 		}
@@ -201,7 +210,7 @@
 			u.receiveStatus(j, body)
 			return
 		}
-		if status == 404 && j.accepted != 0 {
+		if status == 404 && j.told.accepted != 0 {
 			u.w.breakRule("forgotten", "%s: accepted, then answered 404 when cancelled", j.ref)
 		}
 		u.w.after(micros.Second+u.w.random.Int64N(micros.Second/2), func() { u.cancel(j) })
@@ -213,7 +222,7 @@
 func (u *users) cancelNow(n int, hang micros.Time) {
 	for _, ref := range u.order {
 		j := u.jobs[ref]
-		if n == 0 || j.accepted == 0 || j.cancelRequested || j.toldDone {
+		if n == 0 || j.told.accepted == 0 || j.cancelRequested || j.told.done {
 			continue
 		}
 		on := u.w.cloud.machinesMatching(ref)
@@ -244,11 +253,11 @@
 	for _, ref := range u.order {
 		j := u.jobs[ref]
 		switch {
-		case j.accepted == 0 || u.w.random.IntN(4) > 0:
-		case j.toldDone:
+		case j.told.accepted == 0 || u.w.random.IntN(4) > 0:
+		case j.told.done:
 			j.cancelRequested = true
 			u.cancel(j)
-		case j.cancelled == 0:
+		case j.told.cancelled == 0:
 			u.submit(j)
 		}
 	}
@@ -259,7 +268,7 @@
 	for _, j := range []*userJob{large, lacking} {
 		u.submit(j)
 		u.w.after(4*micros.Second, func() {
-			if j.accepted != 0 {
+			if j.told.accepted != 0 {
 				u.w.breakRule("accepted", "%s: cannot run or lacks a field, but was accepted", j.ref)
 			}
 		})
@@ -274,7 +283,7 @@
 	if u.w.now >= u.verifyReadsUntil {
 		return
 	}
-	done, cancelled := j.toldDone, j.cancelled != 0
+	done, cancelled := j.told.done, j.told.cancelled != 0
 	check := func(n *node, what string, a messages.Response) {
 		switch a.Kind {
 		case messages.JobAccepted, messages.JobFound:
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -39,32 +39,37 @@
 
 // World is the simulated deployment.
 type World struct {
-	now                   micros.Time
-	queue                 events
-	eventSequence         int
-	random                *rand.Rand
-	config                *config.Config
-	nodes                 []*node
-	store                 *keyValueStore
-	cloud                 *cloud
-	users                 *users
-	cuts                  []*cut
-	startsIntoCuts        int         // starts sent into a cut
-	faultsOver            micros.Time // when the last trouble so far is over
-	longestReconciliation micros.Time // the longest that a holder did not know all its machines
-	failovers             int         // how often a queue got a holder
-	verdicts              verdicts
-	replayedHeartbeats    [][]byte // reports whose copies come to the next holder
+	now           micros.Time
+	queue         events
+	eventSequence int
+	random        *rand.Rand
+	config        *config.Config
+	nodes         []*node
+	store         *keyValueStore
+	cloud         *cloud
+	users         *users
+	network       network
+	faultsOver    micros.Time // when the last fault so far is over
+	observed      observations
+	broken        []string // rules
+	logf          func(string, ...any)
+	digest        *digest // of what leaves the nodes; nil: none
+	loopback      loopbackHooks
+}
 
-	interZoneDelay micros.Time // between zones, one way
-	zoned          bool        // controllers are in zones too
-	broken         []string
-	logf           func(string, ...any)
-	digest         *digest // of what leaves the nodes; nil: none
+// observations are what was seen of controllers from outside, in their logs and calls.
+type observations struct {
+	startsIntoCuts        int         // starts sent to machines that nothing reaches
+	longestReconciliation micros.Time // until a new partition leader had reconciled all its machines
+	failovers             int         // how often a partition got a leader
+	verdicts              verdicts
+	replayedHeartbeats    [][]byte // come again when a partition gets a new leader
+}
 
-	// With controllers that are real processes: how a worker's report is sent, and
-	// the address it listens at.
-	sendHeartbeat func(m *machine, report []byte, end func(status int, body []byte))
+// loopbackHooks are set with controllers that are real processes: how an agent's heartbeat is
+// sent, and the address it listens at.
+type loopbackHooks struct {
+	sendHeartbeat func(m *machine, heartbeat []byte, end replyFunc)
 	listenAddress func(*machine) string
 }
 
@@ -108,7 +113,7 @@
 		}
 		count := 0
 		for _, m := range w.cloud.sorted() {
-			if !m.gone && m.controller == n.name {
+			if !m.lifecycle.gone && m.heartbeats.controller == n.name {
 				count++
 			}
 		}
--- a/internal/scenario/writes_test.go
+++ b/internal/scenario/writes_test.go
@@ -53,18 +53,9 @@
 	return kinds
 }
 
-// TestEveryWriteFits plays deployments in which every kind of write is at its largest, with a
-// state service that enforces the smaller limits from the start: operations, conditions,
-// values and 64 KiB. A kind of key or write that the table does not name fails it.
-func TestEveryWriteFits(t *testing.T) {
-	for name, kind := range keyOfKind(t) {
-		if _, ok := writeKinds["set "+kind]; !ok && !keysNeverSet[name] {
-			t.Errorf("storage.Keys.%s: no row for its records", name)
-		}
-	}
-	largest := map[string]writeSize{}
-	for name, text := range map[string]string{
-		"arrays and lists": `cluster seed=5 next=yes cloud_rps=20 memory=0.5 lease=6 cancel=20 heartbeat=1 rps=300 write_rps=60
+// largestWrites are deployments in which every kind of write is at its largest.
+var largestWrites = map[string]string{
+	"arrays and lists": `cluster seed=5 next=yes cloud_rps=20 memory=0.5 lease=6 cancel=20 heartbeat=1 rps=300 write_rps=60
 type small cores=4 ram=32 capacity=160 spot_capacity=10 boot=10
 type large n=30 cores=64 ram=512 capacity=1 spot_capacity=0 boot=10
 machine small n=60 zone=a
@@ -79,18 +70,30 @@
 at 60 cancel wk-000011
 at 100 crash partition-leader back=2
 until 400`,
-		"many flows": `cluster seed=5 next=yes fair=yes connections=2000 write_rps=18 teams=alpha:0:0,beta:0:0,gamma:0:0
+	"many flows": `cluster seed=5 next=yes fair=yes connections=2000 write_rps=18 teams=alpha:0:0,beta:0:0,gamma:0:0
 type small cores=8 ram=32 capacity=6 spot_capacity=0 boot=5 fetch=5
 at 0 store limits write_rps=18
 at 10 submit wk-001000 jobs=900 every=0.03 class=a classes=70 cores=1 ram=1 runs=1 team=alpha
 at 10 submit wk-002000 jobs=900 every=0.03 class=b classes=50 cores=1 ram=1 runs=1 team=beta
 until 60`,
-		"one catalog": `cluster seed=5 next=yes
+	"one catalog": `cluster seed=5 next=yes
 type small n=12 cores=8 ram=32 capacity=2 spot_capacity=2
 at 0 store limits
 at 0 submit wk-000001 jobs=2 tasks=4 cores=4 runs=10
 until 120`,
-	} {
+}
+
+// TestEveryWriteFits plays deployments in which every kind of write is at its largest, with a
+// state service that enforces the smaller limits from the start: operations, conditions,
+// values and 64 KiB. A kind of key or write that the table does not name fails it.
+func TestEveryWriteFits(t *testing.T) {
+	for name, kind := range keyOfKind(t) {
+		if _, ok := writeKinds["set "+kind]; !ok && !keysNeverSet[name] {
+			t.Errorf("storage.Keys.%s: no row for its records", name)
+		}
+	}
+	largest := map[string]writeSize{}
+	for name, text := range largestWrites {
 		w := playWorld(t, text)
 		for _, b := range w.broken {
 			t.Errorf("%s: rule broken: %s", name, b)
@@ -99,8 +102,7 @@
 			t.Errorf("%s: %d requests were refused for their size", name, w.store.tooLarge)
 		}
 		for kind, size := range w.store.largest {
-			had := largest[kind]
-			largest[kind] = writeSize{max(had.operations, size.operations), max(had.compares, size.compares), max(had.value, size.value), max(had.body, size.body)}
+			largest[kind] = largest[kind].max(size)
 		}
 	}
 	for _, kind := range slices.Sorted(maps.Keys(largest)) {
