--- a/internal/scenario/agent_heartbeats_test.go
+++ b/internal/scenario/agent_heartbeats_test.go
@@ -84,6 +84,20 @@
 	w.send(m.name, to.name, func() { to.receiveHeartbeat(m, raw, end) })
 }
 
+// heartbeatReply is the answer to a heartbeat on the wire.
+func heartbeatReply(a *messages.Response) (int, []byte) {
+	switch a.Kind {
+	case messages.HeartbeatAcknowledged:
+		return 200, protocol.EncodeHeartbeatReply(a.FencingToken, a.Commands)
+	case messages.HeartbeatRedirected:
+		return 421, protocol.EncodeRedirect(a.RedirectTo)
+	case messages.ServiceUnavailable, messages.Overloaded, messages.JobAccepted, messages.JobFound,
+		messages.RequestMalformed, messages.JobUnschedulable, messages.JobNotFound:
+		return 503, nil
+	}
+	return 503, nil
+}
+
 // duplicate keeps a heartbeat for the next partition leader and sends late copies, if the
 // machine's faults want it.
 func (m *machine) duplicate(raw []byte) {
@@ -115,13 +129,7 @@
 	n.request(func(id messages.RequestID) messages.Input {
 		return &messages.HeartbeatRequest{Request: id, Heartbeat: heartbeat}
 	}, func(a messages.Response) {
-		status, body := 503, []byte(nil)
-		switch a.Kind {
-		case messages.HeartbeatAcknowledged:
-			status, body = 200, protocol.EncodeHeartbeatReply(a.FencingToken, a.Commands)
-		case messages.HeartbeatRedirected:
-			status, body = 421, protocol.EncodeRedirect(a.RedirectTo)
-		}
+		status, body := heartbeatReply(&a)
 		w.send(n.name, m.name, func() { end(status, body) })
 	})
 }
--- a/internal/scenario/agent_tasks_test.go
+++ b/internal/scenario/agent_tasks_test.go
@@ -50,7 +50,7 @@
 	GracePeriodS float64 `json:"wind_down_s"`
 }
 
-// deliverCommand delivers what is sent straight to the worker.
+// deliverCommand delivers what is sent straight to the agent.
 func (m *machine) deliverCommand(run func()) {
 	if m.faults.commandDelay > 0 {
 		m.w.after(m.w.random.Int64N(int64(m.faults.commandDelay)), func() { m.run(run) })
--- a/internal/scenario/agent_test.go
+++ b/internal/scenario/agent_test.go
@@ -4,7 +4,7 @@
 	"pipitlatch/internal/micros"
 )
 
-// machine is a rented machine with its worker agent.
+// machine is a machine of the cloud with its agent agent.
 type machine struct {
 	w            *World
 	name         string
@@ -133,7 +133,7 @@
 	})
 }
 
-// expireLease ends the session if its lease has run out.
+// expireLease ends the agent epoch if its lease has run out.
 func (m *machine) expireLease() {
 	if m.w.now-m.agent.acknowledgedAt <= micros.FromSeconds(m.w.config.Settings.Workers.LeaseS) {
 		return
--- a/internal/scenario/controller_test.go
+++ b/internal/scenario/controller_test.go
@@ -23,7 +23,7 @@
 	wakeSequence       int
 	drift              float64
 	skew               micros.Time
-	agentCallsInFlight int // direct calls to workers that are out
+	agentCallsInFlight int // direct calls to agents that are out
 	lastRequestID      messages.RequestID
 	pendingRequests    map[messages.RequestID]func(messages.Response)
 }
@@ -219,7 +219,7 @@
 	n.step(input(n.lastRequestID))
 }
 
-// receiveDuplicate hands in a copy of a report: nobody waits for the answer.
+// receiveDuplicate hands in a copy of a heartbeat: nobody waits for the answer.
 func (n *node) receiveDuplicate(raw []byte) {
 	if rep, err := protocol.ParseHeartbeat(raw); err == nil && n.up() {
 		n.request(func(id messages.RequestID) messages.Input {
--- a/internal/scenario/deployment_test.go
+++ b/internal/scenario/deployment_test.go
@@ -198,7 +198,7 @@
 	d.start(node, program)
 }
 
-// partitionLeader is the node whose process took the queue last.
+// partitionLeader is the node whose process acquired the partition last.
 func (d *deployment) partitionLeader() string {
 	best, at := nodeName(0), ""
 	for node, p := range d.running {
@@ -215,14 +215,14 @@
 	return best
 }
 
-// storeOutage has the state service refuse everybody for a while.
+// storeOutage has the key-value store refuse everybody for a while.
 func (d *deployment) storeOutage(length time.Duration) {
 	d.with(func(w *World) { w.store.outage(true) })
 	time.Sleep(length)
 	d.with(func(w *World) { w.store.outage(false) })
 }
 
-// storeRefuses has the state service refuse one controller for a while.
+// storeRefuses has the key-value store refuse one controller for a while.
 func (d *deployment) storeRefuses(node string, length time.Duration) {
 	d.with(func(w *World) { w.store.faults.refusedMembers[node] = true })
 	time.Sleep(length)
--- a/internal/scenario/digest_test.go
+++ b/internal/scenario/digest_test.go
@@ -28,7 +28,7 @@
 // With PIPITLATCH_DIGESTS_FULL=1 there is a line for every message: time in us, sender,
 // kind, receiver, hash. Without, there is a line for each simulated second, sender and
 // kind: number of messages and the hash of their lines; kind ~order has the lines of all
-// kinds in their order. Both end with the keys of the state service: key, hash of its
+// kinds in their order. Both end with the keys of the key-value store: key, hash of its
 // value, version.
 type digest struct {
 	file   *os.File
@@ -74,7 +74,7 @@
 func shortHash(parts ...[]byte) string {
 	h := sha256.New()
 	for _, p := range parts {
-		fmt.Fprintf(h, "%d ", len(p)) // where a part ends counts too
+		_, _ = fmt.Fprintf(h, "%d ", len(p)) // a hash takes everything; where a part ends counts too
 		h.Write(p)
 	}
 	return fmt.Sprintf("%x", h.Sum(nil)[:8])
@@ -88,7 +88,7 @@
 	now := n.w.now
 	line := fmt.Sprintf("%d %s %s %s %s\n", now, n.name, kind, receiver, shortHash(parts...))
 	if d.full {
-		d.out.WriteString(line) // an error stays with the writer until finish
+		_, _ = d.out.WriteString(line) // an error stays with the writer until finish
 		return
 	}
 	if second := now / micros.Second; second != d.second {
@@ -117,7 +117,8 @@
 	})
 	for _, k := range keys {
 		sum := d.sums[k]
-		fmt.Fprintf(d.out, "%d %s %s %d %016x\n", d.second*micros.Second, k.sender, k.kind, sum.count, sum.hash.Sum64())
+		at := d.second * micros.Second
+		_, _ = fmt.Fprintf(d.out, "%d %s %s %d %016x\n", at, k.sender, k.kind, sum.count, sum.hash.Sum64())
 	}
 	clear(d.sums)
 }
@@ -132,7 +133,7 @@
 	d.message(n, to+":"+r.Method+":"+kind, to, []byte(r.Path), r.Body, []byte(strconv.FormatInt(timeout, 10)))
 }
 
-// command records a call to a worker.
+// command records a call to a agent.
 func (d *digest) command(n *node, c *messages.AgentCall, body []byte) {
 	kind := "worker:commands"
 	if c.StatusOnly {
@@ -162,8 +163,8 @@
 	d.message(n, "sibling:status", p.To, raw)
 }
 
-// answer records an answer to a user or a worker. Users get a job's state as JSON, or a
-// text; workers get commands, or another node's name.
+// answer records an answer to a user or a agent. Users get a job's state as JSON, or a
+// text; agents get commands, or another node's name.
 func (d *digest) answer(n *node, a *messages.Response) {
 	if d == nil {
 		return
@@ -195,7 +196,7 @@
 	d.message(n, "answer:"+kind, fmt.Sprintf("request-%d", a.Request), body, []byte(a.Text), []byte(retryAfter))
 }
 
-// finish records the state service's keys and ends the record.
+// finish records the store's keys and ends the record.
 func (d *digest) finish(s *keyValueStore) error {
 	if d == nil {
 		return nil
@@ -207,7 +208,7 @@
 	}
 	sort.Strings(keys)
 	for _, k := range keys {
-		fmt.Fprintf(d.out, "end state key %s %s %d\n", k, shortHash(s.keys[k].value), s.keys[k].modRevision)
+		_, _ = fmt.Fprintf(d.out, "end state key %s %s %d\n", k, shortHash(s.keys[k].value), s.keys[k].modRevision)
 	}
 	return errors.Join(d.out.Flush(), d.packed.Close(), d.file.Close())
 }
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -20,7 +20,7 @@
 // history is what happened to every job of an overload.
 type history struct {
 	answers []answer
-	// done are the jobs whose tasks completed, as the workers saw it.
+	// done are the jobs whose tasks completed, as the agents saw it.
 	done map[string]bool
 	// asked are the jobs about which their users could ask until the end.
 	asked map[string]bool
--- a/internal/scenario/live_test.go
+++ b/internal/scenario/live_test.go
@@ -16,14 +16,14 @@
 	"pipitlatch/internal/protocol"
 )
 
-// live plays a world in real time, its outside services and workers on loopback.
+// live plays a world in real time, its outside services and agents on loopback.
 type live struct {
 	mu      sync.Mutex
 	w       *World
 	begin   time.Time
 	control string            // the controller's address
 	nodes   map[string]string // addresses of controllers, if there are several
-	clients []*http.Client    // of the workers
+	clients []*http.Client    // of the agents
 	oks     int
 
 	ctx     context.Context // ends with the test
@@ -113,7 +113,7 @@
 	return &http.Client{Timeout: 5 * time.Second, Transport: transport}
 }
 
-// post sends a worker's report over its own connection.
+// post sends a agent's heartbeat over its own connection.
 func (l *live) post(m *machine, raw []byte, end replyFunc) {
 	n, _ := strconv.Atoi(strings.TrimPrefix(m.name, "vm-"))
 	for len(l.clients) <= n {
@@ -128,7 +128,7 @@
 		if resp, err := c.Post("http://"+control+"/v1/report", "application/json", bytes.NewReader(raw)); err == nil {
 			status = resp.StatusCode
 			body, _ = io.ReadAll(resp.Body) // a torn answer is no JSON, and counts as none
-			resp.Body.Close()
+			_ = resp.Body.Close()           // it was read
 		}
 		l.with(func(*World) {
 			if status == 200 {
@@ -145,8 +145,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	return ln.Addr().String()
+	address := ln.Addr().String()
+	if err := ln.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return address
 }
 
 // addMachinesOf adds a type to the cloud, and machines of it that run already.
--- a/internal/scenario/loopback_test.go
+++ b/internal/scenario/loopback_test.go
@@ -14,7 +14,7 @@
 	"pipitlatch/internal/protocol"
 )
 
-// loopbackFleet is one real controller on loopback with many stand-in workers and users.
+// loopbackFleet is one real controller on loopback with many agents that are stand-ins and users.
 type loopbackFleet struct {
 	*live
 	t                          *testing.T
@@ -30,7 +30,7 @@
 }
 
 // measureSteady reports the processor time of some seconds in which nothing happens but
-// reports and polls; only where the size of the fleet was asked for.
+// heartbeats and polls; only where the size of the fleet was asked for.
 func (f *loopbackFleet) measureSteady() {
 	if os.Getenv("PIPITLATCH_FLEET") == "" {
 		return
@@ -45,7 +45,7 @@
 	f.t.Logf("steady: %.1f%% of a core, %.0f heartbeats a second", 100*used.Seconds()/seconds, float64(heartbeats)/seconds)
 }
 
-// fleetSize is how many stand-in workers there are: PIPITLATCH_FLEET, or a few.
+// fleetSize is how many agents that are stand-ins there are: PIPITLATCH_FLEET, or a few.
 func fleetSize() int {
 	if size, err := strconv.Atoi(os.Getenv("PIPITLATCH_FLEET")); err == nil {
 		return size
@@ -144,7 +144,7 @@
 			for f.ctx.Err() == nil {
 				resp, err := c.Post("http://"+f.control+"/submissions", "application/json", bytes.NewReader(j.body))
 				if err == nil {
-					resp.Body.Close()
+					_ = resp.Body.Close() // what it says is not needed
 				}
 				select {
 				case <-f.ctx.Done():
@@ -175,7 +175,7 @@
 	return true
 }
 
-// TestLoopbackFleet runs the real program with many stand-in workers: all report, get
+// TestLoopbackFleet runs the real program with many agents that are stand-ins: all send heartbeats, get
 // tasks, come back at once, and are asked at once when the controller starts anew. It
 // asserts counts: sockets, threads and memory stay within the settings. By default
 // the fleet is small; PIPITLATCH_FLEET=4000 makes it as large as fleets get.
@@ -185,11 +185,11 @@
 	defer func() { f.stop() }()
 	var users sync.WaitGroup
 	f.submitAll(&users)
-	f.until("all machines obey", func(w *World) bool { return f.withToken(w) >= f.size })
+	f.until("all machines have a fencing token", func(w *World) bool { return f.withToken(w) >= f.size })
 	f.until("all services run and all arrays are done", f.served)
 	t.Logf("%d machines: %v of %d sockets, %d MB", f.size, f.process.most, f.connections, f.memory)
 	f.measureSteady()
-	// Every worker comes anew at once.
+	// Every agent comes anew at once.
 	before := 0
 	f.with(func(w *World) {
 		for _, c := range f.clients {
@@ -204,7 +204,7 @@
 	first := f.process
 	f.stop()
 	f.start()
-	f.until("all machines are known again", func(*World) bool { return f.process.said("all machines reconciled") })
+	f.until("all machines are reconciled again", func(*World) bool { return f.process.said("all machines reconciled") })
 	f.until("the controller answers on", func(*World) bool { return f.oks >= before+3*f.size })
 	t.Logf("and anew: %v", f.process.most)
 	f.checkCounts(first)
@@ -230,7 +230,7 @@
 }
 
 // TestLoopbackTooFewConnections: max_connections is less than the fleet needs. The operator is
-// told; the workers that have a connection are served, users too; the process lives, keeps
+// told; the agents that have a connection are served, users too; the process lives, keeps
 // to its bound, and no rule is broken.
 func TestLoopbackTooFewConnections(t *testing.T) {
 	f := newLoopbackFleet(t, fleetSize()*4/5)
@@ -238,11 +238,11 @@
 	defer func() { f.stop() }()
 	var users sync.WaitGroup
 	f.submitAll(&users)
-	f.until("half of the machines obey", func(w *World) bool { return f.withToken(w) >= f.size/2 })
+	f.until("half of the machines have one", func(w *World) bool { return f.withToken(w) >= f.size/2 })
 	f.until("the operator is told", func(*World) bool { return f.process.said("connection refused") })
 	before := 0
 	f.with(func(*World) { before = f.oks })
-	f.until("workers are answered on", func(*World) bool { return f.oks >= before+f.size })
+	f.until("agents are answered on", func(*World) bool { return f.oks >= before+f.size })
 	f.until("replicas run", func(*World) bool {
 		starts := 0
 		for _, j := range f.jobs {
--- a/internal/scenario/many_teams_test.go
+++ b/internal/scenario/many_teams_test.go
@@ -29,19 +29,19 @@
 	if w.store.tooLarge > 0 {
 		t.Errorf("%d requests were refused for their size", w.store.tooLarge)
 	}
-	served, taken := map[string]int{}, map[string]int{}
+	served, accepted := map[string]int{}, map[string]int{}
 	for _, ref := range w.users.order {
 		if j := w.users.jobs[ref]; j.told.accepted != 0 {
 			served[j.spec.team]++
-			taken[j.spec.class]++
+			accepted[j.spec.class]++
 		}
 	}
 	if without := teams + 1 - len(served); without > 0 {
 		t.Errorf("%d teams were not served at all", without)
 	}
-	t.Logf("taken: %d of %d small jobs, %d of 2000 of the greedy team", taken["small"], teams*each, taken["bulk"])
-	if taken["small"] < teams*each*9/10 {
-		t.Errorf("%d of %d small jobs taken", taken["small"], teams*each)
+	t.Logf("accepted: %d of %d small jobs, %d of 2000 of the greedy team", accepted["small"], teams*each, accepted["bulk"])
+	if accepted["small"] < teams*each*9/10 {
+		t.Errorf("%d of %d small jobs accepted", accepted["small"], teams*each)
 	}
 	if len(w.observed.verdicts.byEpoch) == 0 {
 		t.Error("no epoch")
--- a/internal/scenario/network_test.go
+++ b/internal/scenario/network_test.go
@@ -57,7 +57,7 @@
 	return end == host || (ok && w.zoneOf(host) == zone)
 }
 
-// zoneOf is a host's zone; the state service, the cloud and users are in none.
+// zoneOf is a host's zone; the key-value store, the cloud and users are in none.
 func (w *World) zoneOf(host string) string {
 	if n := w.node(host); n != nil {
 		return n.config.Zone
--- a/internal/scenario/overload_test.go
+++ b/internal/scenario/overload_test.go
@@ -28,7 +28,7 @@
 	least  float64 // share that must be accepted
 }
 
-// overloadFlows ask for some three times of what the state service stores: 20 changes a
+// overloadFlows ask for some three times of what the key-value store stores: 20 changes a
 // second, of which a job takes two and everything else some.
 var overloadFlows = []offeredFlow{
 	{admission.Flow{Team: "alpha", Class: "bulk"}, 14, "cores=2 runs=3", 0.02},
@@ -145,7 +145,7 @@
 	if err != nil {
 		return nil, nil
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // it is read, or not needed
 	answer, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return nil, nil
@@ -188,7 +188,7 @@
 	return phase
 }
 
-// injectFaults kill, freeze and cut off controllers, at parts of the overload's length.
+// injectFaults kills, freezes and cuts off controllers, at parts of the overload's length.
 func (o *overload) injectFaults(program string) {
 	at := func(part float64) { time.Sleep(time.Until(o.begin.Add(time.Duration(part * float64(o.length))))) }
 	at(0.3)
@@ -196,7 +196,7 @@
 	at(0.45)
 	frozen := o.partitionLeader()
 	o.signal(frozen, syscall.SIGSTOP)
-	time.Sleep(min(7*time.Second, o.length/7)) // beyond its workers' lease, if there is time
+	time.Sleep(min(7*time.Second, o.length/7)) // beyond its agents' lease, if there is time
 	o.signal(frozen, syscall.SIGCONT)
 	at(0.65)
 	o.storeRefuses(nodeName(rand.IntN(3)), min(6*time.Second, o.length/8))
@@ -214,11 +214,11 @@
 type flowReport struct {
 	offered, accepted, refused, served int
 	longest                            float64 // seconds from accepted to begun
-	fair                               int64   // jobs that a fair division of what was taken gives it
+	fair                               int64   // jobs that a fair division of what was accepted gives it
 }
 
-// report counts what became of each flow.
-func (o *overload) report() []flowReport {
+// flowReports counts what became of each flow.
+func (o *overload) flowReports() []flowReport {
 	out := make([]flowReport, len(overloadFlows))
 	o.with(func(w *World) {
 		for _, j := range o.jobs {
@@ -237,15 +237,15 @@
 		}
 	})
 	var claims []admission.Claim
-	taken := int64(0)
+	accepted := int64(0)
 	for i := range out {
 		out[i].refused = o.refused[i]
-		taken += int64(out[i].accepted)
+		accepted += int64(out[i].accepted)
 		claims = append(claims, admission.Claim{
 			Flow: overloadFlows[i].flow, TeamWeight: 1, ClassWeight: 1, Demand: int64(out[i].offered),
 		})
 	}
-	for i, n := range admission.Divide(taken, 0, claims) {
+	for i, n := range admission.Divide(accepted, 0, claims) {
 		out[i].fair = n
 	}
 	return out
@@ -358,7 +358,7 @@
 			epochs[a.epoch]++
 		}
 	}
-	reports := o.report()
+	reports := o.flowReports()
 	t.Logf("%v of overload, %d answers and verdicts, %d epochs, Jain's index %.3f",
 		o.length, len(h.answers), len(epochs), jain(reports))
 	for i, r := range reports {
@@ -366,7 +366,7 @@
 		t.Logf("%-14s offered %5d accepted %5d refused %6d served %5d longest wait %6.1f s fair share %5d",
 			f.flow.Team+"/"+f.flow.Class, r.offered, r.accepted, r.refused, r.served, r.longest, r.fair)
 		if float64(r.accepted) < f.least*float64(r.offered) {
-			t.Errorf("%v: %d of %d taken", f.flow, r.accepted, r.offered)
+			t.Errorf("%v: %d of %d accepted", f.flow, r.accepted, r.offered)
 		}
 		if r.served < r.accepted {
 			t.Errorf("%v: %d of %d served", f.flow, r.served, r.accepted)
--- a/internal/scenario/rules_test.go
+++ b/internal/scenario/rules_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// answerTimeout is how long after all troubles a job may go without an answer.
+// answerTimeout is how long after all faults a job may go without an answer.
 const answerTimeout = 75 * micros.Second
 
 // checkInterval is how often rules are checked that hold all the time.
--- a/internal/scenario/script_test.go
+++ b/internal/scenario/script_test.go
@@ -23,9 +23,9 @@
 	return ""
 }
 
-// numberAt is a word as a number; 0 if it is none.
-func (l *line) numberAt(i int) float64 {
-	v, err := strconv.ParseFloat(l.word(i), 64)
+// argument is the number after a fault's name; 0 if there is none.
+func (l *line) argument() float64 {
+	v, err := strconv.ParseFloat(l.word(2), 64)
 	if err != nil {
 		return 0
 	}
--- a/internal/scenario/service_faults_test.go
+++ b/internal/scenario/service_faults_test.go
@@ -66,7 +66,7 @@
 }
 
 func storeSlow(l *line) effect {
-	delay, length := micros.FromSeconds(l.numberAt(2)), l.duration()
+	delay, length := micros.FromSeconds(l.argument()), l.duration()
 	return func(w *World) {
 		w.store.faults.delay = delay
 		w.after(length, func() { w.store.faults.delay = 0 })
@@ -75,7 +75,7 @@
 
 // storeLosesReplies carries out a share of transactions without an answer.
 func storeLosesReplies(l *line) effect {
-	share, length := l.numberAt(2), l.duration()
+	share, length := l.argument(), l.duration()
 	return func(w *World) {
 		w.store.faults.lostReplyShare = share
 		w.after(length, func() { w.store.faults.lostReplyShare = 0 })
@@ -84,7 +84,7 @@
 
 // storeCommitsLate carries out a share of transactions late and without an answer.
 func storeCommitsLate(l *line) effect {
-	share, length := l.numberAt(2), l.duration()
+	share, length := l.argument(), l.duration()
 	return func(w *World) {
 		w.store.faults.lateCommitShare = share
 		w.after(length, func() { w.store.faults.lateCommitShare = 0 })
@@ -119,7 +119,7 @@
 
 // cloudCreatesLate carries out instance requests late and without an answer.
 func cloudCreatesLate(l *line) effect {
-	delay, length := micros.FromSeconds(l.numberAt(2)), l.duration()
+	delay, length := micros.FromSeconds(l.argument()), l.duration()
 	return func(w *World) {
 		w.cloud.faults.createDelay = delay
 		w.after(length, func() { w.cloud.faults.createDelay = 0 })
@@ -128,7 +128,7 @@
 
 // cloudRepliesLate carries out instance requests at once and answers them late.
 func cloudRepliesLate(l *line) effect {
-	delay, length := micros.FromSeconds(l.numberAt(2)), l.duration()
+	delay, length := micros.FromSeconds(l.argument()), l.duration()
 	return func(w *World) {
 		w.cloud.faults.createReplyDelay = delay
 		w.after(length, func() { w.cloud.faults.createReplyDelay = 0 })
@@ -137,7 +137,7 @@
 
 // cloudNeverBoots: a share of new machines never comes up.
 func cloudNeverBoots(l *line) effect {
-	share, length := l.numberAt(2), l.duration()
+	share, length := l.argument(), l.duration()
 	return func(w *World) {
 		w.cloud.faults.neverBootShare = share
 		w.after(length, func() { w.cloud.faults.neverBootShare = 0 })
@@ -145,7 +145,7 @@
 }
 
 func cloudBootsSlowly(l *line) effect {
-	factor, length := l.numberAt(2), l.duration()
+	factor, length := l.argument(), l.duration()
 	return func(w *World) {
 		w.cloud.faults.bootFactor = factor
 		w.after(length, func() { w.cloud.faults.bootFactor = 1 })
--- a/internal/scenario/starvation_rule_test.go
+++ b/internal/scenario/starvation_rule_test.go
@@ -2,7 +2,7 @@
 
 import "pipitlatch/internal/micros"
 
-// starvationTimeout is how long after all troubles a job may wait while there is room.
+// starvationTimeout is how long after all faults a job may wait while there is room.
 const starvationTimeout = 90 * micros.Second
 
 // checkStarvation checks, once a second, that no job is left waiting while a machine that
--- a/internal/scenario/store_test.go
+++ b/internal/scenario/store_test.go
@@ -25,7 +25,7 @@
 	delete      bool
 }
 
-// keyValueStore is a stand-in of the state service.
+// keyValueStore is a stand-in of the key-value store.
 type keyValueStore struct {
 	w            *World
 	keys         map[string]storedRecord
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -40,11 +40,14 @@
 	return j
 }
 
+// loadSeconds is how long load submits.
+const loadSeconds = 3
+
 // load submits for some seconds; every sixth job is cancelled while it runs. With pipelines,
 // every other job is followed by two stages, the last of which waits on both before it.
-func (d *deployment) load(seconds int, pipelines bool) {
+func (d *deployment) load(pipelines bool) {
 	stage := tinyJob("tasks=4 cores=1 ram=1 runs=2 spot=yes")
-	for i := range seconds * 2 {
+	for i := range loadSeconds * 2 {
 		j := d.submit(stage)
 		if i%6 == 5 {
 			time.AfterFunc(time.Duration(rand.IntN(3000))*time.Millisecond, func() {
@@ -117,7 +120,7 @@
 	if err != nil {
 		return
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // it is read, or not needed
 	if answer, err := io.ReadAll(resp.Body); err == nil {
 		d.with(func(w *World) { then(w.users, resp.StatusCode, answer) })
 	}
@@ -154,13 +157,13 @@
 	fault     func(d *deployment, upgraded int)
 }
 
-// partitionLeaderRestarts has the holder, of whichever version, end and come back as it was.
+// partitionLeaderRestarts has the partition leader, of whichever version, end and come back as it was.
 func partitionLeaderRestarts(d *deployment, upgraded int) {
 	if upgraded == 3 {
 		return
 	}
 	h := d.partitionLeader()
-	d.t.Logf("with %d of 3 upgraded, %s ends as the holder", upgraded, h)
+	d.t.Logf("with %d of 3 upgraded, %s ends as the partition leader", upgraded, h)
 	d.restart(h, d.version[h], time.Second)
 }
 
@@ -173,7 +176,7 @@
 	d.restart(h, d.version[h], 100*time.Millisecond)
 }
 
-// storeOutages are an outage for all, then a refusal of the holder alone.
+// storeOutages are an outage for all, then a refusal of the partition leader alone.
 func storeOutages(d *deployment, upgraded int) {
 	switch upgraded {
 	case 1:
@@ -207,8 +210,8 @@
 }
 
 // TestRollingUpgrade upgrades three real processes one by one under load, from the version
-// in production and from one that already serves pipelines, in every order, with a trouble
-// after each; the state service's limits shrink the moment after the last is new, and jobs
+// in production and from one that already serves pipelines, in every order, with a fault
+// after each; the store's limits shrink the moment after the last is new, and jobs
 // wait on others. The stand-ins check the rules, as in the scenarios.
 func TestRollingUpgrade(t *testing.T) {
 	production, pipelines := programAt(t, productionCommit(t)), programAt(t, pipelineCommit)
@@ -246,7 +249,7 @@
 	// Long enough that its tasks end long after the whole roll.
 	long := d.submit(tinyJob("tasks=6 cores=1 runs=60"))
 	d.until("the long job runs", func(*World) bool { return long.observed.starts >= 6 })
-	d.load(3, u.pipelines)
+	d.load(u.pipelines)
 	for i, n := range u.order {
 		d.restart(nodeName(n), current, u.back)
 		if i == 2 {
@@ -256,9 +259,9 @@
 				w.store.tooLarge = 0
 			})
 		}
-		d.load(3, u.pipelines)
+		d.load(u.pipelines)
 		u.fault(d, i+1)
-		d.load(3, u.pipelines)
+		d.load(u.pipelines)
 	}
 	u.playPipeline(d, current)
 	d.until("everything is done", func(*World) bool {
@@ -275,8 +278,8 @@
 	d.check(long, service)
 }
 
-// playPipeline has a pipeline of three stages taken, which all new processes do, with the
-// holder's end in the midst, and one that is cancelled at its head.
+// playPipeline has a pipeline of three stages accepted, which all new processes do, with the
+// partition leader's end in the midst, and one that is cancelled at its head.
 func (u *upgrade) playPipeline(d *deployment, current string) {
 	first := d.submitAccepted(tinyJob("tasks=4 cores=1 runs=3"))
 	second := d.submitAccepted(tinyJob("tasks=4 cores=1 runs=2 depends_on=" + first.ref))
@@ -285,12 +288,12 @@
 	tail := d.submitAccepted(tinyJob("tasks=1 cores=1 runs=1 depends_on=" + head.ref))
 	d.restart(d.partitionLeader(), current, 500*time.Millisecond)
 	d.with(func(*World) { head.cancelRequested = true })
-	d.load(3, true)
+	d.load(true)
 	d.until("what waits on a cancelled job is cancelled", func(*World) bool { return tail.told.cancelled != 0 })
 }
 
 // goBack has a process of the older version read what the new one wrote, which it does
-// without a complaint; while it serves, nothing that waits on others is taken.
+// without a complaint; while it serves, nothing that depends on others is accepted.
 func (d *deployment) goBack(old, current string) {
 	d.t.Helper()
 	node, other := nodeName(0), nodeName(1)
@@ -305,7 +308,7 @@
 		if err != nil {
 			return 0, ""
 		}
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }() // it is read, or not needed
 		return resp.StatusCode, resp.Header.Get("Retry-After")
 	}
 	refused := false
--- a/internal/scenario/user_jobs_test.go
+++ b/internal/scenario/user_jobs_test.go
@@ -222,7 +222,7 @@
 	return false
 }
 
-// cancelled is when a user was first told that a job before this one, directly or
+// dependencyCancelledAt is when a user was first told that a job before this one, directly or
 // through others, is cancelled; 0: nobody was.
 func (u *users) dependencyCancelledAt(j *userJob, seen map[string]bool) micros.Time {
 	first := micros.Time(0)
--- a/internal/scenario/users_test.go
+++ b/internal/scenario/users_test.go
@@ -87,9 +87,10 @@
 		return 404, nil
 	case messages.Overloaded:
 		return 429, nil
-	default:
+	case messages.ServiceUnavailable, messages.HeartbeatAcknowledged, messages.HeartbeatRedirected:
 		return 503, nil
 	}
+	return 503, nil
 }
 
 // requestOf asks one node, whatever the balancer thinks.
@@ -293,6 +294,8 @@
 			}
 		case messages.JobNotFound, messages.RequestMalformed, messages.JobUnschedulable:
 			u.w.breakRule("forgotten", "%s: %s at %s answers %v", j.ref, what, n.name, a.Kind)
+		case messages.ServiceUnavailable, messages.Overloaded: // try again later
+		case messages.HeartbeatAcknowledged, messages.HeartbeatRedirected: // no answers to users
 		}
 	}
 	for _, n := range u.w.nodes {
--- a/internal/scenario/writes_test.go
+++ b/internal/scenario/writes_test.go
@@ -10,7 +10,7 @@
 	"pipitlatch/internal/storage"
 )
 
-// writeKinds are all kinds of changes that controllers make in the state service, with the
+// writeKinds are all kinds of changes that controllers make in the key-value store, with the
 // size that each reaches at its largest in the deployments below: bytes of its value, and
 // changes in one transaction. A list of needed jobs, a block, ranges and catalog are as long
 // as the limits let them be; the others are bounded by themselves.
@@ -84,7 +84,7 @@
 }
 
 // TestEveryWriteFits plays deployments in which every kind of write is at its largest, with a
-// state service that enforces the smaller limits from the start: operations, conditions,
+// key-value store that enforces the smaller limits from the start: operations, conditions,
 // values and 64 KiB. A kind of key or write that the table does not name fails it.
 func TestEveryWriteFits(t *testing.T) {
 	for name, kind := range keyOfKind(t) {
