--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -70,12 +70,19 @@
 	return "unknown"
 }
 
+// decommissions tells whether a machine that drains for this reason is given up for good: only
+// its termination, or the expiry of its agent lease, is waited for.
+func (r drainReason) decommissions() bool {
+	return r == drainAgentRestarted || r == drainUnreachable || r == drainKillTimeout
+}
+
 // drainState says whether, why and since when the machine takes no more tasks.
 type drainState struct {
 	reason drainReason
 	since  micros.Time
 }
 
+// startDrain lets the machine take no more tasks; the cluster leader is told soon.
 func (p *partitionLeader) startDrain(m *machine, reason drainReason) {
 	m.drain = drainState{reason: reason, since: p.core.now}
 	p.core.status.soon = true
@@ -83,8 +90,5 @@
 	p.core.log(messages.LevelInfo, "machine draining", "machine", m.id, "reason", reason, "attempts", len(m.attempts))
 }
 
-// decommissioned tells whether the machine is given up for good: only its deletion, or the
-// end of its lease, is waited for.
-func (m *machine) decommissioned() bool {
-	return m.drain.reason == drainAgentRestarted || m.drain.reason == drainUnreachable || m.drain.reason == drainKillTimeout
-}
+// decommissioned tells whether the machine is given up for good.
+func (m *machine) decommissioned() bool { return m.drain.reason.decommissions() }
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -11,7 +11,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// machine is a machine of the holder's blocks.
+// machine is one machine of a partition as its leader knows it: its record in the store, what its
+// agent showed, and the attempts at tasks that it has or may have.
 type machine struct {
 	id           string
 	record       storage.Machine
@@ -39,8 +40,11 @@
 	preemptionHandled bool        // the tasks that will not end before preemptAt were stopped
 }
 
+// machine returns the machine with this id, or nil.
 func (p *partitionLeader) machine(id string) *machine {
-	i, ok := slices.BinarySearchFunc(p.machines, id, func(m *machine, id string) int { return cmp.Compare(m.id, id) })
+	i, ok := slices.BinarySearchFunc(p.machines, id, func(m *machine, id string) int {
+		return cmp.Compare(m.id, id)
+	})
 	if !ok {
 		return nil
 	}
@@ -59,20 +63,23 @@
 	}
 }
 
-// schedulable tells whether tasks may be started on the machine.
+// schedulable tells whether tasks may be started on the machine: its tasks are known, it obeys this
+// partition leader, it stays, and messages have reached it and renewed its lease lately.
 func (p *partitionLeader) schedulable(m *machine) bool {
-	return m.agent.Usable(p.lease.fencingToken) && m.record.Used && m.drain.reason == notDraining &&
-		m.lifecycle.preemptAt == 0 && m.address != "" && m.contact.FailedCalls() == 0 && p.core.now-m.contact.LastContact() < p.suspicionTimeout()*3/4 && p.sinceLastRenewal(m) < p.core.config.AgentLease()/2
+	return m.agent.Usable(p.lease.fencingToken) &&
+		m.record.Used &&
+		m.drain.reason == notDraining &&
+		m.lifecycle.preemptAt == 0 &&
+		m.address != "" &&
+		m.contact.FailedCalls() == 0 &&
+		p.core.now-m.contact.LastContact() < p.suspicionTimeout()*3/4 &&
+		p.sinceLastRenewal(m) < p.core.config.AgentLease()/2
 }
 
-// reconciledHere is usable apart from draining.
-func (p *partitionLeader) reconciledHere(m *machine) bool {
-	return m.agent.Usable(p.lease.fencingToken)
-}
-
-// terminable tells whether a machine can be given back: nothing runs there, and no result is
-// kept there alone. A start without an answer may still be carried out late, but not after
-// the deletion, and before it the worker knows the attempt, so that it has no effect.
+// terminable tells whether the machine can be terminated without loss: nothing runs there, and no
+// result is kept there alone. A start command without a reply may still be carried out late, but
+// not after the termination; and until then the agent knows the attempt, so that the command has no
+// effect.
 func (p *partitionLeader) terminable(m *machine) bool {
 	if m.commands.CallInFlight() || !m.commands.Empty() {
 		return false
@@ -85,8 +92,8 @@
 	return true
 }
 
-// transferable tells whether nothing on the machine matters any more: it could serve another
-// queue, where nobody would know of a start that is carried out late.
+// transferable tells whether the machine could serve another partition: nothing on it matters any
+// more, and no start command may be carried out late, of which nobody would know there.
 func (p *partitionLeader) transferable(m *machine) bool {
 	for _, a := range m.attempts {
 		if a.start.unanswered > 0 {
--- a/internal/coordination/preemption_notice.go
+++ b/internal/coordination/preemption_notice.go
@@ -6,24 +6,26 @@
 	"pipitlatch/internal/workload"
 )
 
-// handlePreemptionNotice stops what will not have ended when the cloud takes the machine: it would
-// be lost then, and begins elsewhere by the time of the notice sooner; what can save
-// its progress does so.
+// handlePreemptionNotice stops the tasks that will not have ended when the cloud takes the
+// machine: they would be lost then, and start elsewhere sooner by the time of the notice. A task
+// that can save a checkpoint in time does so. Replicas serve until the end.
 func (p *partitionLeader) handlePreemptionNotice(m *machine) {
-	if m.lifecycle.preemptAt == 0 || m.lifecycle.preemptionHandled || !m.agent.Acknowledged(p.lease.fencingToken) || !m.agent.Reconciled() {
+	if m.lifecycle.preemptAt == 0 || m.lifecycle.preemptionHandled ||
+		!m.agent.Acknowledged(p.lease.fencingToken) || !m.agent.Reconciled() {
 		return
 	}
 	m.lifecycle.preemptionHandled = true
-	left := m.lifecycle.preemptAt - p.core.now
+	timeLeft := m.lifecycle.preemptAt - p.core.now
 	for _, id := range sortedAttempts(m) {
 		a := m.attempts[id]
-		if a.state == messages.Exited || a.stop.ordered || a.job == nil || a.job.Kind == workload.Service || p.remaining(a) <= left {
+		if a.state == messages.Exited || a.stop.ordered ||
+			a.job == nil || a.job.Kind == workload.Service || p.remaining(a) <= timeLeft {
 			continue
 		}
-		grace := micros.Time(0)
-		if a.job.CheckpointInterval > 0 && a.job.CheckpointDuration < left {
-			grace = a.job.CheckpointDuration
+		gracePeriod := micros.Time(0)
+		if a.job.CheckpointInterval > 0 && a.job.CheckpointDuration < timeLeft {
+			gracePeriod = a.job.CheckpointDuration
 		}
-		p.stopAttempt(a, grace)
+		p.stopAttempt(a, gracePeriod)
 	}
 }
