--- a/internal/coordination/provisioning/request.go
+++ b/internal/coordination/provisioning/request.go
@@ -1,6 +1,9 @@
 // Package provisioning decides which instances to request from the cloud for the capacity that
-// partitions lack (Choose), remembers which kinds the cloud has run out of (CapacityTracker),
-// and which machines to quarantine for their failures (FaultTracker).
+// partitions lack (Choose), and remembers what that takes: which kinds the cloud has run out of
+// (CapacityTracker), how many requests its rate limit allows (RequestLimiter) and which are under
+// way (PendingRequests), which instances are surely gone (TerminatedInstances) or absent from the
+// cloud's list (AbsentInstances), and which machines to quarantine for their failures
+// (FaultTracker). It sends nothing: the duties of the cluster leader do.
 package provisioning
 
 import (
