--- /dev/null
+++ b/internal/coordination/duties_test.go
@@ -0,0 +1,158 @@
+package coordination
+
+import (
+	"testing"
+
+	"pipitlatch/internal/config"
+	"pipitlatch/internal/coordination/membership"
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/coordination/provisioning"
+	"pipitlatch/internal/coordination/storetest"
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
+)
+
+// dutyView stands in for the core around one duty of the cluster leader.
+type dutyView struct {
+	storetest.Environment
+	cache          *storage.Cache
+	revision       uint64 // of the record that was put last
+	cloudCalls     []cloudCall
+	catalog        workload.Catalog
+	partitionCount int
+	statuses       []messages.PartitionStatus
+	reachable      map[storage.Process]int
+	inUse          map[string]int
+	isolated       bool
+	follower       bool // the process is not the cluster leader
+	unreachable    bool // is the store
+	statusSoon     bool
+	terminated     []string
+	addresses      map[string]string
+	contacts       map[string]micros.Time
+}
+
+// cloudCall is a call to the cloud that waits for its reply.
+type cloudCall struct {
+	messages.CloudCall
+	reply func(*messages.CloudReply)
+}
+
+var (
+	dutyKeys    = storage.Keys{Prefix: "p/"}
+	dutyProcess = storage.Process{Member: "n0", Incarnation: "1"}
+)
+
+// leaderRevision is the mod revision of the cluster leader's key.
+const leaderRevision = 4
+
+// dutyKind is the kind of the blocks' machines.
+var dutyKind = provisioning.InstanceKind{InstanceType: "m", Zone: "a"}
+
+// newDutyView is the view of a cluster leader whose cache has the given blocks, at time 1000 s.
+func newDutyView(t *testing.T, blocks map[string]storage.BlockRecord) *dutyView {
+	t.Helper()
+	v := &dutyView{cache: storage.NewCache(dutyKeys), partitionCount: 1, addresses: map[string]string{}}
+	v.Time = 1000 * micros.Second
+	v.cache.ClusterLeader = storage.Versioned[storage.Process]{Value: dutyProcess, ModRevision: leaderRevision}
+	for _, name := range sortedKeys(blocks) {
+		v.put(t, dutyKeys.Block(name), blocks[name])
+	}
+	return v
+}
+
+// put sets a record in the cache, at the next revision.
+func (v *dutyView) put(t *testing.T, key string, value any) {
+	t.Helper()
+	v.revision++
+	item := storage.Item{Key: key, Value: storage.Encode(value), ModRevision: v.revision}
+	if _, _, err := v.cache.Apply(item); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// block is a record of a block of the duties' kind in a partition.
+func block(partition int, machines ...string) storage.BlockRecord {
+	b := storage.BlockRecord{Partition: partition, InstanceType: "m", Zone: "a"}
+	b.Machines = map[string]storage.MachineRecord{}
+	for _, machine := range machines {
+		b.Machines[machine] = storage.MachineRecord{}
+	}
+	return b
+}
+
+// dutyTerm is a term of leadership that began long ago.
+func dutyTerm() *leaderTerm { return &leaderTerm{revision: leaderRevision} }
+
+// dutyConfig are settings for the duties.
+func dutyConfig(t *testing.T) *config.Config {
+	t.Helper()
+	cfg, err := config.Parse([]byte(benchSettings), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return cfg
+}
+
+// takeCloudCall returns the only call to the cloud that has had no reply.
+func (v *dutyView) takeCloudCall(t *testing.T, operation messages.CloudOperation) cloudCall {
+	t.Helper()
+	if len(v.cloudCalls) != 1 || v.cloudCalls[0].Operation != operation {
+		t.Fatalf("calls to the cloud: %+v, want one of operation %d", v.cloudCalls, operation)
+	}
+	call := v.cloudCalls[0]
+	v.cloudCalls = nil
+	return call
+}
+
+// requireNoCloudCall fails the test if a call to the cloud waits for a reply.
+func (v *dutyView) requireNoCloudCall(t *testing.T) {
+	t.Helper()
+	if len(v.cloudCalls) > 0 {
+		t.Fatalf("the cloud was called, want no call: %+v", v.cloudCalls[0].CloudCall)
+	}
+}
+
+func (v *dutyView) CallCloud(call messages.CloudCall, done func(*messages.CloudReply)) {
+	v.cloudCalls = append(v.cloudCalls, cloudCall{call, done})
+}
+
+func (v *dutyView) Cache() *storage.Cache { return v.cache }
+
+func (v *dutyView) LeaderCompare() storage.Compare {
+	return storage.Compare{Key: dutyKeys.ClusterLeader(), ModRevision: leaderRevision}
+}
+
+func (v *dutyView) IsClusterLeader() bool                                { return !v.follower }
+func (v *dutyView) Isolated() bool                                       { return v.isolated }
+func (v *dutyView) StoreReachable() bool                                 { return !v.unreachable }
+func (v *dutyView) SendStatusSoon()                                      { v.statusSoon = true }
+func (v *dutyView) Catalog() workload.Catalog                            { return v.catalog }
+func (v *dutyView) PartitionCount() int                                  { return v.partitionCount }
+func (v *dutyView) PartitionStatuses() []messages.PartitionStatus        { return v.statuses }
+func (v *dutyView) MachinesInUse(int) map[string]int                     { return v.inUse }
+func (v *dutyView) ReachableMachines(process storage.Process, _ int) int { return v.reachable[process] }
+func (v *dutyView) MaxBlockMachines() int                                { return 2 }
+
+func (v *dutyView) MachineTerminated(machine string) { v.terminated = append(v.terminated, machine) }
+
+func (v *dutyView) PutBlock(r *storage.Request, name string, record storage.BlockRecord) {
+	r.Puts = append(r.Puts, storage.Put{Key: dutyKeys.Block(name), Value: storage.Encode(record)})
+}
+
+func (v *dutyView) InstanceRunning(_ int, machine, address string) { v.addresses[machine] = address }
+
+func (v *dutyView) LastContact(_ int, machine string) (micros.Time, bool) {
+	at, ok := v.contacts[machine]
+	return at, ok
+}
+
+// newDutyPeers are the peers of the duties' process, of which one sent a status at a time.
+func newDutyPeers(at micros.Time, statuses ...*messages.PeerStatus) *membership.Peers {
+	peers := membership.NewPeers(dutyProcess.Member, nil)
+	for _, status := range statuses {
+		peers.Receive(at, status)
+	}
+	return peers
+}
