--- /dev/null
+++ b/internal/coordination/block_records_test.go
@@ -0,0 +1,101 @@
+package coordination
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"pipitlatch/internal/storage"
+)
+
+func TestMaxBlockMachinesFitsTheLimitOfValues(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		valueKB float64
+		want    int
+	}{
+		{"as many as the cloud grants at once", 16, storage.MaxBlockMachines},
+		{"as many as a record takes", 1, (972 - blockRecordReserve) / storage.MachineRecordBytes},
+		{"one at least", 0.1, 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			cfg := dutyConfig(t)
+			cfg.Settings.State.ValueKB = test.valueKB
+			if got := New(cfg, "1").maxBlockMachines(); got != test.want {
+				t.Errorf("maxBlockMachines = %d, want %d", got, test.want)
+			}
+		})
+	}
+}
+
+// blockKeys are the keys of blocks.
+func blockKeys(names []string) []string {
+	var keys []string
+	for _, name := range names {
+		keys = append(keys, storage.Keys{}.Block(name))
+	}
+	return keys
+}
+
+// writtenKeys are the keys that a request sets, and those that must not exist for it.
+func writtenKeys(r *storage.Request) (written, guarded []string) {
+	for _, put := range r.Puts {
+		written = append(written, put.Key)
+	}
+	for _, compare := range r.Compares {
+		if compare.ModRevision == 0 {
+			guarded = append(guarded, compare.Key)
+		}
+	}
+	return written, guarded
+}
+
+// requireFits fails the test if a value of the request is too large.
+func requireFits(t *testing.T, r *storage.Request, maxValue int) {
+	t.Helper()
+	for _, put := range r.Puts {
+		if len(put.Value) > maxValue {
+			t.Errorf("%s has %d bytes, want %d at most", put.Key, len(put.Value), maxValue)
+		}
+	}
+}
+
+func TestPutBlockSplitsWhatIsTooLarge(t *testing.T) {
+	var machines []string
+	for i := range 40 {
+		machines = append(machines, fmt.Sprintf("vm-%06d", i))
+	}
+	tests := []struct {
+		name    string
+		valueKB float64
+		exists  []string
+		want    []string
+		guarded []string // as keys that do not exist
+	}{
+		{"nothing that fits", 16, nil, []string{"b"}, nil},
+		{"under new names", 0.3, nil, []string{"b", "b+0", "b+1", "b+2"}, []string{"b+0", "b+1", "b+2"}},
+		{"under names that are unused", 0.3, []string{"b+0", "b+2"},
+			[]string{"b", "b+1", "b+3", "b+4"}, []string{"b+1", "b+3", "b+4"}},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			cfg := dutyConfig(t)
+			cfg.Settings.State.ValueKB = test.valueKB
+			c := New(cfg, "1")
+			c.keys = storage.Keys{}
+			for _, name := range test.exists {
+				c.cache.Blocks[name] = storage.Versioned[storage.BlockRecord]{ModRevision: 1}
+			}
+			var r storage.Request
+			c.putBlock(&r, "b", block(0, machines...))
+			written, guarded := writtenKeys(&r)
+			if want := blockKeys(test.want); !slices.Equal(written, want) {
+				t.Errorf("written %v, want %v", written, want)
+			}
+			if want := blockKeys(test.guarded); !slices.Equal(guarded, want) {
+				t.Errorf("guarded %v, want %v", guarded, want)
+			}
+			requireFits(t, &r, cfg.Settings.MaxValue())
+		})
+	}
+}
