--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -55,11 +55,11 @@
 	member          *membership.Member
 	peers           *membership.Peers
 	health          *membership.Health
-	status          statusState
+	status          statusSchedule
 	cancellations   cancellations
 	dependencyLists int                          // lists of dependencies that were stored in parts
 	archivedJobs    map[string]*storage.JobEntry // records read from the archive
-	progress        map[string]messages.JobProgress
+	progress        *progressTable
 	leader          clusterLeader
 	runtimes        *workload.RuntimeStats
 	faults          *provisioning.FaultTracker
@@ -69,26 +69,6 @@
 	lastPlanned     *partitionLeader // that planned in the last step
 }
 
-// statusState paces the status messages to peers.
-type statusState struct {
-	sentAt micros.Time
-	soon   bool // send the next one soon
-	// progressKept is how many entries of progress were left when they were last pruned.
-	progressKept int
-}
-
-// spotLosses counts how often spot machines are taken.
-type spotLosses struct {
-	losses int
-	time   micros.Time // machines times time
-}
-
-// rate is how often a spot machine is taken, a second. Before there is anything
-// to go by, it is one in half an hour.
-func (s *spotLosses) rate() float64 {
-	return float64(s.losses+1) / (micros.Seconds(s.time) + 1800)
-}
-
 // New starts a controller's core; incarnation must be new with every process.
 func New(cfg *config.Config, incarnation string) *Core {
 	keys := storage.Keys{Prefix: cfg.Operator.KeyPrefix}
@@ -103,7 +83,7 @@
 		deathTimes:    map[storage.Process]micros.Time{},
 		cancellations: newCancellations(),
 		archivedJobs:  map[string]*storage.JobEntry{},
-		progress:      map[string]messages.JobProgress{},
+		progress:      newProgressTable(),
 		runtimes:      workload.NewRuntimeStats(),
 		faults:        provisioning.NewFaultTracker(),
 		fair:          newFairAdmission(cfg),
@@ -232,79 +212,6 @@
 // Healthy reports whether the controller should be sent users' requests.
 func (c *Core) Healthy() bool { return c.health.Healthy(c.now, c.storeReachable()) }
 
-// sendStatus tells the siblings how things stand.
-func (c *Core) sendStatus() {
-	every := 500 * micros.Millisecond
-	if c.status.soon {
-		every = 100 * micros.Millisecond
-	}
-	if c.now-c.status.sentAt < every {
-		return
-	}
-	c.status.sentAt, c.status.soon = c.now, false
-	s := &messages.PeerStatus{From: c.process, Revision: c.cache.Revision, StoreReachable: c.storeReachable(), Usage: c.storeLimiter.RecentUsage(), Reachability: c.reachability.Report()}
-	c.storeLimiter.SetPeerUsage(c.peers.StoreUsage(c.now))
-	for _, n := range sortedKeys(c.partitions) {
-		h := c.partitions[n]
-		s.Partitions = append(s.Partitions, h.status())
-		s.Progress = append(s.Progress, h.jobProgress()...)
-	}
-	s.TerminatedMachines = c.leader.recentlyTerminated(c.now)
-	s.CancellationAcks = c.cancellationAcks()
-	s.Demand = c.demandForPeers()
-	for _, p := range c.config.Peers {
-		mine := *s
-		mine.Transfers = c.leader.transfer.pending[p.Member]
-		mine.Cancelled, mine.CancelledUpTo = c.cancellationNoticesFor(p.Member)
-		c.output.PeerMessages = append(c.output.PeerMessages, messages.PeerMessage{To: p.Member, Status: &mine})
-	}
-	for _, sh := range c.leader.transfer.pending[c.process.Member] {
-		c.transferMachine(sh)
-	}
-	c.leader.transfer.pending = nil
-	c.receiveStatus(s)
-}
-
-// receiveStatus takes a status, our own included. Nothing in it is believed that the
-// stream of changes must tell, except that a machine is gone: that is a fact
-// which nothing makes untrue.
-func (c *Core) receiveStatus(s *messages.PeerStatus) {
-	c.peers.Receive(c.now, s)
-	c.receiveCancellationNotices(s)
-	c.receiveDemand(s)
-	for _, m := range s.TerminatedMachines {
-		for _, h := range c.partitions {
-			h.machineTerminated(m)
-		}
-	}
-	if s.From != c.process {
-		for _, sh := range s.Transfers {
-			c.transferMachine(sh)
-		}
-	}
-	c.pruneProgress()
-	for _, p := range s.Progress {
-		c.progress[p.ID] = p
-	}
-}
-
-// minProgressEntries is how many jobs' progress is kept at least, for display.
-const minProgressEntries = 4096
-
-// pruneProgress forgets the progress of jobs that are over, once there is much of it: with
-// more active jobs than that all of theirs is kept.
-func (c *Core) pruneProgress() {
-	if len(c.progress) <= max(minProgressEntries, 2*c.status.progressKept) {
-		return
-	}
-	for id := range c.progress {
-		if e := c.cache.Jobs[id]; e == nil || e.Job.Phase != workload.Active {
-			delete(c.progress, id)
-		}
-	}
-	c.status.progressKept = len(c.progress)
-}
-
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/internal/coordination/lookup.go
+++ b/internal/coordination/lookup.go
@@ -83,7 +83,7 @@
 	case workload.Done:
 		status.Done = entry.Job.Tasks
 	case workload.Active:
-		progress := c.progress[status.ID]
+		progress := c.progress.of(status.ID)
 		status.Done, status.Running = progress.Done, progress.Running
 		if entry.Completed != nil {
 			status.Done = max(status.Done, entry.Completed.Len())
--- /dev/null
+++ b/internal/coordination/spot_losses_test.go
@@ -0,0 +1,24 @@
+package coordination
+
+import (
+	"testing"
+
+	"pipitlatch/internal/micros"
+)
+
+func TestSpotLossRate(t *testing.T) {
+	for name, test := range map[string]struct {
+		losses spotLosses
+		want   float64
+	}{
+		"one in half an hour before anything is known": {spotLosses{}, 1.0 / 1800},
+		"less often after hours without a loss":        {spotLosses{time: 16200 * micros.Second}, 1.0 / 18000},
+		"more often after losses":                      {spotLosses{losses: 9, time: 200 * micros.Second}, 10.0 / 2000},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := test.losses.rate(); got != test.want {
+				t.Errorf("rate %v, want %v", got, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordination/status_messages_test.go
@@ -0,0 +1,34 @@
+package coordination
+
+import (
+	"testing"
+
+	"pipitlatch/internal/micros"
+)
+
+func TestStatusSchedule(t *testing.T) {
+	for name, test := range map[string]struct {
+		soon bool
+		age  micros.Time // of the last status
+		due  bool
+	}{
+		"not before the interval":             {false, statusInterval - 1, false},
+		"after the interval":                  {false, statusInterval, true},
+		"an early one not at once":            {true, earlyStatusInterval - 1, false},
+		"an early one after a short interval": {true, earlyStatusInterval, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			now := 10 * micros.Second
+			s := &statusSchedule{sentAt: now - test.age, soon: test.soon}
+			if got := s.begin(now); got != test.due {
+				t.Errorf("due %v, want %v", got, test.due)
+			}
+			if s.soon != (test.soon && !test.due) {
+				t.Errorf("soon %v after it was sent", s.soon)
+			}
+			if s.begin(now) {
+				t.Error("due again at once")
+			}
+		})
+	}
+}
