--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -22,13 +22,20 @@
 }
 
 func epochOf(number uint64, windows map[string]Window, rest Window) *Epoch {
-	return &Epoch{Number: number, Leader: 5, Written: 100 * micros.Second, Length: 4 * micros.Second, Validity: 12 * micros.Second,
-		Windows: windows, Rest: rest}
+	return &Epoch{
+		Number:   number,
+		Leader:   5,
+		Written:  100 * micros.Second,
+		Length:   4 * micros.Second,
+		Validity: 12 * micros.Second,
+		Windows:  windows,
+		Rest:     rest,
+	}
 }
 
 // TestWindowsCoverTheCircle: whatever the widths, windows that follow each other admit every
 // reference within the epochs that the narrowest of them needs for the whole circle, and the
-// turn that a refused one is told is right as long as the widths stay.
+// turn that a refused one is promised is right as long as the widths stay.
 func TestWindowsCoverTheCircle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		least := rapid.Uint32Range(Points/40, Points).Draw(t, "least")
@@ -51,7 +58,10 @@
 func TestTurnIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := Flow{"alpha", "short"}
-		w := Window{Start: rapid.Uint32Range(0, Points-1).Draw(t, "start"), Width: rapid.Uint32Range(Points/20, Points/2).Draw(t, "width")}
+		w := Window{
+			Start: rapid.Uint32Range(0, Points-1).Draw(t, "start"),
+			Width: rapid.Uint32Range(Points/20, Points/2).Draw(t, "width"),
+		}
 		w.Before = min(w.Width, Points-w.Width)
 		ref := fmt.Sprintf("wk-%06d", rapid.IntRange(0, 999_999).Draw(t, "ref"))
 		e := epochOf(1, map[string]Window{f.Key(): w}, w)
@@ -77,8 +87,10 @@
 // TestSameVerdictEverywhere: two views that read the same record say the same of any job,
 // whatever they knew before, and each flow of many falls under one window.
 func TestSameVerdictEverywhere(t *testing.T) {
-	e := epochOf(7, map[string]Window{Flow{"alpha", "short"}.Key(): {0, Points / 3, 0}, Flow{"alpha", ""}.Key(): {100, Points / 2, 50}},
-		Window{5, Points / 10, 0})
+	e := epochOf(7, map[string]Window{
+		Flow{"alpha", "short"}.Key(): {0, Points / 3, 0},
+		Flow{"alpha", ""}.Key():      {100, Points / 2, 50},
+	}, Window{5, Points / 10, 0})
 	var a, b View
 	wall := 100 * micros.Second
 	if err := b.Observe(encode(t, epochOf(3, nil, Window{0, Points, 0})), 10, 20, wall, 0); err != nil {
@@ -109,14 +121,15 @@
 
 func TestEpochEndsByItself(t *testing.T) {
 	var v View
-	if err := v.Observe(encode(t, epochOf(1, nil, Window{0, 1, 0})), 5*micros.Second, 6*micros.Second, 100*micros.Second, 0); err != nil {
+	record := encode(t, epochOf(1, nil, Window{0, 1, 0}))
+	if err := v.Observe(record, 5*micros.Second, 6*micros.Second, 100*micros.Second, 0); err != nil {
 		t.Fatal(err)
 	}
 	if v.Current(17*micros.Second-1) == nil || v.Current(17*micros.Second) != nil {
 		t.Error("validity does not count from the sending of its read")
 	}
 	// Read again by a new watch: it gets no younger.
-	if err := v.Observe(encode(t, epochOf(1, nil, Window{0, 1, 0})), 16*micros.Second, 16*micros.Second, 111*micros.Second, 0); err != nil {
+	if err := v.Observe(record, 16*micros.Second, 16*micros.Second, 111*micros.Second, 0); err != nil {
 		t.Fatal(err)
 	}
 	if v.Current(18*micros.Second) != nil {
@@ -127,21 +140,30 @@
 func TestBadEpochsAreIgnored(t *testing.T) {
 	good := epochOf(4, nil, Window{0, Points / 2, 0})
 	wall := 100 * micros.Second
+	record := func(e *Epoch) string { return string(encode(t, e)) }
+	withWindow := func(number uint64, rest Window) string { return record(epochOf(number, nil, rest)) }
+	writtenBy := func(number, leader uint64, at micros.Time) string {
+		e := epochOf(number, nil, Window{0, 1, 0})
+		e.Leader, e.Written = leader, at
+		return record(e)
+	}
+	beyondCircle := record(epochOf(5, map[string]Window{"x": {Points, 1, 0}}, Window{0, 1, 0}))
+	forEver := strings.Replace(withWindow(5, Window{0, 1, 0}), `"v":12000000`, `"v":9000000000000`, 1)
 	for name, c := range map[string]struct {
 		raw  string
 		want error
 	}{
 		"not JSON":       {`{"n":`, ErrMalformed},
 		"another shape":  {`[1,2]`, ErrMalformed},
-		"no number":      {string(encode(t, epochOf(0, nil, Window{0, 1, 0}))), ErrMalformed},
-		"no width":       {string(encode(t, epochOf(5, nil, Window{0, 0, 0}))), ErrMalformed},
-		"beyond circle":  {string(encode(t, epochOf(5, map[string]Window{"x": {Points, 1, 0}}, Window{0, 1, 0}))), ErrMalformed},
-		"overlaps":       {string(encode(t, epochOf(5, nil, Window{0, Points, 1}))), ErrMalformed},
-		"for ever":       {strings.Replace(string(encode(t, epochOf(5, nil, Window{0, 1, 0}))), `"v":12000000`, `"v":9000000000000`, 1), ErrMalformed},
-		"older number":   {string(encode(t, epochOf(3, nil, Window{0, 1, 0}))), ErrContradictory},
-		"same number":    {string(encode(t, &Epoch{Number: 4, Leader: 5, Written: wall + 1, Length: 4e6, Validity: 12e6, Rest: Window{0, 1, 0}})), ErrContradictory},
-		"older leader":   {string(encode(t, &Epoch{Number: 9, Leader: 4, Written: wall, Length: 4e6, Validity: 12e6, Rest: Window{0, 1, 0}})), ErrContradictory},
-		"written before": {string(encode(t, &Epoch{Number: 9, Leader: 6, Written: wall - 60e6, Length: 4e6, Validity: 12e6, Rest: Window{0, 1, 0}})), ErrStale},
+		"no number":      {withWindow(0, Window{0, 1, 0}), ErrMalformed},
+		"no width":       {withWindow(5, Window{0, 0, 0}), ErrMalformed},
+		"beyond circle":  {beyondCircle, ErrMalformed},
+		"overlaps":       {withWindow(5, Window{0, Points, 1}), ErrMalformed},
+		"for ever":       {forEver, ErrMalformed},
+		"older number":   {withWindow(3, Window{0, 1, 0}), ErrContradictory},
+		"same number":    {writtenBy(4, 5, wall+1), ErrContradictory},
+		"older leader":   {writtenBy(9, 4, wall), ErrContradictory},
+		"written before": {writtenBy(9, 6, wall-60*micros.Second), ErrStale},
 	} {
 		var v View
 		if err := v.Observe(encode(t, good), 0, 0, wall, 0); err != nil {
@@ -173,11 +195,13 @@
 		claims          []Claim
 		want            []int64
 	}{
-		"what one leaves, others get": {100, 0, []Claim{claim("a", "x", 1, 10), claim("b", "x", 1, 200), claim("c", "x", 1, 200)}, []int64{10, 45, 45}},
-		"weights":                     {90, 0, []Claim{claim("a", "x", 2, 500), claim("b", "x", 1, 500)}, []int64{60, 30}},
-		"made up classes gain nothing": {90, 0, []Claim{claim("a", "x", 1, 500), claim("a", "y", 1, 500), claim("a", "z", 1, 500),
-			claim("b", "x", 1, 500)}, []int64{15, 15, 15, 45}},
-		"a floor":           {100, 20, []Claim{claim("a", "x", 1000, 5000), claim("b", "x", 1, 50)}, []int64{89, 11}}, // what is left of b's weight beyond its floor is 1
+		"what one leaves, others get": {100, 0, []Claim{claim("a", "x", 1, 10), claim("b", "x", 1, 200),
+			claim("c", "x", 1, 200)}, []int64{10, 45, 45}},
+		"weights": {90, 0, []Claim{claim("a", "x", 2, 500), claim("b", "x", 1, 500)}, []int64{60, 30}},
+		"made up classes gain nothing": {90, 0, []Claim{claim("a", "x", 1, 500), claim("a", "y", 1, 500),
+			claim("a", "z", 1, 500), claim("b", "x", 1, 500)}, []int64{15, 15, 15, 45}},
+		// What is left of b's weight beyond its floor is 1.
+		"a floor":           {100, 20, []Claim{claim("a", "x", 1000, 5000), claim("b", "x", 1, 50)}, []int64{89, 11}},
 		"room for all":      {1000, 25, []Claim{claim("a", "x", 1, 10), claim("b", "x", 1, 20)}, []int64{10, 20}},
 		"nothing to divide": {0, 25, []Claim{claim("a", "x", 1, 10)}, []int64{0}},
 	} {
@@ -190,8 +214,12 @@
 		var claims []Claim
 		demand := int64(0)
 		for i := range rapid.IntRange(1, 12).Draw(t, "flows") {
-			c := Claim{Flow{fmt.Sprint(i % 4), fmt.Sprint(i)}, rapid.Int64Range(1, 9).Draw(t, "team"), rapid.Int64Range(1, 9).Draw(t, "class"),
-				rapid.Int64Range(1, 400).Draw(t, "demand")}
+			c := Claim{
+				Flow:        Flow{fmt.Sprint(i % 4), fmt.Sprint(i)},
+				TeamWeight:  rapid.Int64Range(1, 9).Draw(t, "team"),
+				ClassWeight: rapid.Int64Range(1, 9).Draw(t, "class"),
+				Demand:      rapid.Int64Range(1, 400).Draw(t, "demand"),
+			}
 			claims = append(claims, c)
 			demand += c.Demand
 		}
@@ -293,17 +321,17 @@
 	if lag := q.Lag(late); lag != (Lag{}) {
 		t.Errorf("just came: %v", lag)
 	}
-	// The next holder goes on from what was told.
+	// The next partition leader goes on from the lags that it received.
 	q.Advance(401*micros.Second, three)
 	next := NewFairQueue(0, 2, bound, &Settings{})
 	next.Restore(0, q.Lags())
 	if a, b := q.Lag(low), next.Lag(low); a != b {
-		t.Errorf("lag %v, told %v", a, b)
+		t.Errorf("lag %v, restored %v", a, b)
 	}
 	next.Advance(0, three)
 	next.Advance(100*micros.Millisecond, three)
 	if a, b := q.Lag(low).Team, next.Lag(low).Team; a < bound || b < a-2*micros.Second || b > a+2*micros.Second {
-		t.Errorf("lag %v, with the next holder %v", a, b)
+		t.Errorf("lag %v, with the next leader %v", a, b)
 	}
 }
 
@@ -400,17 +428,17 @@
 // one of its own as long as there is room, and the record stays within its bound.
 func TestGroupBounds(t *testing.T) {
 	var claims []Claim
-	var gives []int64
+	var grants []int64
 	for i := range 400 {
 		claims = append(claims, Claim{Flow{"alpha", fmt.Sprint("made-up-", i)}, 1, 1, int64(100 + i)})
-		gives = append(gives, 1)
+		grants = append(grants, 1)
 	}
-	claims, gives = append(claims, Claim{Flow{"beta", "quiet"}, 1, 1, 5}), append(gives, 5)
+	claims, grants = append(claims, Claim{Flow{"beta", "quiet"}, 1, 1, 5}), append(grants, 5)
 	for _, most := range []int{1, 2, 3, 30, 134, 1000} {
-		out := group(claims, gives, most)
+		shares := groupByWindow(claims, grants, most)
 		demand, own := int64(0), 0
-		for f, g := range out {
-			demand += g.demand
+		for f, share := range shares {
+			demand += share.demand
 			if f != Rest {
 				own++
 			}
@@ -418,7 +446,7 @@
 		if demand != 400*100+400*399/2+5 || own > most {
 			t.Errorf("%d windows: %d used, demand %d", most, own, demand)
 		}
-		if quiet := out[Flow{"beta", "quiet"}]; most >= 4 && quiet.width() != Points {
+		if quiet := shares[Flow{"beta", "quiet"}]; most >= 4 && quiet.width() != Points {
 			t.Errorf("%d windows: the quiet team's flow is under another's: %+v", most, quiet)
 		}
 	}
--- a/internal/admission/demand.go
+++ b/internal/admission/demand.go
@@ -14,33 +14,31 @@
 const (
 	// sketchPrecision gives 1,024 registers: an error of 3 % in a kilobyte.
 	sketchPrecision = 10
-	// generation is the time after which a part of what was seen is forgotten.
-	generation = 5 * micros.Second
-	// generations are kept of what was asked and accepted.
-	generations = 3
-	// lateness is how much later than he was told somebody may come back.
-	lateness = 3 * micros.Second
-	// recently is how far back what is counted by the second goes: refusals for lack of room,
-	// as a sign of overload, and what epochs admitted.
-	recently = 5 * micros.Second
+	// generationLength is the time after which the oldest generation of counts is forgotten.
+	generationLength = 5 * micros.Second
+	// generationCount is how many generations of what was asked for and accepted are kept.
+	generationCount = 3
+	// comeBackDelay is how much later than at the promised turn a user may come back.
+	comeBackDelay = 3 * micros.Second
 )
 
 // FlowDemand is what was asked for of one flow of late.
 type FlowDemand struct {
 	Flow     Flow
-	Asked    *hyperloglog.Sketch // distinct references that asked of late, or were told to come back
-	Accepted int64               // of them, taken
-	Admitted int64               // verdicts in its favour within recently
+	Asked    *hyperloglog.Sketch // distinct jobs that were submitted of late, or are to come back
+	Accepted int64               // how many of them were accepted
+	Admitted int64               // how many submissions were admitted in the recent period
 }
 
-// Demand is what a controller saw of late, and what it tells the others.
+// Demand is what a controller was asked for of late, as it tells its peers.
 type Demand struct {
 	Flows []FlowDemand
-	// Refused is how many submissions were refused for lack of room, whatever the verdict.
+	// Refused is how many submissions were refused for lack of capacity in the recent period, whatever
+	// the verdict.
 	Refused int64
 	// Admitted is how many an epoch admitted in the same time.
 	Admitted int64
-	// AcceptRate is how many were taken a second, in thousandths.
+	// AcceptRate is how many were accepted a second, in thousandths.
 	AcceptRate int64
 }
 
@@ -58,150 +56,179 @@
 	accepted int64
 }
 
-// Tracker counts what is asked of one controller.
+// Tracker counts what one controller is asked for.
 type Tracker struct {
-	table  *Table
-	past   [generations]map[Flow]*flowCount // the newest first
-	turned micros.Time
-	// back are the references that were refused, by the time at which they were told to come
-	// back: until then they are waiting, whether they ask or not.
-	back    map[micros.Time]map[Flow]*hyperloglog.Sketch
-	refused recent
-	accept  recent
-	admit   map[Flow]*recent
+	table       *Table
+	generations [generationCount]map[Flow]*flowCount // the newest first
+	rotatedAt   micros.Time
+	// comingBack are the jobs that were refused, by the time at which they were asked to come back
+	// (the start of a generation's length): until then they are waiting, whether they ask or not.
+	comingBack map[micros.Time]map[Flow]*hyperloglog.Sketch
+	refused    recentCounter
+	accepted   recentCounter
+	admitted   map[Flow]*recentCounter
 }
 
-// NewTracker counts the flows of a number of teams.
+// NewTracker returns a tracker for the flows of a number of teams.
 func NewTracker(teams int) *Tracker {
-	t := &Tracker{table: NewTable(teams), admit: map[Flow]*recent{},
-		back: map[micros.Time]map[Flow]*hyperloglog.Sketch{}}
-	for i := range t.past {
-		t.past[i] = map[Flow]*flowCount{}
+	t := &Tracker{
+		table:      NewTable(teams),
+		comingBack: map[micros.Time]map[Flow]*hyperloglog.Sketch{},
+		admitted:   map[Flow]*recentCounter{},
+	}
+	for i := range t.generations {
+		t.generations[i] = map[Flow]*flowCount{}
 	}
 	return t
 }
 
-// turn begins a new generation when it is time. After a long pause all are forgotten.
-func (t *Tracker) turn(now micros.Time) {
-	if now-t.turned < generation {
+// rotate begins a new generation when it is time. After a long pause all are forgotten.
+func (t *Tracker) rotate(now micros.Time) {
+	if now-t.rotatedAt < generationLength {
 		return
 	}
-	for n := 0; n < generations && now-t.turned >= generation; n++ {
-		copy(t.past[1:], t.past[:generations-1])
-		t.past[0] = map[Flow]*flowCount{}
-		t.turned += generation
+	for n := 0; n < generationCount && now-t.rotatedAt >= generationLength; n++ {
+		copy(t.generations[1:], t.generations[:generationCount-1])
+		t.generations[0] = map[Flow]*flowCount{}
+		t.rotatedAt += generationLength
+	}
+	if now-t.rotatedAt >= generationLength {
+		t.rotatedAt = now
 	}
-	if now-t.turned >= generation {
-		t.turned = now
+	for at := range t.comingBack {
+		if comeBackOver(at, now) {
+			delete(t.comingBack, at)
+		}
 	}
-	for at := range t.back {
-		if at+generation < now-lateness {
-			delete(t.back, at)
+	t.table.Keep(t.usedFlows())
+	for f, counter := range t.admitted {
+		if counter.total(now) == 0 {
+			delete(t.admitted, f)
 		}
 	}
+}
+
+// comeBackOver tells whether those that were asked to come back at a time have come, or will not.
+func comeBackOver(at, now micros.Time) bool { return at+generationLength < now-comeBackDelay }
+
+// usedFlows are the flows that are still counted, in order, some of them several times.
+func (t *Tracker) usedFlows() []Flow {
 	var used []Flow
-	for _, g := range t.past {
-		used = slices.AppendSeq(used, maps.Keys(g))
+	for _, generation := range t.generations {
+		used = slices.AppendSeq(used, maps.Keys(generation))
 	}
-	for _, flows := range t.back {
+	for _, flows := range t.comingBack {
 		used = slices.AppendSeq(used, maps.Keys(flows))
 	}
 	slices.SortFunc(used, Flow.Compare)
-	t.table.Keep(used)
-	for f, r := range t.admit {
-		if r.total(now) == 0 {
-			delete(t.admit, f)
-		}
-	}
+	return used
 }
 
+// count is the count of a flow in the newest generation.
 func (t *Tracker) count(now micros.Time, f Flow) *flowCount {
-	t.turn(now)
+	t.rotate(now)
 	f = t.table.Resolve(f)
-	c := t.past[0][f]
+	c := t.generations[0][f]
 	if c == nil {
 		c = &flowCount{asked: newSketch()}
-		t.past[0][f] = c
+		t.generations[0][f] = c
 	}
 	return c
 }
 
-// Asked notes a submission of a job that is not known.
-func (t *Tracker) Asked(now micros.Time, f Flow, ref string) {
-	t.count(now, f).asked.InsertHash(xxhash.Sum64String(ref))
+// Asked records a submission of a job that is not known.
+func (t *Tracker) Asked(now micros.Time, f Flow, id string) {
+	t.count(now, f).asked.InsertHash(xxhash.Sum64String(id))
 }
 
-// ComeBack notes that a job was refused, and told to come back after a time.
-func (t *Tracker) ComeBack(now micros.Time, f Flow, ref string, after micros.Time) {
-	t.turn(now)
+// ComeBack records that a job was refused, and its user asked to come back after a time.
+func (t *Tracker) ComeBack(now micros.Time, f Flow, id string, after micros.Time) {
+	t.rotate(now)
 	f = t.table.Resolve(f)
-	at := (now + min(after, MaxTurn)) / generation * generation
-	if t.back[at] == nil {
-		t.back[at] = map[Flow]*hyperloglog.Sketch{}
+	at := (now + min(after, MaxTurn)) / generationLength * generationLength
+	if t.comingBack[at] == nil {
+		t.comingBack[at] = map[Flow]*hyperloglog.Sketch{}
 	}
-	if t.back[at][f] == nil {
-		t.back[at][f] = newSketch()
+	if t.comingBack[at][f] == nil {
+		t.comingBack[at][f] = newSketch()
 	}
-	t.back[at][f].InsertHash(xxhash.Sum64String(ref))
+	t.comingBack[at][f].InsertHash(xxhash.Sum64String(id))
 }
 
-// Accepted notes that a job was taken.
+// Accepted records that a job was accepted.
 func (t *Tracker) Accepted(now micros.Time, f Flow) {
 	t.count(now, f).accepted++
-	t.accept.add(now)
+	t.accepted.add(now)
 }
 
-// Admitted notes that an epoch admitted a submission.
+// Admitted records that an epoch admitted a submission.
 func (t *Tracker) Admitted(now micros.Time, f Flow) {
 	f = t.table.Resolve(f)
-	if t.admit[f] == nil {
-		t.admit[f] = &recent{}
+	if t.admitted[f] == nil {
+		t.admitted[f] = &recentCounter{}
 	}
-	t.admit[f].add(now)
+	t.admitted[f].add(now)
 }
 
-// Refused notes that a submission was refused for lack of room.
+// Refused records that a submission was refused for lack of capacity.
 func (t *Tracker) Refused(now micros.Time) { t.refused.add(now) }
 
-// RefusedLately is how many submissions were refused for lack of room.
+// RefusedLately is how many submissions were refused for lack of capacity in the recent period.
 func (t *Tracker) RefusedLately(now micros.Time) int64 { return t.refused.total(now) }
 
-// Demand is what was seen of late.
+// Demand is what was asked for of late.
 func (t *Tracker) Demand(now micros.Time) Demand {
-	t.turn(now)
-	d := Demand{Refused: t.refused.total(now), AcceptRate: t.accept.total(now) * 1000 * micros.Second / recently}
-	merged := map[Flow]*FlowDemand{}
-	for _, g := range t.past {
-		for f, c := range g {
-			if merged[f] == nil {
-				merged[f] = &FlowDemand{Flow: f, Asked: newSketch()}
-			}
-			merged[f].add(c.asked, c.accepted)
+	t.rotate(now)
+	d := Demand{
+		Refused:    t.refused.total(now),
+		AcceptRate: t.accepted.total(now) * 1000 * micros.Second / recentPeriod,
+	}
+	flows := flowDemands{}
+	for _, generation := range t.generations {
+		for f, c := range generation {
+			flows.of(f).add(c.asked, c.accepted)
 		}
 	}
-	for at, flows := range t.back {
-		for f, sketch := range flows {
-			if at+generation < now-lateness {
-				continue
-			}
-			if merged[f] == nil {
-				merged[f] = &FlowDemand{Flow: f, Asked: newSketch()}
-			}
-			merged[f].add(sketch, 0)
+	for at, sketches := range t.comingBack {
+		if comeBackOver(at, now) {
+			continue
+		}
+		for f, sketch := range sketches {
+			flows.of(f).add(sketch, 0)
 		}
 	}
-	for f, r := range t.admit {
-		n := r.total(now)
-		d.Admitted += n
-		if merged[f] != nil {
-			merged[f].Admitted = n
+	for f, counter := range t.admitted {
+		admitted := counter.total(now)
+		d.Admitted += admitted
+		if flows[f] != nil {
+			flows[f].Admitted = admitted
 		}
 	}
-	d.Flows = sortedDemands(merged)
+	d.Flows = flows.sorted()
 	return d
 }
 
-// add merges in what another saw.
+// flowDemands are demands that are being added up.
+type flowDemands map[Flow]*FlowDemand
+
+// of is the demand of a flow, a new one if there is none yet.
+func (d flowDemands) of(f Flow) *FlowDemand {
+	if d[f] == nil {
+		d[f] = &FlowDemand{Flow: f, Asked: newSketch()}
+	}
+	return d[f]
+}
+
+// sorted are the demands in the order of their flows.
+func (d flowDemands) sorted() []FlowDemand {
+	demands := make([]FlowDemand, 0, len(d))
+	for _, f := range slices.SortedFunc(maps.Keys(d), Flow.Compare) {
+		demands = append(demands, *d[f])
+	}
+	return demands
+}
+
+// add merges in what was seen elsewhere, or at another time.
 func (d *FlowDemand) add(asked *hyperloglog.Sketch, accepted int64) {
 	d.Accepted += accepted
 	if err := d.Asked.Merge(asked); err != nil {
@@ -209,83 +236,40 @@
 	}
 }
 
-func sortedDemands(m map[Flow]*FlowDemand) []FlowDemand {
-	out := make([]FlowDemand, 0, len(m))
-	for _, f := range slices.SortedFunc(maps.Keys(m), Flow.Compare) {
-		out = append(out, *m[f])
-	}
-	return out
-}
-
-// Merge adds up what several controllers saw. A reference that asked at two of them counts
-// once.
-func Merge(all []Demand) Demand {
-	var out Demand
-	merged := map[Flow]*FlowDemand{}
-	for i := range all {
-		out.Refused += all[i].Refused
-		out.Admitted += all[i].Admitted
-		out.AcceptRate += all[i].AcceptRate
-		for _, f := range all[i].Flows {
-			if merged[f.Flow] == nil {
-				merged[f.Flow] = &FlowDemand{Flow: f.Flow, Asked: newSketch()}
-			}
-			merged[f.Flow].add(f.Asked, f.Accepted)
-			merged[f.Flow].Admitted += f.Admitted
+// Merge adds up what several controllers were asked for. A job that was submitted at two of them
+// counts once.
+func Merge(demands []Demand) Demand {
+	var total Demand
+	flows := flowDemands{}
+	for i := range demands {
+		total.Refused += demands[i].Refused
+		total.Admitted += demands[i].Admitted
+		total.AcceptRate += demands[i].AcceptRate
+		for _, d := range demands[i].Flows {
+			flow := flows.of(d.Flow)
+			flow.add(d.Asked, d.Accepted)
+			flow.Admitted += d.Admitted
 		}
 	}
-	out.Flows = sortedDemands(merged)
-	return out
+	total.Flows = flows.sorted()
+	return total
 }
 
-// Waiting is about how many references still want to be taken.
+// Waiting is about how many jobs are still to be accepted.
 func (d *FlowDemand) Waiting() int64 { return max(0, int64(d.Asked.Estimate())-d.Accepted) }
 
 // EncodeSketch writes a sketch for a message to another controller.
 func EncodeSketch(s *hyperloglog.Sketch) ([]byte, error) { return s.MarshalBinary() }
 
-// DecodeSketch reads one; one of another precision is an error.
+// DecodeSketch reads a sketch; one of another precision is an error.
 func DecodeSketch(raw []byte) (*hyperloglog.Sketch, error) {
-	read := &hyperloglog.Sketch{}
-	if err := read.UnmarshalBinary(raw); err != nil {
+	received := &hyperloglog.Sketch{}
+	if err := received.UnmarshalBinary(raw); err != nil {
 		return nil, fmt.Errorf("sketch: %w", err)
 	}
-	into := newSketch()
-	if err := into.Merge(read); err != nil {
+	sketch := newSketch()
+	if err := sketch.Merge(received); err != nil {
 		return nil, fmt.Errorf("sketch: %w", err)
 	}
-	return into, nil
-}
-
-// recent counts events of the last recently, by the second.
-type recent struct {
-	second micros.Time // of counts[0]
-	counts [recently / micros.Second]int64
-}
-
-func (r *recent) advance(now micros.Time) {
-	second := now / micros.Second
-	for ; r.second < second; r.second++ {
-		if second-r.second > micros.Time(len(r.counts)) {
-			clear(r.counts[:])
-			r.second = second
-			return
-		}
-		copy(r.counts[1:], r.counts[:len(r.counts)-1])
-		r.counts[0] = 0
-	}
-}
-
-func (r *recent) add(now micros.Time) {
-	r.advance(now)
-	r.counts[0]++
-}
-
-func (r *recent) total(now micros.Time) int64 {
-	r.advance(now)
-	sum := int64(0)
-	for _, n := range r.counts {
-		sum += n
-	}
-	return sum
+	return sketch, nil
 }
--- a/internal/admission/epoch.go
+++ b/internal/admission/epoch.go
@@ -10,18 +10,17 @@
 	"pipitlatch/internal/micros"
 )
 
-// Points is how many positions the circle has on which the references of jobs lie.
+// Points is how many positions the circle has on which the ids of jobs lie.
 const Points = 1 << 20
 
-// positionBits is their binary logarithm.
+// positionBits is the binary logarithm of Points.
 const positionBits = 20
 
-// position is a reference's place on the circle, the same on every controller.
-func position(ref string) uint32 { return uint32(xxhash.Sum64String(ref) >> (64 - positionBits)) }
+// position is the place of a job's id on the circle, the same on every controller.
+func position(id string) uint32 { return uint32(xxhash.Sum64String(id) >> (64 - positionBits)) }
 
-// Window is the part of the circle whose references are taken: from Start on, Width
-// positions, and Before that those of earlier windows, which a controller or a user may have
-// learned of late.
+// Window is the part of the circle whose jobs are admitted: Width positions from Start on, and the
+// last Before positions of earlier windows, for controllers and users that learn of a window late.
 type Window struct {
 	Start  uint32 `json:"s"`
 	Width  uint32 `json:"w"`
@@ -36,16 +35,16 @@
 	return wrap(p+Points-w.Start) < w.Width || wrap(w.Start+Points-1-p) < w.Before
 }
 
-// behindWidths bounds how many of its widths a window leaves open behind it. Who comes back
-// at the turn that he was told is late where windows have grown meanwhile, and would have to
-// wait for another round; of those behind most are taken already, so few come in this way.
-const behindWidths = 3
+// maxBeforeWidths bounds Before, in widths of the window. A user who comes back at the promised turn
+// is late where windows have grown meanwhile, and would have to wait for another round. Most of the
+// jobs there were accepted already, so that few more come in this way.
+const maxBeforeWidths = 3
 
 // next is the window that follows, with another width: it goes on where this one ends, so
 // that windows cover the whole circle one after the other.
 func (w Window) next(width uint32) Window {
-	behind := min(w.Before+w.Width, behindWidths*w.Width, Points-width)
-	return Window{Start: wrap(w.Start + w.Width), Width: width, Before: behind}
+	before := min(w.Before+w.Width, maxBeforeWidths*w.Width, Points-width)
+	return Window{Start: wrap(w.Start + w.Width), Width: width, Before: before}
 }
 
 // valid tells whether the window lies on the circle.
@@ -53,11 +52,11 @@
 	return w.Start < Points && w.Width >= 1 && w.Width <= Points && w.Before <= Points-w.Width
 }
 
-// Epoch is a decision of the leader: for a time, which part of each flow's references is
-// taken. It is stored, so that every controller reads the same.
+// Epoch is a decision of the cluster leader: for a time, which part of each flow's jobs is admitted.
+// It is stored, so that every controller reads the same.
 type Epoch struct {
 	Number   uint64            `json:"n"`
-	Leader   uint64            `json:"l"`  // fencing token of the leader that wrote it
+	Leader   uint64            `json:"l"`  // fencing token of the cluster leader that wrote it
 	Written  micros.Time       `json:"at"` // time of day
 	Length   micros.Time       `json:"e"`  // until the next is due
 	Validity micros.Time       `json:"v"`  // until it ends by itself
@@ -72,7 +71,7 @@
 	maxValidity = 10 // lengths
 )
 
-// Errors of a record that is not taken for an epoch.
+// Why a record does not come into force as an epoch.
 var (
 	ErrMalformed     = errors.New("malformed epoch")
 	ErrContradictory = errors.New("contradictory epoch")
@@ -103,7 +102,7 @@
 	return &e, nil
 }
 
-// window is the window under which a flow falls.
+// window is the window of a flow: its own, its team's or that of all others.
 func (e *Epoch) window(f Flow) Window {
 	for _, g := range []Flow{f, f.TeamRest()} {
 		if w, ok := e.Windows[g.Key()]; ok {
@@ -113,16 +112,16 @@
 	return e.Rest
 }
 
-// Admits is the verdict on a reference: a function of epoch, flow and reference alone, so
-// that two controllers with the same epoch never differ.
-func (e *Epoch) Admits(f Flow, ref string) bool { return e.window(f).admits(position(ref)) }
+// Admits tells whether a job is admitted: a function of epoch, flow and id alone, so that two
+// controllers with the same epoch never differ.
+func (e *Epoch) Admits(f Flow, id string) bool { return e.window(f).admits(position(id)) }
 
-// Turn is how long after the epoch's beginning a reference that is not admitted will be, as
-// long as the windows stay as wide. Within its epoch each reference has a moment of its own,
-// so that those of a window do not come back all at once.
-func (e *Epoch) Turn(f Flow, ref string) micros.Time {
+// Turn is how long after the beginning of the epoch a job that it does not admit will be admitted, as
+// long as the windows stay as wide. Within its epoch each job has a moment of its own, so that the
+// users of a window do not come back all at once.
+func (e *Epoch) Turn(f Flow, id string) micros.Time {
 	w := e.window(f)
-	ahead := micros.Time(wrap(position(ref) + 2*Points - w.Start - w.Width))
+	ahead := micros.Time(wrap(position(id) + 2*Points - w.Start - w.Width))
 	width := micros.Time(w.Width)
 	return e.Length + ahead/width*e.Length + ahead%width*e.Length/width
 }
--- a/internal/admission/fairqueue.go
+++ b/internal/admission/fairqueue.go
@@ -7,9 +7,9 @@
 	"pipitlatch/internal/micros"
 )
 
-// FairQueue tells how far flows have fallen behind their fair share of what is served: teams
-// against each other, and the classes of each team among themselves, so that a team gains
-// nothing by making up classes.
+// FairQueue computes how far flows have fallen behind their fair share of the capacity: teams against
+// each other, and the classes of each team among themselves, so that a team gains nothing by making
+// up classes.
 type FairQueue struct {
 	settings *Settings
 	table    *Table
@@ -43,19 +43,24 @@
 }
 
 // Compare orders lags: the team that is furthest behind goes first.
-func (l Lag) Compare(m Lag) int {
-	return cmp.Or(cmp.Compare(m.Team, l.Team), cmp.Compare(m.Class, l.Class))
+func (l Lag) Compare(other Lag) int {
+	return cmp.Or(cmp.Compare(other.Team, l.Team), cmp.Compare(other.Class, l.Class))
 }
 
-// NewFairQueue follows the flows of a number of teams; lags beyond twice the bound are not
-// remembered, so that what waited for long for other reasons takes no more than its turn.
+// NewFairQueue returns a queue for the flows of a number of teams. Lags beyond twice the bound are
+// not remembered, so that what waited for long for other reasons takes no more than its turn.
 func NewFairQueue(now micros.Time, teams int, bound micros.Time, s *Settings) *FairQueue {
-	return &FairQueue{settings: s, table: NewTable(teams), bound: bound, teams: newShareClock(now, bound),
-		classes: map[string]*shareClock{}}
+	return &FairQueue{
+		settings: s,
+		table:    NewTable(teams),
+		bound:    bound,
+		teams:    newShareClock(now, bound),
+		classes:  map[string]*shareClock{},
+	}
 }
 
-// Advance brings the lags to a time, from the loads since the last call, and takes the loads
-// from here on. Each flow may be in it several times.
+// Advance brings the lags up to a time, by the loads of the last call, and takes the loads from here
+// on. A flow may have several of them.
 func (q *FairQueue) Advance(now micros.Time, loads []Load) {
 	teams, classes := map[string]load{}, map[string]map[string]load{}
 	for _, l := range loads {
@@ -87,8 +92,8 @@
 }
 
 // with adds another load of the same party.
-func (l load) with(m Load, weight int64) load {
-	return load{use: l.use + m.Use, weight: weight, waiting: l.waiting || m.Waiting}
+func (l load) with(other Load, weight int64) load {
+	return load{use: l.use + other.Use, weight: weight, waiting: l.waiting || other.Waiting}
 }
 
 // Lag is how far a flow is behind.
@@ -101,32 +106,32 @@
 	return l
 }
 
-// FlowLag is a flow's lag, for the next holder of the queue.
+// FlowLag is a flow's lag, for the next partition leader.
 type FlowLag struct {
 	Flow Flow
 	Lag  Lag
 }
 
-// maxLagsTold bounds the lags in one message.
-const maxLagsTold = 64
+// maxLagsPerMessage bounds the lags in one message to the peers.
+const maxLagsPerMessage = 64
 
 // Lags are the lags of the waiting flows that are furthest behind.
 func (q *FairQueue) Lags() []FlowLag {
-	var out []FlowLag
+	var lags []FlowLag
 	for team, clock := range q.classes {
 		for class, p := range clock.parties {
 			if f := (Flow{team, class}); p.waiting {
 				if lag := q.Lag(f); lag.Team > 0 || lag.Class > 0 {
-					out = append(out, FlowLag{f, lag})
+					lags = append(lags, FlowLag{f, lag})
 				}
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b FlowLag) int { return cmp.Or(a.Lag.Compare(b.Lag), a.Flow.Compare(b.Flow)) })
-	return out[:min(len(out), maxLagsTold)]
+	slices.SortFunc(lags, func(a, b FlowLag) int { return cmp.Or(a.Lag.Compare(b.Lag), a.Flow.Compare(b.Flow)) })
+	return lags[:min(len(lags), maxLagsPerMessage)]
 }
 
-// Restore takes the lags that the last holder told: they count from now on.
+// Restore takes the lags under the former partition leader: they count from now on.
 func (q *FairQueue) Restore(now micros.Time, lags []FlowLag) {
 	for _, l := range lags {
 		f := q.table.Resolve(l.Flow)
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -1,6 +1,6 @@
-// Package admission decides which submissions are taken, and which waiting work is next,
-// when more is asked for than can be done, so that every team and class gets its share and
-// every controller decides alike. It is pure computation: no clock, no I/O.
+// Package admission decides, under overload, which submissions are admitted and which pending work
+// goes next, so that every team and class gets its fair share and every controller decides alike. It
+// is pure computation: no clock, no I/O.
 package admission
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Flow is what shares are given to: the jobs of one class of one team.
+// Flow is what gets a fair share: the jobs of one class of one team.
 type Flow struct {
 	Team  string
 	Class string
@@ -40,25 +40,25 @@
 	return fmt.Sprintf("%012x", xxhash.Sum64String(f.Team+"\x00"+f.Class)>>(64-keyBits))
 }
 
-// MaxFlows is how many flows are told apart at most; those beyond share one of their team.
+// MaxFlows is how many flows are distinguished at most; those beyond share one of their team.
 const MaxFlows = 256
 
-// Table tells flows apart, within a bound on their number: classes come with submissions,
-// so a user could make up any number of them. Each team has an equal part of the bound, so
-// that a team that does so takes no room from others; what is beyond shares the team's
-// rest, and teams beyond the bound share one flow.
+// Table distinguishes flows, within a bound on their number: classes come with submissions, so a
+// user could make up any number of them. Each team has an equal part of the bound, so that a team
+// that does so takes no entries from others; its classes beyond that share the team's rest, and
+// teams beyond the bound share one flow.
 type Table struct {
-	perTeam int
-	classes map[string]map[string]bool // by team
+	classesPerTeam int
+	classes        map[string]map[string]bool // by team
 }
 
-// NewTable tells the flows of a number of teams apart.
+// NewTable returns a table for the flows of a number of teams.
 func NewTable(teams int) *Table {
-	return &Table{perTeam: max(1, MaxFlows/max(1, teams)-1), classes: map[string]map[string]bool{}}
+	return &Table{classesPerTeam: max(1, MaxFlows/max(1, teams)-1), classes: map[string]map[string]bool{}}
 }
 
-// Keep begins anew with the flows that are still in use, so that classes which are gone
-// leave their entries to others.
+// Keep starts over with the flows that are still in use, so that classes which are gone leave their
+// entries to others.
 func (t *Table) Keep(used []Flow) {
 	clear(t.classes)
 	for _, f := range used {
@@ -68,7 +68,7 @@
 	}
 }
 
-// Resolve is the flow under which a job of the flow counts.
+// Resolve returns the flow under which jobs of a flow are counted, and enters it if it is new.
 func (t *Table) Resolve(f Flow) Flow {
 	classes := t.classes[f.Team]
 	if classes == nil {
@@ -81,7 +81,7 @@
 	if classes[f.Class] {
 		return f
 	}
-	if len(classes) >= t.perTeam {
+	if len(classes) >= t.classesPerTeam {
 		return f.TeamRest()
 	}
 	classes[f.Class] = true
