--- a/internal/coordination/cancel_request_test.go
+++ b/internal/coordination/cancel_request_test.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"slices"
 	"testing"
 
 	"pipitlatch/internal/coordination/messages"
@@ -8,6 +9,25 @@
 	"pipitlatch/internal/workload"
 )
 
+// conflictingStore refuses the first writes of a job as conflicts. It keeps the compares of all.
+type conflictingStore struct {
+	emptyStore
+	key       string
+	conflicts int
+	writes    [][]storage.Compare
+}
+
+func (s *conflictingStore) reply(r *storage.Request) *storage.Reply {
+	if !writesKey(r, s.key) {
+		return s.emptyStore.reply(r)
+	}
+	s.writes = append(s.writes, r.Compares)
+	if len(s.writes) <= s.conflicts {
+		return &storage.Reply{Outcome: storage.Conflict}
+	}
+	return &storage.Reply{Outcome: storage.OK, Revision: 50}
+}
+
 func TestCancellationIsTriedAgainAfterAConflict(t *testing.T) {
 	tests := []struct {
 		name       string
@@ -23,32 +43,24 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, store := newServing(t), &emptyStore{}
-			job := testJob(7)
+			c, job := newServing(t), testJob(7)
 			cacheJob(t, c, job, 11)
-			writes := 0
-			responses := requestAndWait(c, &messages.Cancel{Request: 1, ID: job.ID}, func(r *storage.Request) *storage.Reply {
-				if !writesKey(r, c.keys.Job(job.ID)) {
-					return store.reply(r)
-				}
-				want := storage.Compare{Key: c.keys.Job(job.ID), ModRevision: 11}
-				if len(r.Compares) != 1 || r.Compares[0] != want {
-					t.Errorf("compares %+v, want %+v", r.Compares, want)
-				}
-				writes++
-				if writes <= test.conflicts {
-					return &storage.Reply{Outcome: storage.Conflict}
-				}
-				return &storage.Reply{Outcome: storage.OK, Revision: 50}
-			})
+			store := &conflictingStore{key: c.keys.Job(job.ID), conflicts: test.conflicts}
+			responses := requestAndWait(c, &messages.Cancel{Request: 1, ID: job.ID}, store.reply)
 			if len(responses) != 1 || responses[0].Kind != test.want {
 				t.Fatalf("%+v, want kind %d", responses, test.want)
 			}
 			if test.want == messages.JobFound && responses[0].Job.Phase != workload.Cancelled {
 				t.Errorf("phase %d", responses[0].Job.Phase)
 			}
-			if writes != test.wantWrites {
-				t.Errorf("%d writes, want %d", writes, test.wantWrites)
+			if len(store.writes) != test.wantWrites {
+				t.Errorf("%d writes, want %d", len(store.writes), test.wantWrites)
+			}
+			want := []storage.Compare{{Key: store.key, ModRevision: 11}}
+			for _, compares := range store.writes {
+				if !slices.Equal(compares, want) {
+					t.Errorf("compares %+v, want %+v", compares, want)
+				}
 			}
 		})
 	}
--- a/internal/coordination/lookup.go
+++ b/internal/coordination/lookup.go
@@ -80,6 +80,7 @@
 		status.Phase = workload.Cancelled
 	}
 	switch status.Phase {
+	case workload.Cancelled: // how far it came is of no use any more
 	case workload.Done:
 		status.Done = entry.Job.Tasks
 	case workload.Active:
--- a/internal/coordination/partition_status.go
+++ b/internal/coordination/partition_status.go
@@ -58,13 +58,12 @@
 // canBeTerminated tells whether the machine drains and need not be waited for: its tasks are
 // lost, or it has none.
 func (p *partitionLeader) canBeTerminated(m *machine) bool {
-	switch m.drain.reason {
-	case notDraining:
+	reason := m.drain.reason
+	if reason == notDraining {
 		return false
-	case drainUnresponsive, drainBootTimeout, drainUnresolvedStart:
-		return true
 	}
-	return m.decommissioned() || p.terminable(m)
+	lost := reason == drainUnresponsive || reason == drainBootTimeout || reason == drainUnresolvedStart
+	return lost || m.decommissioned() || p.terminable(m)
 }
 
 // jobProgress is how far jobs are, for display by the peers. With more jobs than one message
--- a/internal/coordination/submission.go
+++ b/internal/coordination/submission.go
@@ -80,22 +80,23 @@
 }
 
 func (s *submission) recordWritten(reply *storage.Reply) {
-	switch reply.Outcome {
-	case storage.OK:
+	if reply.Outcome == storage.OK {
 		s.core.countAccepted(s.job)
 		s.core.respond(messages.Response{
 			Request: s.request,
 			Kind:    messages.JobAccepted,
 			Job:     messages.JobStatus{ID: s.id, Phase: s.job.Phase},
 		})
-	case storage.Conflict:
+		return
+	}
+	if reply.Outcome == storage.Conflict {
 		s.respondDuplicate()
-	case storage.Unavailable:
+		return
+	}
+	if reply.Outcome == storage.Unavailable {
 		s.core.countShed()
-		s.respondUnavailable(storeUnavailable)
-	default:
-		s.respondUnavailable(storeUnavailable)
 	}
+	s.respondUnavailable(storeUnavailable)
 }
 
 // respondDuplicate answers with the state of a job that was accepted before.
--- a/internal/coordination/submission_test.go
+++ b/internal/coordination/submission_test.go
@@ -34,14 +34,14 @@
 type emptyStore struct{ transactions []*storage.Request }
 
 func (s *emptyStore) reply(r *storage.Request) *storage.Reply {
-	switch r.Kind {
-	case storage.Get:
+	if r.Kind == storage.Get {
 		return &storage.Reply{Outcome: storage.NotFound, Revision: 10}
-	case storage.Txn:
-		s.transactions = append(s.transactions, r)
-		return &storage.Reply{Outcome: storage.OK, Revision: 50}
 	}
-	return nil
+	if r.Kind != storage.Txn {
+		return nil
+	}
+	s.transactions = append(s.transactions, r)
+	return &storage.Reply{Outcome: storage.OK, Revision: 50}
 }
 
 // written is the record of a job as the first transaction with it wrote it; nil: none did.
