--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -12,7 +12,7 @@
 func (c *Core) handleHeartbeat(in *messages.HeartbeatRequest) {
 	r := in.Heartbeat
 	if !c.replica.Synced() {
-		c.respondUnavailable(in.Request, "starting")
+		c.respondUnavailable(in.Request, starting)
 		return
 	}
 	b, ok := c.cache.Machines[r.Machine]
@@ -20,11 +20,11 @@
 		switch l := c.cache.ClusterLeader; {
 		case c.isClusterLeader():
 			c.leader.heardFromUnmanaged(r)
-			c.respondUnavailable(in.Request, "unknown machine")
+			c.respondUnavailable(in.Request, unknownMachine)
 		case l.ModRevision != 0 && l.Value.Member != c.process.Member && !c.isolated():
 			c.respond(messages.Response{Request: in.Request, Kind: messages.HeartbeatRedirected, RedirectTo: l.Value.Member})
 		default:
-			c.respondUnavailable(in.Request, "no leader")
+			c.respondUnavailable(in.Request, noClusterLeader)
 		}
 		return
 	}
@@ -34,7 +34,7 @@
 		if ok && q.Value.Leader.Member != c.process.Member && c.cache.Live(q.Value.Leader) && !c.isolated() && !c.unreachableFromLeader(r, b.Value, q) {
 			c.respond(messages.Response{Request: in.Request, Kind: messages.HeartbeatRedirected, RedirectTo: q.Value.Leader.Member})
 		} else {
-			c.respondUnavailable(in.Request, "no holder")
+			c.respondUnavailable(in.Request, noPartitionLeader)
 		}
 		return
 	}
@@ -45,7 +45,7 @@
 	r := in.Heartbeat
 	switch {
 	case m == nil:
-		p.core.respondUnavailable(in.Request, "unknown machine")
+		p.core.respondUnavailable(in.Request, unknownMachine)
 		return
 	case !p.core.term.Valid(p.core.now):
 		// Silence past the term: a cancellation that is not seen here must end
@@ -64,7 +64,7 @@
 		// A copy of an old report, whose answer reaches nobody, or a worker that
 		// began anew: an answer must neither count nor renew a lease.
 		p.logIgnoredHeartbeat("old report", m, r)
-		p.core.respondUnavailable(in.Request, "old report")
+		p.core.respondUnavailable(in.Request, staleHeartbeat)
 		return
 	}
 	if newer {
@@ -74,7 +74,7 @@
 	if m.decommissioned() || m.contact.RepliesLost() {
 		// Given up, or out of reach of our answers: more of them would only push off
 		// the time from which its lease has surely run out.
-		p.core.respondUnavailable(in.Request, "machine is given up")
+		p.core.respondUnavailable(in.Request, machineDecommissioned)
 		return
 	}
 	m.contact.Replied(p.core.now)
--- a/internal/coordination/responses.go
+++ b/internal/coordination/responses.go
@@ -18,6 +18,21 @@
 	olderVersionRunning unavailableReason = "an older version is still running"
 	// concurrentChange: the job's record changed meanwhile.
 	concurrentChange unavailableReason = "try again"
+
+	// The reasons below are those for agents.
+
+	// starting: this controller has not read the store yet.
+	starting unavailableReason = "starting"
+	// unknownMachine: no record has the machine.
+	unknownMachine unavailableReason = "unknown machine"
+	// noClusterLeader: nobody is known who could take an unmanaged instance on.
+	noClusterLeader unavailableReason = "no leader"
+	// noPartitionLeader: nobody is known who leads the machine's partition.
+	noPartitionLeader unavailableReason = "no holder"
+	// staleHeartbeat: the heartbeat is a late copy, or of an agent that began anew.
+	staleHeartbeat unavailableReason = "old report"
+	// machineDecommissioned: the machine is to be terminated, and its agent lease to expire.
+	machineDecommissioned unavailableReason = "machine is given up"
 )
 
 // String returns the reason as the client gets it. The texts are part of the wire protocol.
