--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -7,6 +7,7 @@
 
 	"pipitlatch/internal/config"
 	"pipitlatch/internal/coordination/calls"
+	"pipitlatch/internal/coordination/cancellation"
 	"pipitlatch/internal/coordination/catalog"
 	"pipitlatch/internal/coordination/election"
 	"pipitlatch/internal/coordination/leadership"
@@ -56,7 +57,7 @@
 	peers           *membership.Peers
 	health          *membership.Health
 	status          statusSchedule
-	cancellations   cancellations
+	cancellations   *cancellation.Exchange
 	dependencyLists int                          // lists of dependencies that were stored in parts
 	archivedJobs    map[string]*storage.JobEntry // records read from the archive
 	progress        *progressTable
@@ -74,19 +75,18 @@
 	keys := storage.Keys{Prefix: cfg.Operator.KeyPrefix}
 	limits := cfg.Settings.StateLimits()
 	c := &Core{
-		config:        cfg,
-		process:       storage.Process{Member: cfg.Member, Incarnation: incarnation},
-		teams:         workload.Teams(cfg),
-		keys:          keys,
-		storeLimiter:  storage.NewRateLimiter(limits.RPS, limits.WriteRPS, cfg.Settings.Nodes),
-		partitions:    map[int]*partitionLeader{},
-		deathTimes:    map[storage.Process]micros.Time{},
-		cancellations: newCancellations(),
-		archivedJobs:  map[string]*storage.JobEntry{},
-		progress:      newProgressTable(),
-		runtimes:      workload.NewRuntimeStats(),
-		faults:        provisioning.NewFaultTracker(),
-		fair:          newFairAdmission(cfg),
+		config:       cfg,
+		process:      storage.Process{Member: cfg.Member, Incarnation: incarnation},
+		teams:        workload.Teams(cfg),
+		keys:         keys,
+		storeLimiter: storage.NewRateLimiter(limits.RPS, limits.WriteRPS, cfg.Settings.Nodes),
+		partitions:   map[int]*partitionLeader{},
+		deathTimes:   map[storage.Process]micros.Time{},
+		archivedJobs: map[string]*storage.JobEntry{},
+		progress:     newProgressTable(),
+		runtimes:     workload.NewRuntimeStats(),
+		faults:       provisioning.NewFaultTracker(),
+		fair:         newFairAdmission(cfg),
 	}
 	expected := make([]string, len(cfg.Peers))
 	for i, p := range cfg.Peers {
@@ -97,6 +97,7 @@
 	c.peers = membership.NewPeers(cfg.Member, expected)
 	c.health = membership.NewHealth(c.peers)
 	leaseTTL := micros.Time(cfg.Operator.PermitMs) * micros.Millisecond
+	c.cancellations = cancellation.NewExchange(c.process, cancellationNoticeTTL(cfg))
 	c.reachability = reachability.NewProbe(environment{c}, func() { c.status.soon = true })
 	c.member = membership.NewMember(environment{c}, c.process, keys, leaseTTL)
 	c.election = election.New(environment{c}, c.member, c.process, keys)
@@ -186,7 +187,7 @@
 		c.partitions[n].tick()
 	}
 	c.probeReachability()
-	c.expireCancellationNotices()
+	c.cancellations.Expire(c.now)
 	c.sendStatus()
 }
 
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -257,8 +257,7 @@
 	p.jobs[j.ID] = j
 	i, _ := slices.BinarySearchFunc(p.sortedJobs, j.ID, compareJobID)
 	p.sortedJobs = slices.Insert(p.sortedJobs, i, j)
-	_, requested := p.core.cancellations.requested[j.ID]
-	j.cancelRequested = requested || p.core.cancellations.noticed[j.ID]
+	j.cancelRequested = p.core.cancellations.Known(j.ID)
 	p.updateDependencies(j)
 	p.plan.stale = true
 	p.core.log(messages.LevelDebug, "job queued",
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -18,6 +18,14 @@
 	reachableMachinesTTL = 3 * micros.Second
 )
 
+// lastStatus is the last status of a member, however old; nil: none was received.
+func (c *Core) lastStatus(member string) *messages.PeerStatus {
+	if peer := c.peers.Latest(member); peer != nil {
+		return peer.Status
+	}
+	return nil
+}
+
 // recentStatus is the last status of a process, if it came within a duration; otherwise nil.
 func (c *Core) recentStatus(process storage.Process, within micros.Time) *messages.PeerStatus {
 	peer := c.peers.Latest(process.Member)
--- a/internal/coordination/status_messages.go
+++ b/internal/coordination/status_messages.go
@@ -42,7 +42,7 @@
 	for _, peer := range c.config.Peers {
 		message := *status
 		message.Transfers = c.leader.transfer.pending[peer.Member]
-		message.Cancelled, message.CancelledUpTo = c.cancellationNoticesFor(peer.Member)
+		message.Cancelled, message.CancelledUpTo = c.cancellations.NoticesFor(c.lastStatus(peer.Member))
 		c.output.PeerMessages = append(c.output.PeerMessages, messages.PeerMessage{To: peer.Member, Status: &message})
 	}
 	for _, transfer := range c.leader.transfer.pending[c.process.Member] {
@@ -68,7 +68,7 @@
 		status.Progress = append(status.Progress, p.jobProgress()...)
 	}
 	status.TerminatedMachines = c.leader.recentlyTerminated(c.now)
-	status.CancellationAcks = c.cancellationAcks()
+	status.CancellationAcks = c.cancellations.Acks()
 	status.Demand = c.demandForPeers()
 	return status
 }
--- a/internal/coordination/store_changes.go
+++ b/internal/coordination/store_changes.go
@@ -58,7 +58,7 @@
 		}
 	case "job", "fin":
 		if change.Kind == "job" && c.isCancelled(change.ID) {
-			c.noteCancellation(change.ID, item.ModRevision, false)
+			c.cancellations.Committed(c.now, change.ID, item.ModRevision)
 		}
 		for _, n := range sortedKeys(c.partitions) {
 			c.partitions[n].jobChanged(change.ID)
