--- a/internal/coordination/partition_status.go
+++ b/internal/coordination/partition_status.go
@@ -28,7 +28,7 @@
 	if !p.core.term.Valid(p.core.now) {
 		return s
 	}
-	s.Lags = p.flowLags()
+	s.Lags = p.fairShares.lags()
 	severalPartitions := p.core.partitionCount() > 1
 	idle := map[bool]int{} // of spot machines, and of the others
 	for _, m := range p.machines {
--- a/internal/coordination/planning.go
+++ b/internal/coordination/planning.go
@@ -121,12 +121,22 @@
 	return services, arrays
 }
 
+// startable tells whether a job has tasks that may start once there is capacity.
+func (p *partitionLeader) startable(j *job, unreconciled bool) bool {
+	if j.pendingTasks.Len() == 0 || j.startsPausedUntil > p.core.now || j.cancelRequested || j.blockedByDependencies {
+		return false
+	}
+	// Tasks of a job older than the lease may run on any unreconciled machine; nothing of it
+	// starts until there is none.
+	return !unreconciled || j.modRevision >= p.lease.acquiredToken
+}
+
 // rank is what places a job among the others, but for the index.
 func (p *partitionLeader) rank(j *job) rankedJob {
 	queued := p.queuedJob(j)
 	return rankedJob{job: j, queued: queued, Precedence: scheduling.Precedence{
 		WithinGuarantee: p.withinGuarantee(j),
-		Lag:             p.lagBeyondBound(j),
+		Lag:             p.fairShares.lagBeyondBound(flowOf(j.Job)),
 		NearObjective:   p.nearObjective(j),
 		ReadySince:      j.readySince,
 		Queued:          queued,
--- a/internal/coordination/precedence.go
+++ b/internal/coordination/precedence.go
@@ -27,6 +27,7 @@
 		switch o.Kind {
 		case objectiveWait:
 		case objectiveFinished:
+			// It has to begin so much earlier that its slowest task ends in time.
 			limit -= micros.Time(float64(p.estimate(j)) * p.core.runtimes.TailRatio(j.Class))
 		default:
 			continue
