--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -5,84 +5,136 @@
 
 	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/micros"
-	"pipitlatch/internal/workload"
+	"pipitlatch/internal/storage"
 )
 
-// handleHeartbeat answers a worker.
+// ignoreReason is why a heartbeat is not believed, as it appears in the log.
+type ignoreReason string
+
+const (
+	// ignoredStaleCopy: the agent does not wait for a reply to this heartbeat any more, or it began
+	// anew.
+	ignoredStaleCopy ignoreReason = "stale copy"
+	// ignoredEndedEpoch: the agent lease expired since the heartbeat was sent.
+	ignoredEndedEpoch ignoreReason = "ended agent epoch"
+)
+
+// handleHeartbeat replies to an agent's heartbeat, or sends the agent to the controller that can.
 func (c *Core) handleHeartbeat(in *messages.HeartbeatRequest) {
-	r := in.Heartbeat
 	if !c.replica.Synced() {
 		c.respondUnavailable(in.Request, starting)
 		return
 	}
-	b, ok := c.cache.Machines[r.Machine]
+	record, ok := c.cache.Machines[in.Heartbeat.Machine]
 	if !ok {
-		switch l := c.cache.ClusterLeader; {
-		case c.isClusterLeader():
-			c.leader.heardFromUnmanaged(r)
-			c.respondUnavailable(in.Request, unknownMachine)
-		case l.ModRevision != 0 && l.Value.Member != c.process.Member && !c.isolated():
-			c.respond(messages.Response{Request: in.Request, Kind: messages.HeartbeatRedirected, RedirectTo: l.Value.Member})
-		default:
-			c.respondUnavailable(in.Request, noClusterLeader)
-		}
+		c.handleUnmanagedHeartbeat(in)
 		return
 	}
-	h := c.partitions[b.Value.Partition]
-	if h == nil {
-		q, ok := c.cache.Partitions[b.Value.Partition]
-		if ok && q.Value.Leader.Member != c.process.Member && c.cache.Live(q.Value.Leader) && !c.isolated() && !c.unreachableFromLeader(r, b.Value, q) {
-			c.respond(messages.Response{Request: in.Request, Kind: messages.HeartbeatRedirected, RedirectTo: q.Value.Leader.Member})
-		} else {
-			c.respondUnavailable(in.Request, noPartitionLeader)
-		}
+	leader := c.partitions[record.Value.Partition]
+	if leader == nil {
+		c.redirectToPartitionLeader(in, record.Value)
 		return
 	}
-	h.handleHeartbeat(in, h.machine(r.Machine))
+	leader.handleHeartbeat(in)
 }
 
-func (p *partitionLeader) handleHeartbeat(in *messages.HeartbeatRequest, m *machine) {
-	r := in.Heartbeat
+// handleUnmanagedHeartbeat handles the heartbeat of a machine without a record: the cluster leader
+// may adopt it.
+func (c *Core) handleUnmanagedHeartbeat(in *messages.HeartbeatRequest) {
+	leader := c.cache.ClusterLeader
 	switch {
-	case m == nil:
-		p.core.respondUnavailable(in.Request, unknownMachine)
+	case c.isClusterLeader():
+		c.leader.heardFromUnmanaged(in.Heartbeat)
+		c.respondUnavailable(in.Request, unknownMachine)
+	case leader.ModRevision != 0 && leader.Value.Member != c.process.Member && !c.isolated():
+		c.redirectHeartbeat(in.Request, leader.Value.Member)
+	default:
+		c.respondUnavailable(in.Request, noClusterLeader)
+	}
+}
+
+// redirectToPartitionLeader sends an agent to the leader of its machine's partition, if that runs
+// and is thought to hear the machine.
+func (c *Core) redirectToPartitionLeader(in *messages.HeartbeatRequest, machine storage.Machine) {
+	partition, ok := c.cache.Partitions[machine.Partition]
+	leader := partition.Value.Leader
+	if ok && leader.Member != c.process.Member && c.cache.Live(leader) && !c.isolated() &&
+		!c.unreachableFromLeader(in.Heartbeat, machine, partition) {
+		c.redirectHeartbeat(in.Request, leader.Member)
 		return
-	case !p.core.term.Valid(p.core.now):
-		// Silence past the term: a cancellation that is not seen here must end
-		// these tasks when the workers' leases run out. Nobody is named: what is
-		// known here of other holders is as old as the term.
-		p.core.respond(messages.Response{Request: in.Request, Kind: messages.HeartbeatRedirected})
+	}
+	c.respondUnavailable(in.Request, noPartitionLeader)
+}
+
+// redirectHeartbeat sends an agent to another controller, or, without a name, to whichever it finds.
+func (c *Core) redirectHeartbeat(request messages.RequestID, member string) {
+	c.respond(messages.Response{Request: request, Kind: messages.HeartbeatRedirected, RedirectTo: member})
+}
+
+// handleHeartbeat takes a heartbeat of a machine of the partition, and replies with commands.
+func (p *partitionLeader) handleHeartbeat(in *messages.HeartbeatRequest) {
+	h := in.Heartbeat
+	m := p.machine(h.Machine)
+	if m == nil {
+		p.core.respondUnavailable(in.Request, unknownMachine)
 		return
-	case r.FencingToken > p.lease.fencingToken:
-		// The worker would drop a 200 and stay here until its tasks die.
-		p.supersededByToken()
-		p.core.respond(messages.Response{Request: in.Request, Kind: messages.HeartbeatRedirected})
+	}
+	if p.fencedOff(h) {
+		// Nobody is named: what is known here of other leaders is as old as the term.
+		p.core.redirectHeartbeat(in.Request, "")
 		return
 	}
-	newer := m.agent.IsNewer(r)
-	if m.agent.IsStaleCopy(r, p.core.now) {
-		// A copy of an old report, whose answer reaches nobody, or a worker that
-		// began anew: an answer must neither count nor renew a lease.
-		p.logIgnoredHeartbeat("old report", m, r)
+	if m.agent.IsStaleCopy(h, p.core.now) {
+		p.logIgnoredHeartbeat(ignoredStaleCopy, m, h)
 		p.core.respondUnavailable(in.Request, staleHeartbeat)
 		return
 	}
+	newer := m.agent.IsNewer(h)
 	if newer {
-		p.observeReplyReceipt(m, r)
-		p.observeHeartbeat(m, r)
+		p.observeReplyReceipt(m, h)
+		p.observeHeartbeat(m, h)
 	}
 	if m.decommissioned() || m.contact.RepliesLost() {
-		// Given up, or out of reach of our answers: more of them would only push off
-		// the time from which its lease has surely run out.
+		// More replies would only put off the time from which its lease has surely expired.
 		p.core.respondUnavailable(in.Request, machineDecommissioned)
 		return
 	}
+	p.acknowledgeHeartbeat(in.Request, m, newer)
+}
+
+// fencedOff tells whether this process may not reply to a heartbeat as partition leader. Past the
+// term somebody else may lead: a cancellation that is not seen here must end the machine's tasks
+// when its agent lease expires. An agent with a higher token would drop a reply under this one,
+// and stay here until its tasks are killed.
+func (p *partitionLeader) fencedOff(h *messages.Heartbeat) bool {
+	if !p.core.term.Valid(p.core.now) {
+		return true
+	}
+	if h.FencingToken > p.lease.fencingToken {
+		p.supersededByToken()
+		return true
+	}
+	return false
+}
+
+// supersededByToken notes that somebody has a higher token, so that this lease has ended, or is
+// about to be renewed: nothing is done until the change stream shows which.
+func (p *partitionLeader) supersededByToken() { p.core.term.Invalidate() }
+
+// acknowledgeHeartbeat replies to a heartbeat, which renews the agent lease. Commands go only with
+// the reply to a newer one: a copy shows no more what the agent has.
+func (p *partitionLeader) acknowledgeHeartbeat(request messages.RequestID, m *machine, newer bool) {
 	m.contact.Replied(p.core.now)
-	var cmds []messages.Command
+	var commands []messages.Command
 	if newer {
-		cmds = p.commandsFor(m)
-	}
-	p.core.respond(messages.Response{Request: in.Request, Kind: messages.HeartbeatAcknowledged, FencingToken: p.lease.fencingToken, Commands: cmds})
+		commands = p.commandsFor(m)
+	}
+	p.core.respond(messages.Response{
+		Request:      request,
+		Kind:         messages.HeartbeatAcknowledged,
+		FencingToken: p.lease.fencingToken,
+		Commands:     commands,
+	})
 }
 
 // observeReplyReceipt notes what a newer heartbeat says of the reply to the one before. The reply
@@ -94,79 +146,37 @@
 	}
 }
 
-// supersededByToken: somebody has a higher token, so this lease is over, or about to be
-// renewed; nothing is done until the stream tells.
-func (p *partitionLeader) supersededByToken() { p.core.term.Invalidate() }
-
-// maxCommandsPerMessage bounds one answer to a worker.
-const maxCommandsPerMessage = 200
-
-// commandsFor are the commands in the answer to a report: they are not executed
-// late, since the worker drops late answers.
-func (p *partitionLeader) commandsFor(m *machine) []messages.Command {
-	if !m.agent.Acknowledged(p.lease.fencingToken) {
-		return nil
-	}
-	var out []messages.Command
-	for id, a := range m.attempts {
-		switch {
-		case a.state == messages.Exited:
-			// A start that may still arrive would begin a forgotten attempt anew.
-			if a.start.reported && a.persisted && a.start.inFlight == 0 && a.start.unanswered == 0 {
-				out = append(out, messages.Command{Operation: messages.Forget, AttemptID: id})
-			}
-		case a.stop.ordered:
-			out = append(out, messages.Command{Operation: messages.Stop, AttemptID: id, GracePeriod: p.remainingGrace(a)})
-		}
-	}
-	slices.SortFunc(out, func(a, b messages.Command) int { return a.Compare(b.AttemptID) })
-	return out[:min(len(out), maxCommandsPerMessage)]
-}
-
-// remainingGrace ends an attempt at once when its time to save is over.
-func (p *partitionLeader) remainingGrace(a *attempt) micros.Time {
-	if a.stop.gracePeriod == 0 || p.core.now-a.stop.orderedAt > 2*a.stop.gracePeriod+2*micros.Second {
-		return 0
-	}
-	return a.stop.gracePeriod
-}
-
-// observeHeartbeat takes a worker's report, from whichever way it came.
-func (p *partitionLeader) observeHeartbeat(m *machine, r *messages.Heartbeat) {
-	if !m.agent.IsNewer(r) {
-		return // older than what is known
+// observeHeartbeat notes what a heartbeat shows, whether the agent sent it by itself or in reply to
+// a call.
+func (p *partitionLeader) observeHeartbeat(m *machine, h *messages.Heartbeat) {
+	if !m.agent.IsNewer(h) {
+		return
 	}
-	if m.agent.ShowsRestart(r, p.lease.acquiredToken) {
-		// A worker never forgets a token: this one began anew under its old name.
+	if m.agent.ShowsRestart(h, p.lease.acquiredToken) {
 		p.drainRestarted(m)
 		return
 	}
-	if r.AgentEpoch > m.agent.Epoch() {
-		p.beginEpoch(m, r.AgentEpoch)
+	if h.AgentEpoch > m.agent.Epoch() {
+		p.beginEpoch(m, h.AgentEpoch)
 	}
-	m.agent.Observe(r, p.core.now)
+	m.agent.Observe(h, p.core.now)
 	if m.agent.LeaseExpired() {
-		p.logIgnoredHeartbeat("of an ended session", m, r)
-		return // sent before its lease ran out, and late: what it shows is gone
-	}
-	if r.Address != "" {
-		m.address = r.Address
-	}
-	m.lifecycle.preemptAt = 0
-	if r.PreemptionNotice >= 0 {
-		m.lifecycle.preemptAt = p.core.now + r.PreemptionNotice
+		// Sent before the lease expired, and late: the tasks that it shows have ended.
+		p.logIgnoredHeartbeat(ignoredEndedEpoch, m, h)
+		return
 	}
-	if r.FencingToken > p.lease.fencingToken {
+	m.observeInstance(h, p.core.now)
+	if h.FencingToken > p.lease.fencingToken {
 		p.supersededByToken()
 		return
 	}
-	m.agent.Acknowledge(r.FencingToken)
-	if r.FencingToken < p.lease.acquiredToken {
-		// Not an exchange under this lease: perhaps a copy of an old report, perhaps
-		// overtaken by what the predecessor still orders. It says nothing of tasks.
+	m.agent.Acknowledge(h.FencingToken)
+	if h.FencingToken < p.lease.acquiredToken {
+		// Not an exchange under this lease: perhaps a copy of an old heartbeat, perhaps overtaken by
+		// what the former leader still orders. It says nothing of tasks.
 		return
 	}
-	p.reconcileTasks(m, r)
+	p.reconcileTasks(m, h)
 	if m.agent.Acknowledged(p.lease.fencingToken) && !m.agent.Reconciled() {
 		m.agent.Reconcile()
 		p.plan.stale = true
@@ -174,8 +184,18 @@
 	p.handlePreemptionNotice(m)
 }
 
-// beginEpoch notes that a machine's lease ran out: it killed and forgot all its tasks. That
-// does not make it known: a predecessor may have started others since.
+// observeInstance notes what a heartbeat says of the instance itself.
+func (m *machine) observeInstance(h *messages.Heartbeat, now micros.Time) {
+	if h.Address != "" {
+		m.address = h.Address
+	}
+	m.lifecycle.preemptAt = 0
+	if h.PreemptionNotice >= 0 {
+		m.lifecycle.preemptAt = now + h.PreemptionNotice
+	}
+}
+
+// beginEpoch notes that the machine's agent lease ended: the agent killed and forgot all its tasks.
 func (p *partitionLeader) beginEpoch(m *machine, epoch uint64) {
 	if m.agent.HeardFrom() {
 		p.clearAttempts(m)
@@ -184,168 +204,72 @@
 	p.plan.stale = true
 }
 
-// reconcileTasks takes a report's tasks for the truth about its machine.
-func (p *partitionLeader) reconcileTasks(m *machine, r *messages.Heartbeat) {
-	shown := make(map[messages.AttemptID]bool, len(r.Tasks))
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		shown[t.AttemptID] = true
-		a := m.attempts[t.AttemptID]
-		if a == nil {
-			a = p.adoptAttempt(m, t)
-		}
-		a.start.reported = true
-		p.updateAttempt(a, t)
-	}
-	if len(m.attempts) > len(shown) {
-		for _, id := range sortedAttempts(m) {
-			a := m.attempts[id]
-			// A start that still waits in the outbox, or that got no answer, says nothing
-			// by its absence: taking it for not started would run the task twice.
-			if shown[id] || !a.start.sent || (!a.start.reported && a.start.inFlight+a.start.unanswered > 0) {
-				continue
-			}
-			// Forgotten as ordered, or, if it was never shown, surely not started.
-			delete(m.attempts, id)
-			p.release(a)
-			p.requeue(a)
-		}
+// drainRestarted gives up a machine whose agent began anew within its lease: its epoch and sequence
+// may be below what was seen, so that its heartbeats can't be put in order any more. Its
+// termination settles what ran there.
+func (p *partitionLeader) drainRestarted(m *machine) {
+	if !m.decommissioned() {
+		p.startDrain(m, drainAgentRestarted)
 	}
 }
 
-// ignoredLogInterval bounds what stale and contradictory reports make us log.
+// ignoredLogInterval bounds what stale and contradictory heartbeats add to the log.
 const ignoredLogInterval = 5 * micros.Second
 
-// logIgnoredHeartbeat tells the operator of a report that is not believed.
-func (p *partitionLeader) logIgnoredHeartbeat(why string, m *machine, r *messages.Heartbeat) {
-	if p.core.now-p.ignoredHeartbeatLoggedAt >= ignoredLogInterval || p.ignoredHeartbeatLoggedAt == 0 {
-		p.ignoredHeartbeatLoggedAt = p.core.now
-		p.core.log(messages.LevelInfo, "heartbeat ignored", "reason", why, "machine", m.id, "agent_epoch", r.AgentEpoch, "sequence", r.Sequence, "known_agent_epoch", m.agent.Epoch(),
-			"known_sequence", m.agent.Position().Sequence)
+// logIgnoredHeartbeat tells the operator of a heartbeat that is not believed.
+func (p *partitionLeader) logIgnoredHeartbeat(reason ignoreReason, m *machine, h *messages.Heartbeat) {
+	now := p.core.now
+	if p.ignoredHeartbeatLoggedAt != 0 && now-p.ignoredHeartbeatLoggedAt < ignoredLogInterval {
+		return
 	}
+	p.ignoredHeartbeatLoggedAt = now
+	p.core.log(messages.LevelInfo, "heartbeat ignored",
+		"reason", string(reason), "machine", m.id,
+		"agent_epoch", h.AgentEpoch, "sequence", h.Sequence,
+		"known_agent_epoch", m.agent.Epoch(), "known_sequence", m.agent.Position().Sequence)
 }
 
-// drainRestarted gives up a machine whose worker began anew within its lease: its
-// session and seq may be below what was seen, so no order of its reports can be
-// told any more. Its deletion settles what ran there.
-func (p *partitionLeader) drainRestarted(m *machine) {
-	if !m.decommissioned() {
-		p.startDrain(m, drainAgentRestarted)
-	}
-}
+// maxCommandsPerMessage bounds the commands in one reply or call to an agent.
+const maxCommandsPerMessage = 200
 
-// adoptAttempt takes an attempt that this holder did not start.
-func (p *partitionLeader) adoptAttempt(m *machine, t *messages.TaskStatus) *attempt {
-	a := &attempt{
-		id:        t.AttemptID,
-		machine:   m,
-		state:     t.State,
-		createdAt: p.core.now,
-		start:     startState{sent: true},
-	}
-	a.job = p.jobs[t.Job]
-	if e := p.core.cache.Jobs[t.Job]; e != nil {
-		a.team, a.resources = e.Job.Team, e.Job.Resources
-	}
-	if a.job != nil && (t.Task < 0 || t.Task >= a.job.Tasks) {
-		a.job = nil
-	}
-	a.index()
-	if t.State == messages.Exited {
-		a.state = messages.Fetching // so that update sees it exit
+// commandsFor returns the commands in the reply to a heartbeat. They are not carried out late,
+// since the agent drops late replies.
+func (p *partitionLeader) commandsFor(m *machine) []messages.Command {
+	if !m.agent.Acknowledged(p.lease.fencingToken) {
+		return nil
 	}
-	p.reserve(a)
-	if a.job == nil {
-		a.persisted = true
+	var commands []messages.Command
+	for id, a := range m.attempts {
 		switch {
-		case t.State == messages.Exited:
-		case p.core.isCancelled(t.Job):
-			p.killAdopted(a)
-		default:
-			p.stopAttempt(a, 0)
+		case a.forgettable():
+			commands = append(commands, messages.Command{Operation: messages.Forget, AttemptID: id})
+		case a.state != messages.Exited && a.stop.ordered:
+			commands = append(commands, messages.Command{
+				Operation:   messages.Stop,
+				AttemptID:   id,
+				GracePeriod: p.remainingGrace(a),
+			})
 		}
-		return a
-	}
-	if t.State == messages.Exited {
-		return a
-	}
-	if o := a.job.activeAttempts[t.Task]; o != nil {
-		// Must never happen. The task does not wait again before both have ended.
-		p.core.log(messages.LevelWarn, "duplicate task attempt", "job", t.Job, "task", t.Task, "machine", m.id, "other_machine", o.machine.id)
-		a.job.duplicateAttempts = append(a.job.duplicateAttempts, a)
-		a.persisted = true
-		p.stopAttempt(a, 0)
-		return a
-	}
-	a.job.activeAttempts[t.Task] = a
-	a.job.pendingTasks.Remove(t.Task)
-	if t.State == messages.Running {
-		// The image is there, and the run is at least as old as this lease: without
-		// that, every takeover forgot where images are and when machines will be free.
-		a.runningSince = p.core.now
-		m.useImage(a.job.Image, a.job.ImageGB)
-	}
-	switch {
-	case a.job.cancelRequested:
-		p.killAdopted(a)
-	case a.job.taskCompleted(t.Task):
-		p.stopAttempt(a, 0)
 	}
-	p.plan.stale = true
-	return a
+	slices.SortFunc(commands, func(a, b messages.Command) int { return a.Compare(b.AttemptID) })
+	return commands[:min(len(commands), maxCommandsPerMessage)]
 }
 
-func (p *partitionLeader) updateAttempt(a *attempt, t *messages.TaskStatus) {
-	if a.state == messages.Exited {
-		return
-	}
-	if t.State != messages.Exited {
-		if t.State == messages.Running && a.state != messages.Running {
-			a.runningSince = p.core.now
-			if a.job != nil {
-				a.machine.useImage(a.job.Image, a.job.ImageGB)
-				if a.job.Kind == workload.Service && a.startedHere {
-					p.core.log(messages.LevelDebug, "service replica running", "job", a.job.ID, "task", a.id.Task, "machine", a.machine.id,
-						"since_submitted_ms", (p.core.wall-a.job.Submitted)/micros.Millisecond, "since_start_ms", (p.core.now-a.createdAt)/micros.Millisecond)
-				}
-			}
-		}
-		a.state = t.State
-		return
-	}
-	p.release(a)
-	p.plan.stale = true
-	if a.job == nil {
-		a.persisted = true
-		return
-	}
-	j := a.job
-	switch t.ExitReason {
-	case messages.ExitCompleted:
-		if a.startedHere && a.runningSince > 0 {
-			if j.runtime.samples >= 2 { // against its siblings: the owner's estimate says little
-				a.machine.runtime.Observe(float64(p.core.now-a.runningSince) * float64(j.runtime.samples) / float64(max(1, j.runtime.total)))
-			}
-			p.core.runtimes.Observe(j.Class, j.Estimate, p.core.now-a.runningSince)
-			j.runtime.total += p.core.now - a.runningSince
-			j.runtime.samples++
-		}
-		p.core.faults.Succeeded(a.machine.id, j.ID)
-		p.completeTask(a)
-		return
-	case messages.ExitFailed:
-		p.core.faults.Failed(a.machine.id, j.ID)
-		p.core.log(messages.LevelInfo, "task failed", "job", j.ID, "task", a.id.Task, "machine", a.machine.id)
-		if p.core.faults.JobAtFault(j.ID) {
-			// Failing everywhere: try less and less often, until its user cancels it.
-			j.startsPausedUntil = p.core.now + min(60*micros.Second, micros.Second<<min(6, p.core.faults.Failures(j.ID)))
-		}
-	case messages.ExitInsufficientResources, messages.ExitDuplicateTask:
-		a.machine.lifecycle.startsPausedUntil = p.core.now + micros.Second
-		p.core.log(messages.LevelInfo, "task start refused", "job", j.ID, "task", a.id.Task, "machine", a.machine.id, "reason", t.ExitReason)
-	case messages.ExitUnknownTask:
-		j.startsPausedUntil = p.core.now + 2*micros.Second
+// forgettable tells whether the agent may forget an attempt: it exited, nothing of it is left to be
+// stored, and no start command may still arrive, which would begin a forgotten attempt anew.
+func (a *attempt) forgettable() bool {
+	return a.state == messages.Exited &&
+		a.start.reported &&
+		a.persisted &&
+		a.start.inFlight == 0 &&
+		a.start.unanswered == 0
+}
+
+// remainingGrace returns the grace period of a repeated stop: none once the time to save a
+// checkpoint is over.
+func (p *partitionLeader) remainingGrace(a *attempt) micros.Time {
+	if a.stop.gracePeriod == 0 || p.core.now-a.stop.orderedAt > 2*a.stop.gracePeriod+2*micros.Second {
+		return 0
 	}
-	a.persisted = true
-	p.requeue(a)
+	return a.stop.gracePeriod
 }
--- /dev/null
+++ b/internal/coordination/reconciliation.go
@@ -0,0 +1,236 @@
+package coordination
+
+import (
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/workload"
+)
+
+// reconcileTasks takes the tasks that a heartbeat shows for the truth about its machine.
+func (p *partitionLeader) reconcileTasks(m *machine, h *messages.Heartbeat) {
+	shown := make(map[messages.AttemptID]bool, len(h.Tasks))
+	for i := range h.Tasks {
+		status := &h.Tasks[i]
+		shown[status.AttemptID] = true
+		a := m.attempts[status.AttemptID]
+		if a == nil {
+			a = p.adoptAttempt(m, status)
+		}
+		a.start.reported = true
+		p.updateAttempt(a, status)
+	}
+	if len(m.attempts) > len(shown) {
+		p.removeAbsentAttempts(m, shown)
+	}
+}
+
+// removeAbsentAttempts removes the attempts that a heartbeat does not show: the agent forgot them as
+// ordered, or, if they were never shown, surely did not start them.
+func (p *partitionLeader) removeAbsentAttempts(m *machine, shown map[messages.AttemptID]bool) {
+	for _, id := range sortedAttempts(m) {
+		a := m.attempts[id]
+		if shown[id] || a.mayStillArrive() {
+			continue
+		}
+		delete(m.attempts, id)
+		p.release(a)
+		p.requeue(a)
+	}
+}
+
+// mayStillArrive tells whether the absence of an attempt in a heartbeat says nothing: its start
+// command still waits to be sent, or got no reply. Taking it for not started would run the task
+// twice.
+func (a *attempt) mayStillArrive() bool {
+	return !a.start.sent || (!a.start.reported && a.start.inFlight+a.start.unanswered > 0)
+}
+
+// adoptAttempt takes over an attempt that this partition leader did not start.
+func (p *partitionLeader) adoptAttempt(m *machine, status *messages.TaskStatus) *attempt {
+	a := p.newAdoptedAttempt(m, status)
+	a.index()
+	p.reserve(a)
+	switch {
+	case a.job == nil:
+		p.endAdoptedWithoutJob(a, status)
+	case status.State == messages.Exited:
+		// The update that follows notes the exit.
+	case a.job.activeAttempts[status.Task] != nil:
+		p.stopDuplicate(a)
+	default:
+		p.adoptActiveAttempt(a, status)
+	}
+	return a
+}
+
+// newAdoptedAttempt returns the attempt that a heartbeat shows. Its job is nil if that has ended, or
+// has no such task.
+func (p *partitionLeader) newAdoptedAttempt(m *machine, status *messages.TaskStatus) *attempt {
+	a := &attempt{
+		id:        status.AttemptID,
+		machine:   m,
+		state:     status.State,
+		createdAt: p.core.now,
+		start:     startState{sent: true},
+	}
+	if status.State == messages.Exited {
+		a.state = messages.Fetching // so that the update that follows notes the exit
+	}
+	a.job = p.jobs[status.Job]
+	if entry := p.core.cache.Jobs[status.Job]; entry != nil {
+		a.team, a.resources = entry.Job.Team, entry.Job.Resources
+	}
+	if a.job != nil && (status.Task < 0 || status.Task >= a.job.Tasks) {
+		a.job = nil
+	}
+	return a
+}
+
+// endAdoptedWithoutJob ends an adopted attempt whose job is not active here.
+func (p *partitionLeader) endAdoptedWithoutJob(a *attempt, status *messages.TaskStatus) {
+	a.persisted = true
+	switch {
+	case status.State == messages.Exited:
+	case p.core.isCancelled(status.Job):
+		p.killAdopted(a)
+	default:
+		p.stopAttempt(a, 0)
+	}
+}
+
+// stopDuplicate stops a second attempt at an active task, which must never happen. The task is not
+// pending again before both attempts have ended.
+func (p *partitionLeader) stopDuplicate(a *attempt) {
+	active := a.job.activeAttempts[a.id.Task]
+	p.core.log(messages.LevelWarn, "duplicate task attempt",
+		"job", a.id.Job, "task", a.id.Task, "machine", a.machine.id, "other_machine", active.machine.id)
+	a.job.duplicateAttempts = append(a.job.duplicateAttempts, a)
+	a.persisted = true
+	p.stopAttempt(a, 0)
+}
+
+// adoptActiveAttempt makes an adopted attempt the active one of its task, and ends it if the task is
+// not wanted any more.
+func (p *partitionLeader) adoptActiveAttempt(a *attempt, status *messages.TaskStatus) {
+	a.job.activeAttempts[status.Task] = a
+	a.job.pendingTasks.Remove(status.Task)
+	if status.State == messages.Running {
+		// The image is there, and the task has run for at least as long as this lease: without
+		// that, every failover forgot where images are and when machines will be free.
+		a.runningSince = p.core.now
+		a.machine.useImage(a.job.Image, a.job.ImageGB)
+	}
+	switch {
+	case a.job.cancelRequested:
+		p.killAdopted(a)
+	case a.job.taskCompleted(status.Task):
+		p.stopAttempt(a, 0)
+	}
+	p.plan.stale = true
+}
+
+// updateAttempt notes the state of an attempt that a heartbeat shows.
+func (p *partitionLeader) updateAttempt(a *attempt, status *messages.TaskStatus) {
+	switch {
+	case a.state == messages.Exited:
+	case status.State == messages.Exited:
+		p.observeExit(a, status.ExitReason)
+	default:
+		if status.State == messages.Running && a.state != messages.Running {
+			p.observeRunning(a)
+		}
+		a.state = status.State
+	}
+}
+
+// observeRunning notes that an attempt has begun to run.
+func (p *partitionLeader) observeRunning(a *attempt) {
+	a.runningSince = p.core.now
+	if a.job == nil {
+		return
+	}
+	a.machine.useImage(a.job.Image, a.job.ImageGB)
+	if a.job.Kind == workload.Service && a.startedHere {
+		p.core.log(messages.LevelDebug, "service replica running",
+			"job", a.job.ID, "task", a.id.Task, "machine", a.machine.id,
+			"since_submitted_ms", (p.core.wall-a.job.Submitted)/micros.Millisecond,
+			"since_start_ms", (p.core.now-a.createdAt)/micros.Millisecond)
+	}
+}
+
+// observeExit notes that an attempt has exited.
+func (p *partitionLeader) observeExit(a *attempt, reason messages.ExitReason) {
+	p.release(a)
+	p.plan.stale = true
+	switch {
+	case a.job == nil:
+		a.persisted = true
+	case reason == messages.ExitCompleted:
+		p.observeRuntime(a)
+		p.core.faults.Succeeded(a.machine.id, a.job.ID)
+		p.completeTask(a)
+	default:
+		p.observeIncompleteExit(a, reason)
+		a.persisted = true
+		p.requeue(a)
+	}
+}
+
+// minRatioSamples is how many tasks of a job must have completed before another is compared with
+// them: the estimate of the job's owner says little.
+const minRatioSamples = 2
+
+// observeRuntime counts the run time of a completed task that was started under this lease.
+func (p *partitionLeader) observeRuntime(a *attempt) {
+	if !a.startedHere || a.runningSince <= 0 {
+		return
+	}
+	j, duration := a.job, p.core.now-a.runningSince
+	if j.runtime.samples >= minRatioSamples {
+		ratio := float64(duration) * float64(j.runtime.samples) / float64(max(1, j.runtime.total))
+		a.machine.runtime.Observe(ratio)
+	}
+	p.core.runtimes.Observe(j.Class, j.Estimate, duration)
+	j.runtime.total += duration
+	j.runtime.samples++
+}
+
+const (
+	// refusedStartPause is for how long a machine that refused a start gets no more.
+	refusedStartPause = micros.Second
+	// unknownTaskPause is for how long a job is not started that an agent did not know.
+	unknownTaskPause = 2 * micros.Second
+	// maxFailurePause bounds how long a job that fails everywhere waits for its next start.
+	maxFailurePause = 60 * micros.Second
+	// maxFailureDoublings bounds how often the pause after failures is doubled.
+	maxFailureDoublings = 6
+)
+
+// observeIncompleteExit notes what an exit without completion says of the machine and the job.
+func (p *partitionLeader) observeIncompleteExit(a *attempt, reason messages.ExitReason) {
+	j, m := a.job, a.machine
+	switch reason {
+	case messages.ExitFailed:
+		p.observeFailure(a)
+	case messages.ExitInsufficientResources, messages.ExitDuplicateTask:
+		m.lifecycle.startsPausedUntil = p.core.now + refusedStartPause
+		p.core.log(messages.LevelInfo, "task start refused",
+			"job", j.ID, "task", a.id.Task, "machine", m.id, "reason", reason)
+	case messages.ExitUnknownTask:
+		j.startsPausedUntil = p.core.now + unknownTaskPause
+	case messages.NotExited, messages.ExitCompleted, messages.ExitStopped:
+		// Nothing that speaks against the machine or the job.
+	}
+}
+
+// observeFailure notes that a task failed. A job that fails everywhere is started less and less
+// often, until its user cancels it.
+func (p *partitionLeader) observeFailure(a *attempt) {
+	j := a.job
+	p.core.faults.Failed(a.machine.id, j.ID)
+	p.core.log(messages.LevelInfo, "task failed", "job", j.ID, "task", a.id.Task, "machine", a.machine.id)
+	if p.core.faults.JobAtFault(j.ID) {
+		pause := micros.Second << min(maxFailureDoublings, p.core.faults.Failures(j.ID))
+		j.startsPausedUntil = p.core.now + min(maxFailurePause, pause)
+	}
+}
