--- a/internal/coordination/machine_health_test.go
+++ b/internal/coordination/machine_health_test.go
@@ -163,7 +163,7 @@
 	})
 }
 
-func TestReasonToDrainOtherFaults(t *testing.T) {
+func TestReasonToDrainLostMessages(t *testing.T) {
 	testReasonToDrain(t, []drainCase{
 		{"preempted and does not answer", func(p *partitionLeader, m *machine) {
 			m.lifecycle.preemptAt = p.core.now - preemptionMargin - 1
@@ -189,6 +189,11 @@
 			m.contact.CallFailed(p.core.now)
 			m.contact.CallFailed(p.core.now)
 		}, notDraining},
+	})
+}
+
+func TestReasonToDrainWorseThanOthers(t *testing.T) {
+	testReasonToDrain(t, []drainCase{
 		{"last one to be reconciled does not answer", func(p *partitionLeader, m *machine) {
 			m.agent = agents.Progress{}
 			m.contact.CallFailed(p.core.now)
