--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -30,90 +30,137 @@
 	minTickInterval = 20 * micros.Millisecond
 )
 
-// Core is the state machine of one controller.
+// Core is the state machine of one controller. It dispatches inputs to its parts, lets them act
+// on their timers, and collects what they ask for.
 type Core struct {
+	identity
+	step
+	calls        *calls.Table
+	storeLimiter *storage.RateLimiter
+	storeCopy
+	clusterMember
+	catalog *catalog.Catalog
+	jobTables
+	fleet
+	fair   *fairAdmission // nil: off
+	leader clusterLeader
+}
+
+// identity is which controller this is, and how it is configured.
+type identity struct {
 	config  *config.Config
 	process storage.Process
 	teams   map[string]*workload.Team
 	keys    storage.Keys
+}
 
+// step is what one step begins with and produces.
+type step struct {
 	now, wall micros.Time
-	startedAt micros.Time
+	startedAt micros.Time // of the first step
 	lastTick  micros.Time
 	output    *messages.Output
+}
 
-	calls        *calls.Table
-	storeLimiter *storage.RateLimiter
-	replica      *replication.Replica
-	cache        *storage.Cache   // the replica's, until it loads another
-	term         *leadership.Term // the replica's
-	election     *election.Election
+// storeCopy is this controller's copy of the key-value store.
+type storeCopy struct {
+	replica *replication.Replica
+	cache   *storage.Cache   // the replica's, until it installs another
+	term    *leadership.Term // the replica's
+}
 
-	catalog *catalog.Catalog
+// clusterMember is this controller's standing among its peers.
+type clusterMember struct {
+	member   *membership.Member
+	peers    *membership.Peers
+	health   *membership.Health
+	election *election.Election
+	status   statusSchedule
+}
 
-	partitions      map[int]*partitionLeader
-	deathTimes      map[storage.Process]micros.Time // when a process was first known to be dead
-	member          *membership.Member
-	peers           *membership.Peers
-	health          *membership.Health
-	status          statusSchedule
+// jobTables are what is kept of jobs besides the records in the store.
+type jobTables struct {
 	cancellations   *cancellation.Exchange
 	dependencyLists int                          // lists of dependencies that were stored in parts
 	archivedJobs    map[string]*storage.JobEntry // records read from the archive
 	progress        *progressTable
-	leader          clusterLeader
 	runtimes        *workload.RuntimeStats
-	faults          *provisioning.FaultTracker
-	spot            spotLosses
-	reachability    *reachability.Probe
-	fair            *fairAdmission   // nil: off
-	lastPlanned     *partitionLeader // that planned in the last step
+}
+
+// fleet is the partitions led here, and what their leaders know in common of the machines.
+type fleet struct {
+	partitions   map[int]*partitionLeader
+	lastPlanned  *partitionLeader                // that planned in the last step
+	deathTimes   map[storage.Process]micros.Time // when a process was first known to be dead
+	faults       *provisioning.FaultTracker
+	spot         spotLosses
+	reachability *reachability.Probe
 }
 
 // New starts a controller's core; incarnation must be new with every process.
 func New(cfg *config.Config, incarnation string) *Core {
-	keys := storage.Keys{Prefix: cfg.Operator.KeyPrefix}
 	limits := cfg.Settings.StateLimits()
 	c := &Core{
-		config:       cfg,
-		process:      storage.Process{Member: cfg.Member, Incarnation: incarnation},
-		teams:        workload.Teams(cfg),
-		keys:         keys,
+		identity: identity{
+			config:  cfg,
+			process: storage.Process{Member: cfg.Member, Incarnation: incarnation},
+			teams:   workload.Teams(cfg),
+			keys:    storage.Keys{Prefix: cfg.Operator.KeyPrefix},
+		},
 		storeLimiter: storage.NewRateLimiter(limits.RPS, limits.WriteRPS, cfg.Settings.Nodes),
-		partitions:   map[int]*partitionLeader{},
-		deathTimes:   map[storage.Process]micros.Time{},
-		archivedJobs: map[string]*storage.JobEntry{},
-		progress:     newProgressTable(),
-		runtimes:     workload.NewRuntimeStats(),
-		faults:       provisioning.NewFaultTracker(),
-		fair:         newFairAdmission(cfg),
-	}
-	expected := make([]string, len(cfg.Peers))
-	for i, p := range cfg.Peers {
-		expected[i] = p.Member
+		jobTables: jobTables{
+			archivedJobs: map[string]*storage.JobEntry{},
+			progress:     newProgressTable(),
+			runtimes:     workload.NewRuntimeStats(),
+		},
+		fair: newFairAdmission(cfg),
 	}
 	maxAgentCalls := max(1, cfg.Sockets().Calls/2) // the other half are idle connections
 	c.calls = calls.NewTable(c.storeLimiter, maxAgentCalls)
-	c.peers = membership.NewPeers(cfg.Member, expected)
-	c.health = membership.NewHealth(c.peers)
-	leaseTTL := micros.Time(cfg.Operator.PermitMs) * micros.Millisecond
-	c.cancellations = cancellation.NewExchange(c.process, cancellationNoticeTTL(cfg))
-	c.reachability = reachability.NewProbe(environment{c}, func() { c.status.soon = true })
-	c.member = membership.NewMember(environment{c}, c.process, keys, leaseTTL)
-	c.election = election.New(environment{c}, c.member, c.process, keys)
-	c.replica = replication.New(environment{c}, replicaObserver{c}, replication.Settings{
-		Keys: keys, TermLength: cfg.LeadershipTerm(), WatchInterval: watchInterval(cfg),
-	})
-	c.cache, c.term = c.replica.Cache(), c.replica.Term()
+	c.storeCopy = newStoreCopy(c)
+	c.clusterMember = newClusterMember(c)
 	c.catalog = catalog.New(environment{c}, catalog.Settings{
-		Keys: keys, MaxValue: cfg.Settings.MaxValue(), MaxTxnOps: limits.TxnOps,
+		Keys: c.keys, MaxValue: cfg.Settings.MaxValue(), MaxTxnOps: limits.TxnOps,
 	}, c.replanAll)
-	c.leader = newClusterLeader(clusterView{environment{c}}, cfg, c.process, keys, c.peers)
+	c.cancellations = cancellation.NewExchange(c.process, cancellationNoticeTTL(cfg))
+	c.fleet = newFleet(c)
+	c.leader = newClusterLeader(clusterView{environment{c}}, cfg, c.process, c.keys, c.peers)
 	return c
 }
 
-// Step takes inputs at a time: steady is a clock that never goes back, wall the
-// time of day.
+func newStoreCopy(c *Core) storeCopy {
+	replica := replication.New(environment{c}, replicaObserver{c}, replication.Settings{
+		Keys: c.keys, TermLength: c.config.LeadershipTerm(), WatchInterval: watchInterval(c.config),
+	})
+	return storeCopy{replica: replica, cache: replica.Cache(), term: replica.Term()}
+}
+
+func newClusterMember(c *Core) clusterMember {
+	peerNames := make([]string, len(c.config.Peers))
+	for i, p := range c.config.Peers {
+		peerNames[i] = p.Member
+	}
+	peers := membership.NewPeers(c.process.Member, peerNames)
+	leaseTTL := micros.Time(c.config.Operator.PermitMs) * micros.Millisecond
+	member := membership.NewMember(environment{c}, c.process, c.keys, leaseTTL)
+	return clusterMember{
+		member:   member,
+		peers:    peers,
+		health:   membership.NewHealth(peers),
+		election: election.New(environment{c}, member, c.process, c.keys),
+	}
+}
+
+func newFleet(c *Core) fleet {
+	return fleet{
+		partitions:   map[int]*partitionLeader{},
+		deathTimes:   map[storage.Process]micros.Time{},
+		faults:       provisioning.NewFaultTracker(),
+		reachability: reachability.NewProbe(environment{c}, func() { c.status.soon = true }),
+	}
+}
+
+// Step takes inputs at a time: steady is a clock that never goes back, wall the time of day.
 func (c *Core) Step(steady, wall micros.Time, inputs ...messages.Input) *messages.Output {
 	c.now, c.wall = max(c.now, steady), wall
 	if c.startedAt == 0 {
@@ -134,7 +181,7 @@
 	return c.output
 }
 
-// ObserveStepDuration tells how long the last step took. The core has no clock; that planning
+// ObserveStepDuration takes how long the last step took. The core has no clock; that planning
 // leaves time for everything else is measured outside.
 func (c *Core) ObserveStepDuration(d micros.Time) {
 	if c.lastPlanned != nil {
@@ -143,6 +190,7 @@
 	c.lastPlanned = nil
 }
 
+// dispatch hands an input to the part that it is for.
 func (c *Core) dispatch(in messages.Input) {
 	switch in := in.(type) {
 	case *messages.Submit:
@@ -166,6 +214,7 @@
 	}
 }
 
+// tick lets the parts act on their timers, always in the same order.
 func (c *Core) tick() {
 	if c.storeReachable() {
 		c.health.StoreServed(c.now)
@@ -213,6 +262,7 @@
 // Healthy reports whether the controller should be sent users' requests.
 func (c *Core) Healthy() bool { return c.health.Healthy(c.now, c.storeReachable()) }
 
+// sortedKeys are a map's keys in order, where the order of what is done must not vary.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/internal/coordination/precedence_test.go
+++ b/internal/coordination/precedence_test.go
@@ -30,7 +30,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			settings := &config.Config{}
 			settings.Settings.Objectives = []config.Objective{{Kind: c.kind, Class: c.class, WithinS: 100}}
-			core := &Core{config: settings, wall: 1000 * micros.Second, runtimes: workload.NewRuntimeStats()}
+			core := &Core{
+				identity:  identity{config: settings},
+				step:      step{wall: 1000 * micros.Second},
+				jobTables: jobTables{runtimes: workload.NewRuntimeStats()},
+			}
 			p := &partitionLeader{core: core}
 			j := &job{Job: &workload.Job{Class: "c", Estimate: estimate}, readySince: core.wall - c.age}
 			if got := p.nearObjective(j); got != c.want {
@@ -55,8 +59,9 @@
 		{"no guarantee", 0, 0, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
+			teams := map[string]*workload.Team{"a": {GuaranteeCPU: c.guarantee}}
 			p := &partitionLeader{
-				core:      &Core{teams: map[string]*workload.Team{"a": {GuaranteeCPU: c.guarantee}}},
+				core:      &Core{identity: identity{teams: teams}},
 				teamUsage: map[string]workload.Resources{"a": {CPU: c.used}},
 			}
 			j := &job{
--- a/internal/coordination/scale_in_test.go
+++ b/internal/coordination/scale_in_test.go
@@ -12,7 +12,7 @@
 func TestIdleTimeout(t *testing.T) {
 	const keepS = 30
 	settings := &config.Config{Operator: &config.Operator{IdleKeepS: keepS}}
-	p := &partitionLeader{core: &Core{config: settings}}
+	p := &partitionLeader{core: &Core{identity: identity{config: settings}}}
 	ofType := func(cpu int64, boot micros.Time) *workload.InstanceType {
 		return &workload.InstanceType{Capacity: workload.Resources{CPU: cpu}, Boot: boot}
 	}
