--- a/internal/coordination/headroom.go
+++ b/internal/coordination/headroom.go
@@ -156,8 +156,10 @@
 	}
 	request = p.capacityRequest(survey.service, missing)
 	request.InstanceTypes = nil
-	for _, name := range sortedKeys(p.core.catalog.Types()) {
-		if p.core.catalog.Types()[name].Capacity.CPU < m.instanceType.Capacity.CPU && survey.service.AllowsInstanceType(name) {
+	types := p.core.catalog.Types()
+	for _, name := range sortedKeys(types) {
+		smaller := types[name].Capacity.CPU < m.instanceType.Capacity.CPU
+		if smaller && survey.service.AllowsInstanceType(name) {
 			request.InstanceTypes = append(request.InstanceTypes, name)
 		}
 	}
--- a/internal/coordination/planning.go
+++ b/internal/coordination/planning.go
@@ -117,7 +117,7 @@
 	slices.SortStableFunc(services, func(a, b rankedJob) int {
 		return cmp.Or(cmp.Compare(b.job.Priority, a.job.Priority), cmp.Compare(a.job.readySince, b.job.readySince))
 	})
-	slices.SortStableFunc(arrays, func(a, b rankedJob) int { return a.Precedence.Compare(b.Precedence) })
+	slices.SortStableFunc(arrays, func(a, b rankedJob) int { return a.Compare(b.Precedence) })
 	return services, arrays
 }
 
--- a/internal/coordination/scheduling/index.go
+++ b/internal/coordination/scheduling/index.go
@@ -30,13 +30,14 @@
 	switch priority {
 	case workload.Low:
 		return 1
+	case workload.Normal:
+		return 2
 	case workload.High:
 		return 4
 	case workload.Production:
 		return 8
-	default:
-		return 2
 	}
+	return 2
 }
 
 // LookAhead is the look-ahead factor K1 of equation (7) for the due date range factor R.
