--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -43,148 +43,192 @@
 // fleetSizes are the numbers of machines that the benchmarks are run with.
 var fleetSizes = []int{400, 1300, 4000}
 
-// newLarge is a core that leads and holds a queue of a number of machines, each
-// with eight running tasks, and has a tenth as many waiting jobs.
+// forFleetSizes runs a benchmark with each of them.
+func forFleetSizes(b *testing.B, run func(b *testing.B, size int)) {
+	for _, size := range fleetSizes {
+		b.Run(strconv.Itoa(size), func(b *testing.B) { run(b, size) })
+	}
+}
+
+const (
+	machinesPerBlock = 50
+	tasksPerMachine  = 8
+	tasksPerJob      = 80
+)
+
+// newLarge is a core that leads the cluster and a partition of a number of machines, each
+// with eight running tasks, and has a tenth as many waiting jobs. It returns a heartbeat of each
+// machine.
 func newLarge(b testing.TB, size int) (*Core, []*messages.Heartbeat) {
+	b.Helper()
 	cfg, err := config.Parse([]byte(benchSettings), nil)
 	if err != nil {
 		b.Fatal(err)
 	}
 	c := New(cfg, "1")
-	c.catalog.Adopt(workload.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: workload.Resources{CPU: 32_000, Mem: 256_000},
-		Price: 2, SpotPrice: 1, FetchGBps: 0.5, Boot: 30 * micros.Second}})
-	r := storage.NewCache(c.keys)
-	version := uint64(0)
+	c.catalog.Adopt(workload.Catalog{"m": {
+		Name:      "m",
+		Zones:     []string{"a"},
+		Capacity:  workload.Resources{CPU: 32_000, Mem: 256_000},
+		Price:     2,
+		SpotPrice: 1,
+		FetchGBps: 0.5,
+		Boot:      30 * micros.Second,
+	}})
+	cache, heartbeats := largeCache(b, c, size)
+	c.now = micros.Second
+	c.output = &messages.Output{}
+	c.replica.Install(cache, 0)
+	c.term.Confirm(c.now)
+	for _, h := range heartbeats {
+		h.FencingToken = cache.Revision
+	}
+	return c, heartbeats
+}
+
+// largeCache is what the key-value store has of the jobs, machines and leaders of newLarge.
+func largeCache(b testing.TB, c *Core, size int) (*storage.Cache, []*messages.Heartbeat) {
+	b.Helper()
+	cache := storage.NewCache(c.keys)
 	put := func(key string, v any) {
-		version++
+		b.Helper()
+		cache.Revision++
 		raw, err := json.Marshal(v)
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, _, err := r.Apply(storage.Item{Key: key, Value: raw, ModRevision: version}); err != nil {
+		if _, _, err := cache.Apply(storage.Item{Key: key, Value: raw, ModRevision: cache.Revision}); err != nil {
 			b.Fatal(err)
 		}
 	}
-	job := func(n int) string { return fmt.Sprintf("wk-%06d", n) }
 	for i := range size / 5 {
-		put(c.keys.Job(job(i)), &workload.Job{ID: job(i), Class: "c", Team: "alpha", Tasks: 80, Resources: workload.Resources{CPU: 4000, Mem: 4000},
-			Estimate: 60 * micros.Second, Deadline: 160 * micros.Second, Spot: true, Image: "i"})
+		j := largeJob(i)
+		put(c.keys.Job(j.ID), j)
 	}
-	var reports []*messages.Heartbeat
-	for k := range size / 50 {
+	var heartbeats []*messages.Heartbeat
+	for block := range size / machinesPerBlock {
 		machines := map[string]storage.MachineRecord{}
-		for i := range 50 {
-			m := fmt.Sprintf("vm-%06d", k*50+i)
-			machines[m] = storage.MachineRecord{Address: "10.1.0.1:9000", Used: true}
-			rep := &messages.Heartbeat{Machine: m, Address: "10.1.0.1:9000", InstanceType: "m", Zone: "a", AgentEpoch: 1, PreemptionNotice: -1}
-			for t := range 8 {
-				n := (k*50+i)*8 + t
-				rep.Tasks = append(rep.Tasks, messages.TaskStatus{AttemptID: messages.AttemptID{Job: job(n / 80), Task: n % 80, Number: uint64(n + 1)}, State: messages.Running})
-			}
-			reports = append(reports, rep)
+		for i := range machinesPerBlock {
+			h := largeHeartbeat(block*machinesPerBlock + i)
+			machines[h.Machine] = storage.MachineRecord{Address: h.Address, Used: true}
+			heartbeats = append(heartbeats, h)
 		}
-		put(c.keys.Block(fmt.Sprint("b", k)), storage.BlockRecord{InstanceType: "m", Zone: "a", Machines: machines})
+		record := storage.BlockRecord{InstanceType: "m", Zone: "a", Machines: machines}
+		put(c.keys.Block(fmt.Sprint("b", block)), record)
 	}
 	put(c.keys.Member("n0"), c.process)
 	put(c.keys.ClusterLeader(), c.process)
 	put(c.keys.Partition(0), storage.PartitionRecord{Leader: c.process})
-	r.Revision = version
-	c.now = micros.Second
-	c.output = &messages.Output{}
-	c.replica.Install(r, 0)
-	c.term.Confirm(c.now)
-	for _, rep := range reports {
-		rep.FencingToken = version
+	return cache, heartbeats
+}
+
+// largeJobID is the id of a job of newLarge.
+func largeJobID(i int) string { return fmt.Sprintf("wk-%06d", i) }
+
+// largeJob is a job of newLarge: the first half of them run.
+func largeJob(i int) *workload.Job {
+	return &workload.Job{
+		ID:        largeJobID(i),
+		Class:     "c",
+		Team:      "alpha",
+		Tasks:     tasksPerJob,
+		Resources: workload.Resources{CPU: 4000, Mem: 4000},
+		Estimate:  60 * micros.Second,
+		Deadline:  160 * micros.Second,
+		Spot:      true,
+		Image:     "i",
 	}
-	return c, reports
 }
 
-// TestProgressOfAllJobs: more running jobs than one message to the siblings takes are
-// all told within a few.
-func TestProgressOfAllJobs(t *testing.T) {
-	c, reports := newLarge(t, 8000)
-	for _, r := range reports {
-		r.Sequence++
-		c.lastTick = 2 * micros.Second
-		c.Step(2*micros.Second, 2*micros.Second, &messages.HeartbeatRequest{Request: 1, Heartbeat: r})
+// largeHeartbeat is the heartbeat of a machine of newLarge.
+func largeHeartbeat(machine int) *messages.Heartbeat {
+	h := &messages.Heartbeat{
+		Machine:          fmt.Sprintf("vm-%06d", machine),
+		Address:          "10.1.0.1:9000",
+		InstanceType:     "m",
+		Zone:             "a",
+		AgentEpoch:       1,
+		PreemptionNotice: -1,
+	}
+	for i := range tasksPerMachine {
+		n := machine*tasksPerMachine + i
+		id := messages.AttemptID{Job: largeJobID(n / tasksPerJob), Task: n % tasksPerJob, Number: uint64(n + 1)}
+		h.Tasks = append(h.Tasks, messages.TaskStatus{AttemptID: id, State: messages.Running})
 	}
-	told := map[string]int{}
+	return h
+}
+
+// receive takes the next heartbeat of each machine, without the timers.
+func receive(c *Core, now micros.Time, heartbeats []*messages.Heartbeat) {
+	for _, h := range heartbeats {
+		h.Sequence++
+		c.lastTick = now
+		c.Step(now, now, &messages.HeartbeatRequest{Request: 1, Heartbeat: h})
+	}
+}
+
+// TestProgressOfAllJobs: more running jobs than one message to the peers takes are
+// all in a few.
+func TestProgressOfAllJobs(t *testing.T) {
+	c, heartbeats := newLarge(t, 8000)
+	receive(c, 2*micros.Second, heartbeats)
+	running := map[string]int{}
 	for range 2 {
 		for _, p := range c.partitions[0].jobProgress() {
-			told[p.ID] += p.Running
+			running[p.ID] += p.Running
 		}
 	}
-	if len(told) != 800 {
-		t.Errorf("%d jobs of 800 were told", len(told))
+	if len(running) != 800 {
+		t.Errorf("progress of %d jobs of 800", len(running))
 	}
 }
 
-// BenchmarkReport takes a report of each machine, the work that comes
-// every report time.
-func BenchmarkReport(b *testing.B) {
-	for _, size := range fleetSizes {
-		b.Run(strconv.Itoa(size), func(b *testing.B) { benchReport(b, size) })
-	}
-}
+// BenchmarkHeartbeats takes a heartbeat of each machine, the work that comes
+// every heartbeat interval.
+func BenchmarkHeartbeats(b *testing.B) { forFleetSizes(b, benchHeartbeats) }
 
-func benchReport(b *testing.B, size int) {
-	c, reports := newLarge(b, size)
+func benchHeartbeats(b *testing.B, size int) {
+	c, heartbeats := newLarge(b, size)
 	b.ReportAllocs()
 	now := 2 * micros.Second
 	for b.Loop() {
 		now += 1500 * micros.Millisecond
 		c.term.Confirm(now)
-		c.lastTick = now // reports alone, without the timers
-		for _, r := range reports {
-			r.Sequence++
-			c.Step(now, now, &messages.HeartbeatRequest{Request: 1, Heartbeat: r})
-		}
+		receive(c, now, heartbeats)
 	}
-	if n := len(c.partitions[0].machines[0].attempts); n != 8 {
+	if n := len(c.partitions[0].machines[0].attempts); n != tasksPerMachine {
 		b.Fatal("attempts", n)
 	}
 }
 
 // BenchmarkPlan plans the waiting jobs on the machines.
-func BenchmarkPlan(b *testing.B) {
-	for _, size := range fleetSizes {
-		b.Run(strconv.Itoa(size), func(b *testing.B) { benchPlan(b, size) })
-	}
-}
+func BenchmarkPlan(b *testing.B) { forFleetSizes(b, benchPlan) }
 
 func benchPlan(b *testing.B, size int) {
-	c, reports := newLarge(b, size)
+	c, heartbeats := newLarge(b, size)
 	b.ReportAllocs()
 	now := 2 * micros.Second
-	for _, r := range reports {
-		r.Sequence++
-		c.lastTick = now
-		c.Step(now, now, &messages.HeartbeatRequest{Request: 1, Heartbeat: r})
-	}
-	h := c.partitions[0]
-	for _, m := range h.machines {
+	receive(c, now, heartbeats)
+	p := c.partitions[0]
+	for _, m := range p.machines {
 		m.instanceType = c.catalog.Types()["m"]
 	}
 	for b.Loop() {
 		now += minPlanInterval
-		for _, m := range h.machines {
+		for _, m := range p.machines {
 			m.contact.Reached(now)
 		}
 		c.now, c.wall, c.output = now, now, &messages.Output{}
-		h.plan.stale = true
-		h.schedule()
+		p.plan.stale = true
+		p.schedule()
 	}
-	if len(h.buildTimelines()) != size || len(h.plan.capacityRequests) == 0 {
+	if len(p.buildTimelines()) != size || len(p.plan.capacityRequests) == 0 {
 		b.Fatal("nothing to plan")
 	}
 }
 
 // BenchmarkPoll answers a poll of a finished job, and of one that is active.
-func BenchmarkPoll(b *testing.B) {
-	for _, size := range fleetSizes {
-		b.Run(strconv.Itoa(size), func(b *testing.B) { benchPoll(b, size) })
-	}
-}
+func BenchmarkPoll(b *testing.B) { forFleetSizes(b, benchPoll) }
 
 func benchPoll(b *testing.B, size int) {
 	c, _ := newLarge(b, size)
--- a/internal/coordination/large_bench_test.go
+++ b/internal/coordination/large_bench_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"runtime"
-	"strconv"
 	"testing"
 
 	"pipitlatch/internal/coordination/messages"
@@ -11,119 +10,102 @@
 	"pipitlatch/internal/storage"
 )
 
-// BenchmarkTakeover is what a new holder does from its lease on: it reads the records it
-// holds, hears of every machine once, and plans.
-func BenchmarkTakeover(b *testing.B) {
-	for _, size := range fleetSizes {
-		b.Run(strconv.Itoa(size), func(b *testing.B) {
-			c, reports := newLarge(b, size)
-			b.ReportAllocs()
-			now := 2 * micros.Second
-			for b.Loop() {
-				now += 10 * micros.Second
-				c.now, c.output = now, &messages.Output{}
-				c.term.Confirm(now)
-				c.partitions[0] = newPartitionLeader(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: c.cache.Partitions[0].ModRevision})
-				for _, r := range reports {
-					r.Sequence++
-					c.lastTick = now
-					c.Step(now, now, &messages.HeartbeatRequest{Request: 1, Heartbeat: r})
-				}
-				c.output = &messages.Output{}
-				c.partitions[0].schedule()
-			}
-			if h := c.partitions[0]; len(h.machines) != size || !h.machines[size-1].agent.Reconciled() {
-				b.Fatal("not taken over")
-			}
-		})
+// BenchmarkFailover is what a new partition leader does from its lease on: it reads the records
+// that it is responsible for, hears of every machine once, and plans.
+func BenchmarkFailover(b *testing.B) { forFleetSizes(b, benchFailover) }
+
+func benchFailover(b *testing.B, size int) {
+	c, heartbeats := newLarge(b, size)
+	b.ReportAllocs()
+	now := 2 * micros.Second
+	for b.Loop() {
+		now += 10 * micros.Second
+		c.now, c.output = now, &messages.Output{}
+		c.term.Confirm(now)
+		stored := storage.Versioned[storage.PartitionRecord]{ModRevision: c.cache.Partitions[0].ModRevision}
+		c.partitions[0] = newPartitionLeader(c, 0, stored)
+		receive(c, now, heartbeats)
+		c.output = &messages.Output{}
+		c.partitions[0].schedule()
+	}
+	if p := c.partitions[0]; len(p.machines) != size || !p.machines[size-1].agent.Reconciled() {
+		b.Fatal("not taken over")
 	}
 }
 
-// BenchmarkThirdSilent is one look at the timers while a third of the fleet is silent.
-func BenchmarkThirdSilent(b *testing.B) {
-	for _, size := range fleetSizes {
-		b.Run(strconv.Itoa(size), func(b *testing.B) {
-			c, reports := newLarge(b, size)
-			now := 2 * micros.Second
-			for _, r := range reports {
-				r.Sequence++
-				c.lastTick = now
-				c.Step(now, now, &messages.HeartbeatRequest{Request: 1, Heartbeat: r})
-			}
-			h := c.partitions[0]
-			c.now, c.output = now+h.suspicionTimeout()+micros.Second, &messages.Output{}
-			b.ReportAllocs()
-			for b.Loop() {
-				c.now += 50 * micros.Millisecond
-				for i, m := range h.machines {
-					m.commands.CallStarted()
-					if i%3 != 0 {
-						m.contact.Reached(c.now)
-						m.contact.Replied(c.now)
-					} else if m.contact.FailedCalls() == 0 {
-						m.contact.CallFailed(c.now - micros.Second)
-					}
-				}
-				for _, m := range h.machines {
-					h.checkMachine(m)
-					m.drain.reason = notDraining
-				}
-				c.output = &messages.Output{}
+// BenchmarkThirdSuspected is one look at the timers while a third of the fleet is suspected.
+func BenchmarkThirdSuspected(b *testing.B) { forFleetSizes(b, benchThirdSuspected) }
+
+func benchThirdSuspected(b *testing.B, size int) {
+	c, heartbeats := newLarge(b, size)
+	now := 2 * micros.Second
+	receive(c, now, heartbeats)
+	p := c.partitions[0]
+	c.now, c.output = now+p.suspicionTimeout()+micros.Second, &messages.Output{}
+	b.ReportAllocs()
+	for b.Loop() {
+		c.now += 50 * micros.Millisecond
+		for i, m := range p.machines {
+			m.commands.CallStarted()
+			if i%3 != 0 {
+				m.contact.Reached(c.now)
+				m.contact.Replied(c.now)
+			} else if m.contact.FailedCalls() == 0 {
+				m.contact.CallFailed(c.now - micros.Second)
 			}
-		})
+		}
+		for _, m := range p.machines {
+			p.checkMachine(m)
+			m.drain.reason = notDraining
+		}
+		c.output = &messages.Output{}
 	}
 }
 
-// BenchmarkAllIdle decides which machines are given back when all are idle at once.
-func BenchmarkAllIdle(b *testing.B) {
-	for _, size := range fleetSizes {
-		b.Run(strconv.Itoa(size), func(b *testing.B) {
-			c, reports := newLarge(b, size)
-			now := 2 * micros.Second
-			for _, r := range reports {
-				r.Sequence++
-				r.Tasks = nil
-				c.lastTick = now
-				c.Step(now, now, &messages.HeartbeatRequest{Request: 1, Heartbeat: r})
-			}
-			h := c.partitions[0]
-			c.now = now + 100*micros.Second
-			b.ReportAllocs()
-			for b.Loop() {
-				c.now += micros.Second
-				c.term.Confirm(c.now)
-				c.output = &messages.Output{}
-				h.plan.capacityRequests = nil
-				for _, m := range h.machines {
-					m.contact.Reached(c.now)
-					m.contact.Replied(c.now)
-					m.instanceType, m.drain.reason = c.catalog.Types()["m"], notDraining
-				}
-				h.scaleIn()
-			}
-		})
+// BenchmarkAllIdle decides which machines are terminated when all are idle at once.
+func BenchmarkAllIdle(b *testing.B) { forFleetSizes(b, benchAllIdle) }
+
+func benchAllIdle(b *testing.B, size int) {
+	c, heartbeats := newLarge(b, size)
+	now := 2 * micros.Second
+	for _, h := range heartbeats {
+		h.Tasks = nil
+	}
+	receive(c, now, heartbeats)
+	p := c.partitions[0]
+	c.now = now + 100*micros.Second
+	b.ReportAllocs()
+	for b.Loop() {
+		c.now += micros.Second
+		c.term.Confirm(c.now)
+		c.output = &messages.Output{}
+		p.plan.capacityRequests = nil
+		for _, m := range p.machines {
+			m.contact.Reached(c.now)
+			m.contact.Replied(c.now)
+			m.instanceType, m.drain.reason = c.catalog.Types()["m"], notDraining
+		}
+		p.scaleIn()
 	}
 }
 
-// TestMemoryByFleet reports what a holder's state takes, and that it grows as the fleet does.
+// TestMemoryByFleet reports what the state of a partition leader takes, and that it grows as the
+// fleet does.
 func TestMemoryByFleet(t *testing.T) {
 	perMachine := map[int]uint64{}
 	for _, size := range fleetSizes {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		c, reports := newLarge(t, size)
-		for _, r := range reports {
-			r.Sequence++
-			c.lastTick = 2 * micros.Second
-			c.Step(2*micros.Second, 2*micros.Second, &messages.HeartbeatRequest{Request: 1, Heartbeat: r})
-		}
+		c, heartbeats := newLarge(t, size)
+		receive(c, 2*micros.Second, heartbeats)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		perMachine[size] = (after.HeapAlloc - before.HeapAlloc) / uint64(size)
-		t.Logf("%d machines, eight tasks each: %d KB, %d bytes a machine", size, (after.HeapAlloc-before.HeapAlloc)/1024, perMachine[size])
+		taken := after.HeapAlloc - before.HeapAlloc
+		perMachine[size] = taken / uint64(size)
+		t.Logf("%d machines, eight tasks each: %d KB, %d bytes a machine", size, taken/1024, perMachine[size])
 		runtime.KeepAlive(c)
-		runtime.KeepAlive(reports)
+		runtime.KeepAlive(heartbeats)
 	}
 	if perMachine[4000] > 2*perMachine[400] {
 		t.Errorf("memory grows faster than the fleet: %v", perMachine)
