--- a/internal/coordination/calls/calls_test.go
+++ b/internal/coordination/calls/calls_test.go
@@ -19,7 +19,9 @@
 }
 
 // mustCall adds a request to the store that has to be allowed.
-func mustCall(t *testing.T, table *Table, now micros.Time, r *storage.Request, done func(*storage.Reply)) messages.StoreCall {
+func mustCall(
+	t *testing.T, table *Table, now micros.Time, r *storage.Request, done func(*storage.Reply),
+) messages.StoreCall {
 	t.Helper()
 	call, ok := table.Store(now, r, storage.Urgent, micros.Second, done)
 	if !ok {
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -198,8 +198,6 @@
 // reevaluateAffected looks at the jobs again for which something changed with another job.
 func (c *Core) reevaluateAffected() {
 	for _, id := range c.cache.TakeAffected() {
-		for _, partition := range sortedKeys(c.partitions) {
-			c.partitions[partition].jobChanged(id)
-		}
+		c.jobChanged(id)
 	}
 }
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -87,23 +87,28 @@
 				e.environment.RequireNoCall(t)
 				return
 			}
-			call := e.environment.Take(t, storage.Txn)
-			compare := storage.Compare{Key: "test/leader", ModRevision: test.revision}
-			if compares := call.Request.Compares; len(compares) != 1 || compares[0] != compare {
-				t.Errorf("compares %+v, want %+v", compares, compare)
-			}
-			puts := call.Request.Puts
-			if len(puts) != 1 || puts[0].Key != compare.Key || puts[0].Lease != 7 ||
-				string(puts[0].Value) != string(storage.Encode(self)) {
-				t.Errorf("puts %+v, want this process attached to lease 7", puts)
-			}
-			if call.Urgency != storage.Urgent {
-				t.Errorf("urgency %d", call.Urgency)
-			}
+			requireCampaign(t, e.environment.Take(t, storage.Txn), test.revision)
 		})
 	}
 }
 
+// requireCampaign fails the test if a call doesn't replace the leadership of a revision.
+func requireCampaign(t *testing.T, call *storetest.Call, revision uint64) {
+	t.Helper()
+	compare := storage.Compare{Key: "test/leader", ModRevision: revision}
+	if compares := call.Request.Compares; len(compares) != 1 || compares[0] != compare {
+		t.Errorf("compares %+v, want %+v", compares, compare)
+	}
+	puts := call.Request.Puts
+	if len(puts) != 1 || puts[0].Key != compare.Key || puts[0].Lease != 7 ||
+		string(puts[0].Value) != string(storage.Encode(self)) {
+		t.Errorf("puts %+v, want this process attached to lease 7", puts)
+	}
+	if call.Urgency != storage.Urgent {
+		t.Errorf("urgency %d", call.Urgency)
+	}
+}
+
 func TestCampaignsAreSpaced(t *testing.T) {
 	e := newElectionTest()
 	e.environment.OverBudget = true
--- a/internal/coordination/job_progress_test.go
+++ b/internal/coordination/job_progress_test.go
@@ -26,16 +26,17 @@
 			table.observe([]messages.JobProgress{{ID: fmt.Sprint(prefix, i), Done: 1}})
 		}
 	}
+	const least = minProgressEntries
 	active := func(id string) bool { return id[0] == 'a' }
 	for name, test := range map[string]struct {
 		active, over int
 		kept         int // after the first pruning
 		limit        int // how many may then be observed before the next
 	}{
-		"few are kept, also of jobs that are over":  {10, minProgressEntries - 10, minProgressEntries, minProgressEntries},
-		"of many those of active jobs are kept":     {10, minProgressEntries, 10, minProgressEntries},
-		"all of many active jobs are kept":          {minProgressEntries + 9, 0, minProgressEntries + 9, 2*minProgressEntries + 18},
-		"half of what is kept may be of ended jobs": {minProgressEntries, 1, minProgressEntries, 2 * minProgressEntries},
+		"few are kept, also of jobs that are over":  {10, least - 10, least, least},
+		"of many those of active jobs are kept":     {10, least, 10, least},
+		"all of many active jobs are kept":          {least + 9, 0, least + 9, 2*least + 18},
+		"half of what is kept may be of ended jobs": {least, 1, least, 2 * least},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := newProgressTable()
--- a/internal/coordination/membership/member.go
+++ b/internal/coordination/membership/member.go
@@ -94,7 +94,7 @@
 		case storage.NotFound, storage.LeaseNotFound:
 			m.leaseID = 0
 			m.environment.Log(messages.LevelWarn, "member lease expired")
-		default:
+		case storage.Conflict, storage.Compacted, storage.Unavailable, storage.Invalid, storage.OutcomeUnknown:
 			m.leaseRetryAt = m.environment.Now() + keepaliveRetryInterval
 		}
 	})
--- a/internal/coordination/replication/replica_test.go
+++ b/internal/coordination/replication/replica_test.go
@@ -279,7 +279,7 @@
 	r.environment.Time += testInterval
 	r.Refresh()
 	r.environment.RequireNoCall(t) // one at a time
-	r.environment.Time -= 1
+	r.environment.Time--
 	call.Reply(storage.Reply{Outcome: storage.OK, Revision: 20})
 	r.Refresh()
 	r.environment.RequireNoCall(t)
--- a/internal/coordination/replication/watch.go
+++ b/internal/coordination/replication/watch.go
@@ -54,7 +54,8 @@
 		r.watch.previousSentAt = sent // what the next brings came after this
 	case storage.Compacted:
 		r.synced = false // changes are lost: a new snapshot is needed
-	default:
+	case storage.Conflict, storage.NotFound, storage.LeaseNotFound,
+		storage.Unavailable, storage.Invalid, storage.OutcomeUnknown:
 		r.watch.retryAt = r.environment.Now() + watchRetryInterval
 	}
 }
--- a/internal/coordination/store_changes.go
+++ b/internal/coordination/store_changes.go
@@ -42,27 +42,37 @@
 func (o replicaObserver) Changed(change storage.Change, item storage.Item) {
 	c := o.core
 	switch change.Kind {
-	case "node":
+	case storage.MemberRecord:
 		c.recordDeadProcesses()
-	case "queue":
+	case storage.PartitionLeaderRecord:
 		for n := range c.cache.Partitions {
 			if c.keys.Partition(n) == item.Key {
 				c.partitionChanged(n)
 			}
 		}
-	case "block":
+	case storage.MachineBlockRecord:
 		for _, n := range sortedKeys(c.partitions) {
 			for _, m := range change.Machines {
 				c.partitions[n].machineChanged(m)
 			}
 		}
-	case "job", "fin":
-		if change.Kind == "job" && c.isCancelled(change.ID) {
+	case storage.JobRecord:
+		if c.isCancelled(change.ID) {
 			c.cancellations.Committed(c.now, change.ID, item.ModRevision)
 		}
-		for _, n := range sortedKeys(c.partitions) {
-			c.partitions[n].jobChanged(change.ID)
-		}
+		c.jobChanged(change.ID)
+	case storage.CompletedRecord:
+		c.jobChanged(change.ID)
+	case storage.ClusterLeaderRecord, storage.ArchivedJobRecord, storage.DependencyPartRecord,
+		storage.CatalogRecord, storage.CatalogPartRecord, storage.AdmissionRecord, storage.FormatRecord:
+		// Looked up in the cache where they matter, or taken when all changes are applied.
+	}
+}
+
+// jobChanged lets the partitions led here look at a job again.
+func (c *Core) jobChanged(id string) {
+	for _, n := range sortedKeys(c.partitions) {
+		c.partitions[n].jobChanged(id)
 	}
 }
 
