--- a/internal/coordination/cancellation/exchange_test.go
+++ b/internal/coordination/cancellation/exchange_test.go
@@ -237,19 +237,23 @@
 			for _, at := range test.at {
 				e.Expire(at)
 			}
-			for _, job := range test.want {
-				if !e.Known(job) {
-					t.Errorf("%q was forgotten", job)
-				}
-			}
+			requireKnown(t, e, true, test.want)
+			requireKnown(t, e, false, test.wantGone)
+			jobs, _ := e.NoticesFor(nil)
 			for _, job := range test.wantGone {
-				if e.Known(job) {
-					t.Errorf("%q is still known", job)
-				}
-				if jobs, _ := e.NoticesFor(nil); slices.Contains(jobs, job) {
+				if slices.Contains(jobs, job) {
 					t.Errorf("%q is still told", job)
 				}
 			}
 		})
 	}
 }
+
+func requireKnown(t *testing.T, e *Exchange, want bool, jobs []string) {
+	t.Helper()
+	for _, job := range jobs {
+		if got := e.Known(job); got != want {
+			t.Errorf("%q known: %v, want %v", job, got, want)
+		}
+	}
+}
