--- a/internal/transport/bounds_test.go
+++ b/internal/transport/bounds_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"io"
 	"log/slog"
 	"net"
 	"net/http"
@@ -12,11 +11,10 @@
 	"testing"
 	"time"
 
-	"pipitlatch/internal/coordination/messages"
-
 	"golang.org/x/time/rate"
 
 	"pipitlatch/internal/config"
+	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 )
@@ -25,15 +23,16 @@
 // have. Asking for them again and again would never end; the state is read anew.
 func TestWatchTooLarge(t *testing.T) {
 	state := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.Write(bytes.Repeat([]byte(" "), maxStateAnswer+1))
+		_, _ = w.Write(bytes.Repeat([]byte(" "), maxStoreReply+1)) // the client may hang up before the end
 	}))
 	defer state.Close()
 	cfg := &config.Config{Operator: &config.Operator{}}
 	cfg.Services.State = strings.TrimPrefix(state.URL, "http://")
 	cfg.Settings.MachineLimits.MaxConnections = 100
-	c := newClients(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c := newClients(cfg, discardLog())
 	call := func(kind storage.RequestKind) storage.Outcome {
-		return c.callStore(context.Background(), &messages.StoreCall{Request: &storage.Request{Kind: kind, Key: "pl/"}, Timeout: 10 * micros.Second}).Outcome
+		request := &storage.Request{Kind: kind, Key: "pl/"}
+		return c.callStore(context.Background(), &messages.StoreCall{Request: request, Timeout: 10 * micros.Second}).Outcome
 	}
 	if got := call(storage.Watch); got != storage.Compacted {
 		t.Errorf("a watch: %v", got)
@@ -51,7 +50,7 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	l := &boundedListener{Listener: inner, most: 2, log: slog.New(slog.NewTextHandler(&out, nil)),
+	l := &boundedListener{Listener: inner, limit: 2, log: slog.New(slog.NewTextHandler(&out, nil)),
 		refusals: rate.Sometimes{First: 1, Interval: refusalLogInterval}}
 	accepted := make(chan net.Conn, 10)
 	done := make(chan struct{})
@@ -70,17 +69,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer mustClose(t, c)
 		if err := c.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
 			t.Fatal(err)
 		}
 		_, _ = c.Read(make([]byte, 1)) // the end of a refused one, or the deadline
 	}
-	inner.Close()
+	mustClose(t, inner)
 	<-done
+	close(accepted)
 	if len(accepted) != 2 {
 		t.Errorf("%d accepted", len(accepted))
 	}
+	for c := range accepted {
+		mustClose(t, c)
+	}
 	if n := strings.Count(out.String(), "connection refused"); n != 1 {
 		t.Errorf("%d lines: %s", n, out.String())
 	}
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -11,37 +11,50 @@
 	"net/http"
 	"time"
 
-	"pipitlatch/internal/coordination/messages"
-
 	"pipitlatch/internal/config"
+	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/protocol"
 	"pipitlatch/internal/storage"
 )
 
-// Bounds on answers; a larger one counts as none.
+// Bounds on replies; a larger one counts as none.
 const (
-	maxStateAnswer  = 8 << 20
-	maxCloudAnswer  = 1 << 20
-	maxWorkerAnswer = 256 << 10
+	maxStoreReply = 8 << 20
+	maxCloudReply = 1 << 20
+	maxAgentReply = 256 << 10
 )
 
-// errTooLarge: the answer is larger than its bound.
-var errTooLarge = errors.New("answer too large")
+// dialTimeout bounds how long a connection may take to come about.
+const dialTimeout = time.Second
 
-// clients calls the outside services.
+// errReplyTooLarge: the reply is larger than its bound.
+var errReplyTooLarge = errors.New("answer too large")
+
+// clients calls the key-value store, the cloud and agents.
 type clients struct {
-	cfg     *config.Config
-	log     *slog.Logger
-	service *http.Client // state service and cloud
-	workers *http.Client
+	cfg      *config.Config
+	log      *slog.Logger
+	services *http.Client // key-value store and cloud
+	agents   *http.Client
+}
+
+func newClients(cfg *config.Config, log *slog.Logger) *clients {
+	sockets := cfg.Sockets()
+	return &clients{
+		cfg:      cfg,
+		log:      log,
+		services: newHTTPClient(sockets.Service/2, sockets.Service/4, sockets.Service/2),
+		agents:   newHTTPClient(2, 1, sockets.Calls/2),
+	}
 }
 
-// newClient bounds connections, idle ones included, to each host.
-func newClient(dial time.Duration, perHost, idlePerHost, idle int) *http.Client {
+// newHTTPClient bounds connections to each host, those of them that are idle, and the idle ones to all
+// hosts.
+func newHTTPClient(perHost, idlePerHost, idle int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
-			DialContext:            (&net.Dialer{Timeout: dial, KeepAlive: 15 * time.Second}).DialContext,
+			DialContext:            (&net.Dialer{Timeout: dialTimeout, KeepAlive: 15 * time.Second}).DialContext,
 			MaxIdleConns:           idle,
 			MaxIdleConnsPerHost:    idlePerHost,
 			MaxConnsPerHost:        perHost,
@@ -53,87 +66,116 @@
 	}
 }
 
-func newClients(cfg *config.Config, log *slog.Logger) *clients {
-	sockets := cfg.Sockets()
-	return &clients{cfg: cfg, log: log,
-		service: newClient(time.Second, sockets.Service/2, sockets.Service/4, sockets.Service/2),
-		workers: newClient(time.Second, 2, 1, sockets.Calls/2)}
+// close ends the connections that are kept; calls in progress end with their context.
+func (c *clients) close() {
+	c.services.CloseIdleConnections()
+	c.agents.CloseIdleConnections()
+}
+
+// exchange is a request that is sent once, and the bounds on its reply.
+type exchange struct {
+	host     string
+	request  protocol.HTTPRequest
+	timeout  micros.Time
+	maxBytes int64
 }
 
-// do sends a request once. It must not be repeated behind the core's back: a
-// repetition would be a second send that nobody counts.
-func (c *clients) do(ctx context.Context, client *http.Client, host string, r protocol.HTTPRequest, timeout micros.Time, most int64) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, micros.Duration(timeout))
+// do sends a request once. It must not be repeated behind the core's back: a repetition would be a
+// second send that nobody counts.
+func do(ctx context.Context, client *http.Client, x exchange) (status int, body []byte, err error) {
+	ctx, cancel := context.WithTimeout(ctx, micros.Duration(x.timeout))
 	defer cancel()
-	var body io.Reader
-	if r.Body != nil {
-		// Hidden from net/http's type check on purpose: without GetBody it does not
-		// send the request a second time on a fresh connection.
-		body = struct{ io.Reader }{bytes.NewReader(r.Body)}
-	}
-	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+host+r.Path, body)
+	req, err := x.httpRequest(ctx)
 	if err != nil {
 		return 0, nil, fmt.Errorf("request: %w", err)
 	}
-	if r.Body != nil {
-		req.ContentLength = int64(len(r.Body))
-		req.Header.Set("Content-Type", "application/json")
-	}
 	resp, err := client.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, most+1))
+	defer discard(resp.Body)
+	body, err = io.ReadAll(io.LimitReader(resp.Body, x.maxBytes+1))
 	if err != nil {
 		return 0, nil, err
 	}
-	if int64(len(b)) > most {
-		return 0, nil, errTooLarge
+	if int64(len(body)) > x.maxBytes {
+		return 0, nil, errReplyTooLarge
 	}
-	return resp.StatusCode, b, nil
+	return resp.StatusCode, body, nil
 }
 
-func (c *clients) callStore(ctx context.Context, call *messages.StoreCall) *storage.Reply {
-	status, body, err := c.do(ctx, c.service, c.cfg.Services.State, protocol.EncodeStoreRequest(call.Request), call.Timeout, maxStateAnswer)
-	if err == nil {
-		var r *storage.Reply
-		if r, err = protocol.DecodeStoreReply(call.Request.Kind, status, body); err == nil {
-			return r
-		}
-		c.log.Warn("key-value store request failed", "err", err)
-		return r
+func (x *exchange) httpRequest(ctx context.Context) (*http.Request, error) {
+	url := "http://" + x.host + x.request.Path
+	if x.request.Body == nil {
+		return http.NewRequestWithContext(ctx, x.request.Method, url, nil)
+	}
+	// The reader is hidden from net/http's type check on purpose: without GetBody it does not send the
+	// request a second time on a fresh connection.
+	body := struct{ io.Reader }{bytes.NewReader(x.request.Body)}
+	req, err := http.NewRequestWithContext(ctx, x.request.Method, url, body)
+	if err != nil {
+		return nil, err
 	}
-	if errors.Is(err, errTooLarge) && call.Request.Kind == storage.Watch {
-		// A watch brings all changes since the last, however many: after a standstill
-		// they may be more than is ever read, and asking again would bring even more.
+	req.ContentLength = int64(len(x.request.Body))
+	req.Header.Set("Content-Type", "application/json")
+	return req, nil
+}
+
+// callStore never returns nil: a call without a readable reply may have been executed or not.
+func (c *clients) callStore(ctx context.Context, call *messages.StoreCall) *storage.Reply {
+	status, body, err := do(ctx, c.services, exchange{
+		host:     c.cfg.Services.State,
+		request:  protocol.EncodeStoreRequest(call.Request),
+		timeout:  call.Timeout,
+		maxBytes: maxStoreReply,
+	})
+	if errors.Is(err, errReplyTooLarge) && call.Request.Kind == storage.Watch {
+		// A watch brings all changes since the last, however many: after a standstill they may be more
+		// than is ever read, and asking again would bring even more.
 		c.log.Warn("change stream response too large, loading a new snapshot")
 		return &storage.Reply{Outcome: storage.Compacted}
 	}
-	c.log.Debug("key-value store request failed", "err", err)
-	return &storage.Reply{Outcome: storage.OutcomeUnknown}
+	if err != nil {
+		c.log.Debug("key-value store request failed", "err", err)
+		return &storage.Reply{Outcome: storage.OutcomeUnknown}
+	}
+	reply, err := protocol.DecodeStoreReply(call.Request.Kind, status, body)
+	if err != nil {
+		c.log.Warn("key-value store request failed", "err", err)
+	}
+	return reply
 }
 
+// callCloud never returns nil: a call without a readable reply may have been executed or not.
 func (c *clients) callCloud(ctx context.Context, call *messages.CloudCall) *messages.CloudReply {
-	status, body, err := c.do(ctx, c.service, c.cfg.Services.Cloud, protocol.EncodeCloudRequest(call), call.Timeout, maxCloudAnswer)
-	if err == nil {
-		var r *messages.CloudReply
-		if r, err = protocol.DecodeCloudReply(call.Operation, status, body); err == nil {
-			return r
-		}
+	status, body, err := do(ctx, c.services, exchange{
+		host:     c.cfg.Services.Cloud,
+		request:  protocol.EncodeCloudRequest(call),
+		timeout:  call.Timeout,
+		maxBytes: maxCloudReply,
+	})
+	if err != nil {
+		c.log.Debug("cloud request failed", "err", err)
+		return &messages.CloudReply{Outcome: messages.CloudOutcomeUnknown}
+	}
+	reply, err := protocol.DecodeCloudReply(call.Operation, status, body)
+	if err != nil {
 		c.log.Warn("cloud request failed", "err", err)
-		return r
 	}
-	c.log.Debug("cloud request failed", "err", err)
-	return &messages.CloudReply{Outcome: messages.CloudOutcomeUnknown}
+	return reply
 }
 
+// callAgent never returns nil: without a readable reply it is empty.
 func (c *clients) callAgent(ctx context.Context, call *messages.AgentCall) *messages.AgentReply {
-	r := protocol.HTTPRequest{Method: "GET", Path: "/show"}
+	request := protocol.HTTPRequest{Method: http.MethodGet, Path: "/show"}
 	if !call.StatusOnly {
-		r = protocol.HTTPRequest{Method: "POST", Path: "/commands", Body: protocol.EncodeCommands(call)}
+		request = protocol.HTTPRequest{
+			Method: http.MethodPost, Path: "/commands", Body: protocol.EncodeCommands(call),
+		}
 	}
-	status, body, err := c.do(ctx, c.workers, call.Address, r, call.Timeout, maxWorkerAnswer)
+	status, body, err := do(ctx, c.agents, exchange{
+		host: call.Address, request: request, timeout: call.Timeout, maxBytes: maxAgentReply,
+	})
 	if err != nil {
 		c.log.Debug("agent call failed", "machine", call.Machine, "err", err)
 		return &messages.AgentReply{}
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -2,156 +2,124 @@
 
 import (
 	"context"
-	"encoding/binary"
 	"errors"
-	"fmt"
 	"io"
 	"log/slog"
 	"net"
+	"sync"
 	"time"
 
-	"pipitlatch/internal/coordination/messages"
-
 	"pipitlatch/internal/config"
+	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/protocol"
 )
 
-// peerLinks keeps one connection to every other controller for sending; what
-// they send comes in on theirs. A message is its length and a FlatBuffer. All of
-// it is a hint that the next message replaces, so nothing is ever resent.
+const (
+	// peerQueue is how many messages wait for a peer.
+	peerQueue = 4
+	// peerDialTimeout and peerWriteTimeout bound what a peer that is gone costs its sender.
+	peerDialTimeout  = time.Second
+	peerWriteTimeout = time.Second
+	// peerDialInterval is how long after a failed attempt the next is made.
+	peerDialInterval = 500 * time.Millisecond
+	// peerReadTimeout ends connections whose other end is gone without a word.
+	peerReadTimeout = 15 * time.Second
+	// acceptRetryInterval is the pause after a failure to accept, for want of sockets, say.
+	acceptRetryInterval = 50 * time.Millisecond
+)
+
+// peerLinks keeps one connection to every other controller for sending; what they send comes in on
+// theirs. A message is its length and a FlatBuffer. All of it is a hint that the next message replaces,
+// so nothing is ever sent again.
 type peerLinks struct {
-	log    *slog.Logger
-	inputs chan<- messages.Input
-	out    map[string]chan []byte
-	cfg    *config.Config
+	log      *slog.Logger
+	inputs   chan<- messages.Input
+	outgoing map[string]chan []byte // by the peer's member name
+	peers    []config.Peer
 }
 
 func newPeerLinks(cfg *config.Config, log *slog.Logger, inputs chan<- messages.Input) *peerLinks {
-	s := &peerLinks{log: log, inputs: inputs, cfg: cfg, out: map[string]chan []byte{}}
-	for _, p := range cfg.Peers {
-		s.out[p.Member] = make(chan []byte, 4)
+	p := &peerLinks{log: log, inputs: inputs, peers: cfg.Peers, outgoing: map[string]chan []byte{}}
+	for _, peer := range cfg.Peers {
+		p.outgoing[peer.Member] = make(chan []byte, peerQueue)
 	}
-	return s
+	return p
 }
 
-func (s *peerLinks) run(ctx context.Context, l net.Listener) {
-	for _, p := range s.cfg.Peers {
-		go s.sender(ctx, p.Address, s.out[p.Member])
+// run sends and receives until ctx ends, and returns when all its connections are closed. It closes the
+// listener.
+func (p *peerLinks) run(ctx context.Context, listener net.Listener) {
+	var links sync.WaitGroup
+	defer links.Wait()
+	for _, peer := range p.peers {
+		sender := &peerSender{address: peer.Address, log: p.log}
+		links.Go(func() { sender.run(ctx, p.outgoing[peer.Member]) })
 	}
-	go func() {
-		room := make(chan struct{}, 4*len(s.cfg.Peers)+4)
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
-					return
-				}
-				time.Sleep(50 * time.Millisecond) // out of sockets, say
-				continue
-			}
-			select {
-			case room <- struct{}{}:
-				go func() {
-					defer func() { <-room }()
-					s.receive(c)
-				}()
-			default:
-				c.Close()
-			}
-		}
-	}()
+	stop := context.AfterFunc(ctx, func() { discard(listener) })
+	defer stop()
+	p.accept(ctx, listener, &links)
 }
 
-// send queues a message; a sibling that does not take them misses the oldest.
-func (s *peerLinks) send(to string, status *messages.PeerStatus) {
-	ch := s.out[to]
-	if ch == nil {
-		return
-	}
-	raw := protocol.EncodePeerStatus(status)
+// accept takes connections of peers, a few for each, until the listener is closed.
+func (p *peerLinks) accept(ctx context.Context, listener net.Listener, links *sync.WaitGroup) {
+	slots := make(chan struct{}, 4*len(p.peers)+4)
 	for {
-		select {
-		case ch <- raw:
-			return
-		default:
+		conn, err := listener.Accept()
+		if err != nil {
+			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
+				return
+			}
+			time.Sleep(acceptRetryInterval)
+			continue
 		}
 		select {
-		case <-ch:
+		case slots <- struct{}{}:
+			links.Go(func() {
+				defer func() { <-slots }()
+				p.receive(ctx, conn)
+			})
 		default:
+			discard(conn)
 		}
 	}
 }
 
-func (s *peerLinks) sender(ctx context.Context, addr string, ch <-chan []byte) {
-	var conn net.Conn
-	var retry time.Time
+// receive reads messages until the connection fails or ctx ends.
+func (p *peerLinks) receive(ctx context.Context, conn net.Conn) {
+	defer discard(conn)
+	stop := context.AfterFunc(ctx, func() { discard(conn) }) // ends a read that waits
+	defer stop()
 	for {
-		var raw []byte
-		select {
-		case <-ctx.Done():
-			if conn != nil {
-				conn.Close()
+		status, err := readPeerStatus(conn)
+		if err != nil {
+			if !errors.Is(err, io.EOF) && ctx.Err() == nil {
+				p.log.Debug("peer connection failed", "address", conn.RemoteAddr().String(), "err", err)
 			}
 			return
-		case raw = <-ch:
-		}
-		if conn == nil {
-			if time.Now().Before(retry) {
-				continue
-			}
-			var err error
-			if conn, err = net.DialTimeout("tcp", addr, time.Second); err != nil {
-				retry = time.Now().Add(500 * time.Millisecond)
-				conn = nil
-				continue
-			}
-		}
-		frame := binary.LittleEndian.AppendUint32(make([]byte, 0, len(raw)+4), uint32(len(raw)))
-		frame = append(frame, raw...)
-		err := conn.SetWriteDeadline(time.Now().Add(time.Second))
-		if err == nil {
-			_, err = conn.Write(frame)
 		}
-		if err != nil {
-			s.log.Debug("peer connection failed", "address", addr, "err", err)
-			conn.Close()
-			conn = nil
+		select {
+		case p.inputs <- status:
+		default: // the next message replaces it
 		}
 	}
 }
 
-func (s *peerLinks) receive(c net.Conn) {
-	defer c.Close()
+// send queues a message; a peer that does not take them misses the oldest.
+func (p *peerLinks) send(member string, status *messages.PeerStatus) {
+	queue := p.outgoing[member]
+	if queue == nil {
+		return
+	}
+	raw := protocol.EncodePeerStatus(status)
 	for {
-		status, err := readStatus(c)
-		if err != nil {
-			if !errors.Is(err, io.EOF) {
-				s.log.Debug("peer connection failed", "remote", c.RemoteAddr().String(), "err", err)
-			}
+		select {
+		case queue <- raw:
 			return
+		default:
 		}
 		select {
-		case s.inputs <- status:
-		default: // the next message replaces it
+		case <-queue:
+		default:
 		}
 	}
 }
-
-func readStatus(c net.Conn) (*messages.PeerStatus, error) {
-	if err := c.SetReadDeadline(time.Now().Add(15 * time.Second)); err != nil {
-		return nil, err
-	}
-	var head [4]byte
-	if _, err := io.ReadFull(c, head[:]); err != nil {
-		return nil, err
-	}
-	n := binary.LittleEndian.Uint32(head[:])
-	if n > protocol.MaxPeerStatusBytes {
-		return nil, fmt.Errorf("message of %d bytes", n)
-	}
-	raw := make([]byte, n)
-	if _, err := io.ReadFull(c, raw); err != nil {
-		return nil, err
-	}
-	return protocol.DecodePeerStatus(raw)
-}
--- /dev/null
+++ b/internal/transport/pending_test.go
@@ -0,0 +1,40 @@
+package transport
+
+import (
+	"testing"
+
+	"pipitlatch/internal/coordination/messages"
+)
+
+func TestPendingRequestsGetTheirOwnResponse(t *testing.T) {
+	p := newPendingRequests()
+	first, firstResponse := p.add()
+	second, secondResponse := p.add()
+	p.complete(messages.Response{Request: second, Text: "second"})
+	p.complete(messages.Response{Request: first, Text: "first"})
+	if r := <-firstResponse; r.Text != "first" {
+		t.Errorf("first request: %+v", r)
+	}
+	if r := <-secondResponse; r.Text != "second" {
+		t.Errorf("second request: %+v", r)
+	}
+}
+
+func TestPendingRequestsForgetWhatNobodyWaitsFor(t *testing.T) {
+	p := newPendingRequests()
+	removed, response := p.add()
+	p.remove(removed)
+	p.complete(messages.Response{Request: removed})
+	if len(response) != 0 {
+		t.Error("a removed request got a response")
+	}
+	completed, response := p.add()
+	p.complete(messages.Response{Request: completed})
+	p.complete(messages.Response{Request: completed}) // a second one must not block
+	if len(response) != 1 {
+		t.Errorf("%d responses", len(response))
+	}
+	if len(p.responses) != 0 {
+		t.Errorf("%d requests are left", len(p.responses))
+	}
+}
--- /dev/null
+++ b/internal/transport/run.go
@@ -0,0 +1,92 @@
+// Package transport connects the core with the world: HTTP for users, agents and health checks,
+// clients of key-value store, cloud and agents, and the connections between controllers. One loop, the
+// driver's, drives the core.
+package transport
+
+import (
+	"context"
+	"crypto/rand"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"golang.org/x/time/rate"
+
+	"pipitlatch/internal/config"
+)
+
+// shutdownTimeout is how long requests in progress may take once the controller is told to end.
+const shutdownTimeout = time.Second
+
+// Run serves until ctx ends. When it returns, the driver, its calls and the connections between controllers
+// have ended; requests that were still in progress are cut off.
+func Run(ctx context.Context, cfg *config.Config, log *slog.Logger) error {
+	incarnation := rand.Text()
+	d := newDriver(cfg, incarnation, log)
+
+	public, err := net.Listen("tcp", cfg.Listen)
+	if err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	internal, err := net.Listen("tcp", cfg.InternalAddr)
+	if err != nil {
+		discard(public)
+		return fmt.Errorf("internal_addr: %w", err)
+	}
+
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel() // before the wait
+	tasks.Go(func() { d.peers.run(ctx, internal) })
+	tasks.Go(func() { d.run(ctx) })
+	log.Info("serving", "member", cfg.Member, "incarnation", incarnation, "listen", cfg.Listen,
+		"internal", cfg.InternalAddr)
+	return d.serve(ctx, public)
+}
+
+// serve answers users, agents and health checks until ctx ends; it closes the listener.
+func (d *driver) serve(ctx context.Context, listener net.Listener) error {
+	bounded := &boundedListener{
+		Listener: listener,
+		limit:    int64(d.cfg.Sockets().Serve),
+		log:      d.log,
+		refusals: rate.Sometimes{First: 1, Interval: refusalLogInterval},
+	}
+	server := &http.Server{
+		Handler:           d.routes(bounded),
+		ReadHeaderTimeout: 5 * time.Second,
+		ReadTimeout:       10 * time.Second,
+		WriteTimeout:      10 * time.Second,
+		IdleTimeout:       idleTimeout(d.cfg),
+		MaxHeaderBytes:    16 << 10,
+		ErrorLog:          slog.NewLogLogger(d.log.Handler(), slog.LevelDebug),
+	}
+	failed := make(chan error, 1)
+	go func() { failed <- server.Serve(bounded) }() // ends when the server is shut down, at the latest
+	select {
+	case err := <-failed:
+		discard(server)
+		return fmt.Errorf("serve: %w", err)
+	case <-ctx.Done():
+	}
+	shutdown, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	defer cancel()
+	err := server.Shutdown(shutdown)
+	if err != nil {
+		discard(server) // ends the requests that took longer
+	}
+	if served := <-failed; !errors.Is(served, http.ErrServerClosed) {
+		d.log.Debug("serving ended", "err", served)
+	}
+	return err
+}
+
+// discard closes what is of no use any more: after a failure, or at the end. What closing it could say,
+// nobody could act on.
+func discard(c io.Closer) { _ = c.Close() }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -13,27 +13,38 @@
 	"testing"
 	"time"
 
+	"go.uber.org/goleak"
+
 	"pipitlatch/internal/config"
 )
 
+// TestMain fails if any test leaves a goroutine: all that a controller starts has an end.
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// discardLog is for tests that don't read what is logged.
+func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
+
+// mustClose fails the test if a connection, body or listener can't be closed.
+func mustClose(t *testing.T, c io.Closer) {
+	t.Helper()
+	if err := c.Close(); err != nil {
+		t.Errorf("close: %v", err)
+	}
+}
+
 // freeAddress is on an address of its own: no outgoing connection takes the port
 // before it is listened at.
 func freeAddress(t *testing.T) string {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.78:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer mustClose(t, l)
 	return l.Addr().String()
 }
 
-// start runs a controller on loopback whose state service and cloud are down.
-func start(t *testing.T) string {
-	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }))
-	t.Cleanup(down.Close)
-	addr := freeAddress(t)
-	outside := strings.TrimPrefix(down.URL, "http://")
-	toml := fmt.Sprintf(`member = "n"
+const settingsFormat = `member = "n"
 listen = %q
 internal_addr = %q
 [services]
@@ -57,14 +68,23 @@
 [settings.machine_limits]
 memory_mb = 125.0
 max_connections = 100
-`, addr, freeAddress(t), outside, outside)
-	cfg, err := config.Parse([]byte(toml), nil)
+`
+
+// start runs a controller on loopback whose key-value store and cloud are down.
+func start(t *testing.T) string {
+	t.Helper()
+	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }))
+	t.Cleanup(down.Close)
+	addr := freeAddress(t)
+	outside := strings.TrimPrefix(down.URL, "http://")
+	settings := fmt.Sprintf(settingsFormat, addr, freeAddress(t), outside, outside)
+	cfg, err := config.Parse([]byte(settings), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- Run(ctx, cfg, slog.New(slog.NewTextHandler(io.Discard, nil))) }()
+	go func() { done <- Run(ctx, cfg, discardLog()) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-done; err != nil {
@@ -73,7 +93,7 @@
 	})
 	for range 100 {
 		if c, err := net.Dial("tcp", addr); err == nil {
-			c.Close()
+			mustClose(t, c)
 			return addr
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -82,13 +102,15 @@
 	return ""
 }
 
-// TestAnswersInAnOutage checks every status that needs no state service, and
+// TestAnswersInAnOutage checks every status that needs no key-value store, and
 // that the rest is refused at once, with when to come back.
 func TestAnswersInAnOutage(t *testing.T) {
 	addr := start(t)
-	job := `{"ref":"wk-000001","jobclass":"c","owner":"alpha","shape":"array","rank":"low","shards":1,"cores":1,"gpus":0,"ram_gb":1,` +
-		`"bundle":"i","size_gb":1,"one_zone":false,"apart":false,"loaners":false,"expect_s":1,"snapshot_every_s":0,"snapshot_s":0}`
-	report := `{"host":"vm-000001","endpoint":"127.0.0.1:1","hull":"h","berth":"a","loaners":false,"tenure":1,"tick":1,"warrant":0,"shards":[]}`
+	job := `{"ref":"wk-000001","jobclass":"c","owner":"alpha","shape":"array","rank":"low",` +
+		`"shards":1,"cores":1,"gpus":0,"ram_gb":1,"bundle":"i","size_gb":1,"one_zone":false,"apart":false,"loaners":false,` +
+		`"expect_s":1,"snapshot_every_s":0,"snapshot_s":0}`
+	report := `{"host":"vm-000001","endpoint":"127.0.0.1:1","hull":"h","berth":"a","loaners":false,` +
+		`"tenure":1,"tick":1,"warrant":0,"shards":[]}`
 	for _, c := range []struct {
 		method, path, body string
 		want               int
@@ -116,7 +138,7 @@
 		if err != nil {
 			t.Fatalf("%s %s: %v", c.method, c.path, err)
 		}
-		resp.Body.Close()
+		mustClose(t, resp.Body)
 		if resp.StatusCode != c.want {
 			t.Errorf("%s %s %.40s: got %d, want %d", c.method, c.path, c.body, resp.StatusCode, c.want)
 		}
@@ -147,7 +169,7 @@
 				done <- 0
 				return
 			}
-			resp.Body.Close()
+			mustClose(t, resp.Body)
 			done <- resp.StatusCode
 		}()
 	}
@@ -158,7 +180,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp.Body.Close()
+	mustClose(t, resp.Body)
 	if resp.StatusCode != 429 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("beyond the limit: %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
@@ -170,38 +192,36 @@
 	}
 }
 
+// getOrReport sends a request on a connection of its own: a malformed heartbeat, or a user's question.
+func getOrReport(t *testing.T, addr, path string) (*http.Response, error) {
+	t.Helper()
+	client := &http.Client{Transport: &http.Transport{}}
+	defer client.CloseIdleConnections()
+	var resp *http.Response
+	var err error
+	if path == "/v1/report" {
+		resp, err = client.Post("http://"+addr+path, "application/json", strings.NewReader("{"))
+	} else {
+		resp, err = client.Get("http://" + addr + path)
+	}
+	if err == nil {
+		mustClose(t, resp.Body)
+	}
+	return resp, err
+}
+
 // TestUsersMakeRoomForWorkers: while sockets are short, a user's connection ends with
-// its answer, a worker's stays, and beyond the limit there are none.
+// its answer, an agent's stays, and beyond the limit there are none.
 func TestUsersMakeRoomForWorkers(t *testing.T) {
 	addr := start(t)
-	ask := func(path string) (*http.Response, error) {
-		c := &http.Client{Transport: &http.Transport{}}
-		var resp *http.Response
-		var err error
-		if path == "/v1/report" {
-			resp, err = c.Post("http://"+addr+path, "application/json", strings.NewReader("{"))
-		} else {
-			resp, err = c.Get("http://" + addr + path)
-		}
-		if err == nil {
-			resp.Body.Close()
-			c.CloseIdleConnections()
-		}
-		return resp, err
-	}
-	var open []net.Conn
-	defer func() {
-		for _, c := range open {
-			c.Close()
-		}
-	}()
+	open := 0
 	crowd := func(n int) {
-		for len(open) < n {
+		for ; open < n; open++ {
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			open = append(open, c)
+			t.Cleanup(func() { mustClose(t, c) })
 		}
 	}
 	for _, c := range []struct {
@@ -216,7 +236,7 @@
 	} {
 		crowd(c.crowd)
 		for try := 0; ; try++ { // the crowd may not all be accepted yet
-			resp, err := ask(c.path)
+			resp, err := getOrReport(t, addr, c.path)
 			if (err != nil) == c.err && (err != nil || resp.Close == c.closes) {
 				break
 			}
