--- /dev/null
+++ b/internal/coordination/archiver_test.go
@@ -0,0 +1,153 @@
+package coordination
+
+import (
+	"slices"
+	"testing"
+
+	"pipitlatch/internal/coordination/storetest"
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
+)
+
+// settledRevision is the revision that the tests' archiver has dated long enough ago.
+const settledRevision = 13
+
+// newTestArchiver is an archiver that keeps two jobs that are over. The cache has one that is
+// active, and four that are over, of which the last is newer than the settled revision.
+func newTestArchiver(t *testing.T) (*dutyView, *archiver) {
+	t.Helper()
+	v := newDutyView(t, nil)
+	applyJob(t, v.cache, "wk-000009", workload.Active, 10)
+	applyJob(t, v.cache, "wk-000001", workload.Done, 11)
+	applyJob(t, v.cache, "wk-000003", workload.Done, 13)
+	applyJob(t, v.cache, "wk-000002", workload.Cancelled, 13)
+	applyJob(t, v.cache, "wk-000004", workload.Done, 14)
+	cfg := dutyConfig(t)
+	cfg.Settings.State.RPS = 0.005 // as many as a start reads in a second: two jobs
+	if kept := cfg.MaxCachedTerminalJobs(); kept != 2 {
+		t.Fatalf("%d jobs are kept, want 2", kept)
+	}
+	a := newArchiver(v, cfg, dutyKeys)
+	a.revisions.observe(v.Time-300*micros.Second, settledRevision, 300*micros.Second)
+	return v, a
+}
+
+func applyJob(t *testing.T, cache *storage.Cache, id string, phase workload.Phase, revision uint64,
+	dependencies ...string) {
+	t.Helper()
+	job := &workload.Job{ID: id, Team: "alpha", Class: "c", Tasks: 1, Phase: phase, DependsOn: dependencies}
+	item := storage.Item{Key: dutyKeys.Job(id), Value: storage.Encode(job), ModRevision: revision}
+	if _, _, err := cache.Apply(item); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// takeMoved returns the call that moves jobs, and the keys that it deletes.
+func takeMoved(t *testing.T, v *dutyView) (*storetest.Call, []string) {
+	t.Helper()
+	call := v.Take(t, storage.Txn)
+	return call, call.Request.Deletes
+}
+
+func TestArchiverMovesTheOldestJobsThatAreTooMany(t *testing.T) {
+	v, a := newTestArchiver(t)
+	a.tick()
+	call, moved := takeMoved(t, v)
+	if want := []string{dutyKeys.Job("wk-000001"), dutyKeys.Job("wk-000002")}; !slices.Equal(moved, want) {
+		t.Errorf("moved %v, want %v", moved, want)
+	}
+	want := []storage.Compare{v.LeaderCompare(),
+		{Key: dutyKeys.Job("wk-000001"), ModRevision: 11}, {Key: dutyKeys.Job("wk-000002"), ModRevision: 13}}
+	if !slices.Equal(call.Request.Compares, want) {
+		t.Errorf("guards %+v, want %+v", call.Request.Compares, want)
+	}
+	var archived []string
+	for _, put := range call.Request.Puts {
+		archived = append(archived, put.Key)
+	}
+	if want := []string{dutyKeys.Archive("wk-000001"), dutyKeys.Archive("wk-000002")}; !slices.Equal(archived, want) {
+		t.Errorf("archived %v, want %v", archived, want)
+	}
+	if call.Urgency != storage.Deferrable {
+		t.Errorf("urgency %d, want a deferrable request", call.Urgency)
+	}
+}
+
+func TestArchiverMovesAsManyAsATransactionTakes(t *testing.T) {
+	v, a := newTestArchiver(t)
+	a.config.Settings.State.TxnOps = 3 // and a job takes two
+	a.tick()
+	if _, moved := takeMoved(t, v); !slices.Equal(moved, []string{dutyKeys.Job("wk-000001")}) {
+		t.Errorf("moved %v, want the oldest", moved)
+	}
+}
+
+func TestArchiverMovesNothing(t *testing.T) {
+	tests := []struct {
+		name   string
+		change func(*testing.T, *dutyView, *archiver)
+	}{
+		{"while the store cannot be reached",
+			func(_ *testing.T, v *dutyView, _ *archiver) { v.unreachable = true }},
+		{"before its time", func(_ *testing.T, v *dutyView, a *archiver) { a.nextRunAt = v.Time + 1 }},
+		{"before a term is old enough", func(_ *testing.T, _ *dutyView, a *archiver) { a.begin() }},
+		{"while there are few jobs", func(_ *testing.T, _ *dutyView, a *archiver) { a.config.Settings.State.RPS = 0.009 }},
+		{"while all that are too many are newer than what is settled",
+			func(_ *testing.T, v *dutyView, a *archiver) {
+				a.begin()
+				a.revisions.observe(v.Time-300*micros.Second, 10, 300*micros.Second)
+			}},
+		{"while active jobs depend on the jobs that are over",
+			func(t *testing.T, v *dutyView, _ *archiver) {
+				applyJob(t, v.cache, "wk-000020", workload.Active, 15, "wk-000001", "wk-000002", "wk-000003")
+			}},
+		{"while the request budget does not allow it",
+			func(_ *testing.T, v *dutyView, _ *archiver) { v.OverBudget = true }},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			v, a := newTestArchiver(t)
+			test.change(t, v, a)
+			a.tick()
+			v.RequireNoCall(t)
+		})
+	}
+}
+
+func TestArchiverPausesForItsShareOfTheWrites(t *testing.T) {
+	v, a := newTestArchiver(t)
+	a.tick()
+	call, _ := takeMoved(t, v)
+	v.Time += 10 * micros.Second
+	a.tick()
+	v.RequireNoCall(t) // the first is in flight
+	a.config.Settings.State.WriteRPS = 4
+	call.Reply(storage.Reply{Outcome: storage.OK})
+	v.Time += 6*micros.Second - 1 // four writes, a sixth of four a second
+	a.tick()
+	v.RequireNoCall(t)
+	v.Time++
+	a.tick()
+	v.Take(t, storage.Txn)
+}
+
+func TestArchiverDeletesOrphanedPartsOfDependencyListsFirst(t *testing.T) {
+	v, a := newTestArchiver(t)
+	part := dutyKeys.DependencyPart("wk-000050", "x.1", 0)
+	v.put(t, part, []string{"wk-000001"})
+	a.tick()
+	call := v.Take(t, storage.Txn)
+	if !slices.Equal(call.Request.Deletes, []string{part}) || len(call.Request.Puts) > 0 {
+		t.Errorf("request %+v, want one that deletes %s only", call.Request, part)
+	}
+	if want := []storage.Compare{v.LeaderCompare()}; !slices.Equal(call.Request.Compares, want) {
+		t.Errorf("guards %+v, want %+v", call.Request.Compares, want)
+	}
+	call.Reply(storage.Reply{Outcome: storage.OK})
+	a.tick()
+	v.RequireNoCall(t) // paused
+	v.Time += archiveInterval
+	a.tick()
+	v.Take(t, storage.Txn)
+}
--- /dev/null
+++ b/internal/coordination/block_pruning_test.go
@@ -0,0 +1,99 @@
+package coordination
+
+import (
+	"slices"
+	"testing"
+
+	"pipitlatch/internal/coordination/provisioning"
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/storage"
+)
+
+// newTestPruning is one with blocks a of two machines, b of one, and r of one and an open request.
+func newTestPruning(t *testing.T, gone ...string) (*dutyView, *blockPruning) {
+	t.Helper()
+	open := block(0, "r1")
+	open.Requested = 3
+	v := newDutyView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2"), "b": block(0, "b1"), "r": open})
+	p := newBlockPruning(v, dutyKeys, provisioning.NewTerminatedInstances())
+	p.begin()
+	for _, machine := range gone {
+		p.terminated.Confirm(machine, v.Time)
+	}
+	return v, p
+}
+
+func TestBlockPruningWritesWhatIsLeft(t *testing.T) {
+	rest := block(0)
+	rest.Requested = 3
+	tests := []struct {
+		name   string
+		gone   string
+		block  string
+		put    any // nil: the block is deleted
+		delete bool
+	}{
+		{name: "a block with machines left", gone: "a1", block: "a", put: block(0, "a2")},
+		{name: "a block without any", gone: "b1", block: "b", delete: true},
+		{name: "a block without any and an open request", gone: "r1", block: "r", put: rest},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			v, p := newTestPruning(t, test.gone)
+			p.tick()
+			r := v.Take(t, storage.Txn).Request
+			key := dutyKeys.Block(test.block)
+			want := []storage.Compare{v.LeaderCompare(), {Key: key, ModRevision: v.cache.Blocks[test.block].ModRevision}}
+			if !slices.Equal(r.Compares, want) {
+				t.Errorf("guards %+v, want %+v", r.Compares, want)
+			}
+			if test.delete {
+				if !slices.Equal(r.Deletes, []string{key}) || len(r.Puts) > 0 {
+					t.Errorf("request %+v, want one that deletes %s", r, key)
+				}
+				return
+			}
+			if len(r.Puts) != 1 || string(r.Puts[0].Value) != string(storage.Encode(test.put)) || len(r.Deletes) > 0 {
+				t.Errorf("request %+v, want one that writes %s", r, storage.Encode(test.put))
+			}
+		})
+	}
+}
+
+func TestBlockPruningWritesNothingForMachinesWithoutRecord(t *testing.T) {
+	v, p := newTestPruning(t, "unrecorded")
+	p.tick()
+	v.RequireNoCall(t)
+}
+
+func TestBlockPruningPausesForEachBlock(t *testing.T) {
+	v, p := newTestPruning(t, "a1")
+	p.tick()
+	call := v.Take(t, storage.Txn)
+	p.terminated.Confirm("b1", v.Time)
+	p.tick()
+	if got := v.Take(t, storage.Txn).Request.Deletes; !slices.Equal(got, []string{dutyKeys.Block("b")}) {
+		t.Errorf("deleted %v, want the other block", got)
+	}
+	call.Reply(storage.Reply{Outcome: storage.Conflict})
+	v.Time += pruneInterval - 1
+	p.tick()
+	v.RequireNoCall(t)
+	v.Time++
+	p.tick()
+	v.Take(t, storage.Txn) // of a again; the write of b has had no answer
+	v.Time += micros.Second + storeTimeout
+	p.tick()
+	if len(v.Calls) != 2 {
+		t.Errorf("%d requests once writes without an answer are surely over, want 2", len(v.Calls))
+	}
+}
+
+func TestBlockPruningGoesOnWhenTheRequestBudgetAllows(t *testing.T) {
+	v, p := newTestPruning(t, "a1")
+	v.OverBudget = true
+	p.tick()
+	v.OverBudget = false
+	p.tick()
+	v.Take(t, storage.Txn)
+}
--- /dev/null
+++ b/internal/coordination/format_upgrade_test.go
@@ -0,0 +1,85 @@
+package coordination
+
+import (
+	"slices"
+	"testing"
+
+	"pipitlatch/internal/config"
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/storage"
+)
+
+// newTestFormatUpgrade is that of a cluster of two members, both registered with this version.
+func newTestFormatUpgrade(t *testing.T) (*dutyView, *formatUpgrade) {
+	t.Helper()
+	v := newDutyView(t, nil)
+	for _, member := range []string{"n0", "n1"} {
+		register(t, v, member, storage.Format)
+	}
+	cfg := dutyConfig(t)
+	cfg.Peers = []config.Peer{{Member: "n1"}}
+	return v, newFormatUpgrade(v, cfg, dutyProcess, dutyKeys)
+}
+
+func register(t *testing.T, v *dutyView, member string, format int) {
+	t.Helper()
+	v.put(t, dutyKeys.Member(member),
+		storage.Registration{Process: storage.Process{Member: member, Incarnation: "1"}, Format: format})
+}
+
+func TestFormatUpgradeWaitsForAllMembers(t *testing.T) {
+	tests := []struct {
+		name   string
+		change func(*testing.T, *dutyView)
+		want   bool
+	}{
+		{"all of this version", func(*testing.T, *dutyView) {}, true},
+		{"the store has the format already",
+			func(t *testing.T, v *dutyView) { v.put(t, dutyKeys.Format(), map[string]int{"v": storage.Format}) }, false},
+		{"a peer of an older version",
+			func(t *testing.T, v *dutyView) { register(t, v, "n1", storage.Format-1) }, false},
+		{"this member of an older version, as its record tells",
+			func(t *testing.T, v *dutyView) { register(t, v, "n0", storage.Format-1) }, false},
+		{"a peer that is not registered",
+			func(_ *testing.T, v *dutyView) { delete(v.cache.Members, "n1") }, false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			v, u := newTestFormatUpgrade(t)
+			test.change(t, v)
+			u.tick()
+			if !test.want {
+				v.RequireNoCall(t)
+				return
+			}
+			r := v.Take(t, storage.Txn).Request
+			if want := []storage.Compare{v.LeaderCompare()}; !slices.Equal(r.Compares, want) {
+				t.Errorf("guards %+v, want %+v", r.Compares, want)
+			}
+			if len(r.Puts) != 1 || r.Puts[0].Key != dutyKeys.Format() {
+				t.Errorf("puts %+v, want the format", r.Puts)
+			}
+		})
+	}
+}
+
+func TestFormatUpgradeIsRetriedAfterAPause(t *testing.T) {
+	v, u := newTestFormatUpgrade(t)
+	u.tick()
+	call := v.Take(t, storage.Txn)
+	v.Time += 10 * formatUpgradeInterval
+	u.tick()
+	v.RequireNoCall(t) // the first is in flight
+	call.Reply(storage.Reply{Outcome: storage.OutcomeUnknown})
+	u.tick()
+	v.Take(t, storage.Txn).Reply(storage.Reply{Outcome: storage.OK})
+	v.Time += formatUpgradeInterval - 1
+	u.tick()
+	v.RequireNoCall(t)
+	v.Time += micros.Time(1)
+	u.tick()
+	v.Take(t, storage.Txn)
+	if want := []string{"record format upgraded"}; !slices.Equal(v.Messages, want) {
+		t.Errorf("log records %v, want %v", v.Messages, want)
+	}
+}
--- /dev/null
+++ b/internal/coordination/instance_termination_test.go
@@ -0,0 +1,152 @@
+package coordination
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/coordination/provisioning"
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/storage"
+)
+
+// newTestTermination is a cluster leader's with machines a1 and a2 in partition 0 and b1 in 1.
+func newTestTermination(t *testing.T) (*dutyView, *instanceTermination) {
+	t.Helper()
+	v := newDutyView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2"), "b": block(1, "b1")})
+	terminated := provisioning.NewTerminatedInstances()
+	pruning := newBlockPruning(v, dutyKeys, terminated)
+	termination := newInstanceTermination(v, dutyTerm(), terminated, provisioning.NewCapacityTracker(), pruning)
+	pruning.begin()
+	termination.begin()
+	return v, termination
+}
+
+// letGo is what a partition leader lets go.
+func letGo(partition int, machines ...string) messages.PartitionStatus {
+	return messages.PartitionStatus{Partition: partition, Terminate: machines}
+}
+
+func TestInstanceTerminationCallsForWhatIsLetGo(t *testing.T) {
+	tests := []struct {
+		name   string
+		change func(*dutyView, *instanceTermination)
+		want   []string
+	}{
+		{"nothing", func(*dutyView, *instanceTermination) {}, nil},
+		{"machines of the partition's own, each once", func(v *dutyView, _ *instanceTermination) {
+			v.statuses = []messages.PartitionStatus{letGo(1, "b1", "b1", "a1", "unrecorded"), letGo(0, "a2")}
+		}, []string{"b1", "a2"}},
+		{"what is requested besides, in order", func(v *dutyView, s *instanceTermination) {
+			v.statuses = []messages.PartitionStatus{letGo(0, "a2")}
+			s.request("z")
+			s.request("unrecorded")
+			s.request("a2")
+		}, []string{"a2", "unrecorded", "z"}},
+		{"nothing that is gone", func(v *dutyView, s *instanceTermination) {
+			v.statuses = []messages.PartitionStatus{letGo(0, "a1", "a2")}
+			s.terminated.Confirm("a1", v.Time)
+		}, []string{"a2"}},
+		{"nothing while isolated", func(v *dutyView, s *instanceTermination) {
+			s.request("z")
+			v.isolated = true
+		}, nil},
+		{"nothing before a retry is due", func(v *dutyView, s *instanceTermination) {
+			s.request("z")
+			s.retryAt = v.Time + 1
+		}, nil},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			v, termination := newTestTermination(t)
+			test.change(v, termination)
+			termination.tick()
+			if test.want == nil {
+				v.requireNoCloudCall(t)
+				return
+			}
+			if got := v.takeCloudCall(t, messages.CloudTerminate).Names; !slices.Equal(got, test.want) {
+				t.Errorf("terminated %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestInstanceTerminationBoundsACall(t *testing.T) {
+	v, termination := newTestTermination(t)
+	for i := range maxTerminations + 1 {
+		termination.request(fmt.Sprintf("m%03d", i))
+	}
+	termination.tick()
+	if got := len(v.takeCloudCall(t, messages.CloudTerminate).Names); got != maxTerminations {
+		t.Errorf("%d instances in one call, want %d", got, maxTerminations)
+	}
+}
+
+func TestInstanceTerminationTakesSuccessAsProof(t *testing.T) {
+	v, termination := newTestTermination(t)
+	termination.capacity.Exhausted(dutyKind, v.Time)
+	termination.request("a1")
+	termination.request("unrecorded")
+	termination.tick()
+	v.takeCloudCall(t, messages.CloudTerminate).reply(&messages.CloudReply{Outcome: messages.CloudOK})
+	if !termination.terminated.Contains("a1") || !termination.terminated.Contains("unrecorded") {
+		t.Error("instances are not remembered as gone")
+	}
+	if want := []string{"a1", "unrecorded"}; !slices.Equal(v.terminated, want) {
+		t.Errorf("partitions got to know of %v, want %v", v.terminated, want)
+	}
+	if got := termination.capacity.Limit(dutyKind, v.Time); got != 1 {
+		t.Errorf("%d more instances of the kind are expected to be available, want 1", got)
+	}
+	if len(termination.requested) > 0 || !v.statusSoon {
+		t.Errorf("still requested: %v; status soon: %v", termination.requested, v.statusSoon)
+	}
+	v.Take(t, storage.Txn) // of the pruned block
+}
+
+func TestInstanceTerminationPausesAfterACall(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		outcome messages.CloudOutcome
+		pause   micros.Time
+		gone    bool
+	}{
+		{"that succeeded", messages.CloudOK, terminationInterval, true},
+		{"that failed", messages.CloudOutcomeUnknown, terminationRetryInterval, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			v, termination := newTestTermination(t)
+			termination.request("x")
+			termination.tick()
+			call := v.takeCloudCall(t, messages.CloudTerminate)
+			v.Time += 10 * micros.Second
+			termination.request("y")
+			termination.tick()
+			v.requireNoCloudCall(t) // the first is in flight
+			call.reply(&messages.CloudReply{Outcome: test.outcome})
+			if got := termination.terminated.Contains("x"); got != test.gone {
+				t.Errorf("gone: %v, want %v", got, test.gone)
+			}
+			v.Time += test.pause - 1
+			termination.tick()
+			v.requireNoCloudCall(t)
+			v.Time++
+			termination.tick()
+			v.takeCloudCall(t, messages.CloudTerminate)
+		})
+	}
+}
+
+func TestInstanceTerminationOfAnEarlierTermPrunesNothing(t *testing.T) {
+	v, termination := newTestTermination(t)
+	termination.request("a1")
+	termination.tick()
+	termination.term.revision++
+	v.takeCloudCall(t, messages.CloudTerminate).reply(&messages.CloudReply{Outcome: messages.CloudOK})
+	v.RequireNoCall(t)
+	if !termination.terminated.Contains("a1") {
+		t.Error("the instance is not remembered as gone")
+	}
+}
--- /dev/null
+++ b/internal/coordination/orphans_test.go
@@ -0,0 +1,161 @@
+package coordination
+
+import (
+	"maps"
+	"slices"
+	"testing"
+
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/coordination/provisioning"
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/storage"
+)
+
+// newTestAdoption is that of a cluster leader with a machine a1.
+func newTestAdoption(t *testing.T) (*dutyView, *orphanAdoption) {
+	t.Helper()
+	v := newDutyView(t, map[string]storage.BlockRecord{"a": block(0, "a1")})
+	term := dutyTerm()
+	scaling := newScaleOut(v, dutyConfig(t), dutyKeys, newDutyPeers(0), term)
+	a := newOrphanAdoption(v, dutyKeys, term, provisioning.NewTerminatedInstances(), scaling)
+	a.begin()
+	return v, a
+}
+
+// adopted is a block of orphans, each with its name as its address.
+func adopted(partition int, machines ...string) storage.BlockRecord {
+	b := block(partition)
+	for _, machine := range machines {
+		b.Machines[machine] = storage.MachineRecord{Address: machine}
+	}
+	return b
+}
+
+func TestOrphanAdoptionTakes(t *testing.T) {
+	tests := []struct {
+		name   string
+		change func(*dutyView, *orphanAdoption)
+		orphan string
+		want   bool
+	}{
+		{"an unmanaged instance", func(*dutyView, *orphanAdoption) {}, "x", true},
+		{"not a recorded one", func(*dutyView, *orphanAdoption) {}, "a1", false},
+		{"not one that is gone", func(_ *dutyView, a *orphanAdoption) { a.terminated.Confirm("x", 0) }, "x", false},
+		{"none as a follower", func(v *dutyView, _ *orphanAdoption) { v.follower = true }, "x", false},
+		{"none before the term has begun", func(_ *dutyView, a *orphanAdoption) { a.term.revision-- }, "x", false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			v, a := newTestAdoption(t)
+			test.change(v, a)
+			a.add(test.orphan, test.orphan, dutyKind)
+			if _, got := a.orphans[test.orphan]; got != test.want {
+				t.Errorf("taken: %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+var adoptionCases = []struct {
+	name   string
+	change func(*testing.T, *dutyView, *orphanAdoption) // with orphans x and y
+	want   any                                          // the record written; nil: none
+	left   []string                                     // orphans that are still to be adopted
+}{
+	{"in one block", func(*testing.T, *dutyView, *orphanAdoption) {}, adopted(0, "x", "y"), []string{"x", "y"}},
+	{"as many as a block may have", func(_ *testing.T, _ *dutyView, a *orphanAdoption) { a.add("z", "z", dutyKind) },
+		adopted(0, "x", "y"), []string{"x", "y", "z"}},
+	{"in the partition that lacks most", func(_ *testing.T, v *dutyView, _ *orphanAdoption) {
+		v.statuses = []messages.PartitionStatus{needing(0, 1), needing(2, 3), needing(1, 2)}
+	}, adopted(2, "x", "y"), []string{"x", "y"}},
+	{"those of one kind, the first", func(_ *testing.T, _ *dutyView, a *orphanAdoption) {
+		a.add("b", "b", provisioning.InstanceKind{InstanceType: "n", Zone: "a"})
+	}, adopted(0, "x", "y"), []string{"b", "x", "y"}},
+	{"without those recorded by now", func(t *testing.T, v *dutyView, _ *orphanAdoption) {
+		v.put(t, dutyKeys.Block("b"), block(0, "x"))
+	}, adopted(0, "y"), []string{"y"}},
+	{"without those gone by now", func(_ *testing.T, _ *dutyView, a *orphanAdoption) { a.terminated.Confirm("y", 0) },
+		adopted(0, "x"), []string{"x"}},
+	{"none while a request for the kind is in flight",
+		func(_ *testing.T, _ *dutyView, a *orphanAdoption) { a.scaling.pending.Started("c1-1", dutyKind) },
+		nil, []string{"x", "y"}},
+	{"none while a request for the kind is recorded",
+		func(t *testing.T, v *dutyView, _ *orphanAdoption) { v.put(t, dutyKeys.Block("c1-1"), openBlock(1)) },
+		nil, []string{"x", "y"}},
+	{"though a request for another kind is recorded", func(t *testing.T, v *dutyView, _ *orphanAdoption) {
+		other := openBlock(1)
+		other.Spot = true
+		v.put(t, dutyKeys.Block("c1-1"), other)
+	}, adopted(0, "x", "y"), []string{"x", "y"}},
+	{"none while a request may have become a block that is not seen yet",
+		func(_ *testing.T, v *dutyView, a *orphanAdoption) { a.scaling.provisioned(v.cache.Revision + 1) },
+		nil, []string{"x", "y"}},
+	{"none before its time", func(_ *testing.T, v *dutyView, a *orphanAdoption) { a.nextAt = v.Time + 1 },
+		nil, []string{"x", "y"}},
+}
+
+func TestOrphanAdoptionWritesABlock(t *testing.T) {
+	for _, test := range adoptionCases {
+		t.Run(test.name, func(t *testing.T) {
+			v, a := newTestAdoption(t)
+			a.add("x", "x", dutyKind)
+			a.add("y", "y", dutyKind)
+			test.change(t, v, a)
+			a.tick()
+			if got := slices.Sorted(maps.Keys(a.orphans)); !slices.Equal(got, test.left) {
+				t.Errorf("orphans %v, want %v", got, test.left)
+			}
+			if test.want == nil {
+				v.RequireNoCall(t)
+				return
+			}
+			r := v.Take(t, storage.Txn).Request
+			key := dutyKeys.Block("a4-1")
+			if want := []storage.Compare{v.LeaderCompare(), {Key: key}}; !slices.Equal(r.Compares, want) {
+				t.Errorf("guards %+v, want %+v", r.Compares, want)
+			}
+			if len(r.Puts) != 1 || r.Puts[0].Key != key || string(r.Puts[0].Value) != string(storage.Encode(test.want)) {
+				t.Errorf("puts %+v, want %s", r.Puts, storage.Encode(test.want))
+			}
+		})
+	}
+}
+
+func TestOrphanAdoptionKeepsTheNameUntilItIsTaken(t *testing.T) {
+	for _, test := range []struct {
+		outcome storage.Outcome
+		name    string // of the block that is written next
+	}{{storage.OK, "a4-2"}, {storage.Conflict, "a4-2"}, {storage.OutcomeUnknown, "a4-1"}} {
+		t.Run(test.name, func(t *testing.T) {
+			v, a := newTestAdoption(t)
+			a.add("x", "x", dutyKind)
+			a.tick()
+			v.Take(t, storage.Txn).Reply(storage.Reply{Outcome: test.outcome})
+			v.Time += adoptionInterval - 1
+			a.tick()
+			v.RequireNoCall(t)
+			v.Time++
+			a.tick()
+			if got := v.Take(t, storage.Txn).Request.Puts[0].Key; got != dutyKeys.Block(test.name) {
+				t.Errorf("written to %s, want block %s", got, test.name)
+			}
+		})
+	}
+}
+
+func TestOrphanAdoptionWaitsForAnAnswer(t *testing.T) {
+	v, a := newTestAdoption(t)
+	a.add("x", "x", dutyKind)
+	v.OverBudget = true
+	a.tick()
+	v.OverBudget = false
+	v.Time += adoptionInterval
+	a.tick()
+	v.Take(t, storage.Txn)
+	v.Time += adoptionTimeout - micros.Time(1)
+	a.tick()
+	v.RequireNoCall(t)
+	v.Time++
+	a.tick()
+	v.Take(t, storage.Txn)
+}
--- /dev/null
+++ b/internal/coordination/partition_assignment_test.go
@@ -0,0 +1,167 @@
+package coordination
+
+import (
+	"slices"
+	"testing"
+
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/storage"
+)
+
+// n1 and n2 are the other members of the cluster.
+var (
+	n1 = storage.Process{Member: "n1", Incarnation: "1"}
+	n2 = storage.Process{Member: "n2", Incarnation: "1"}
+)
+
+// status is a member's, which leads partition 0 if it has zones that it does not reach.
+func status(from storage.Process, unreachableZones ...string) *messages.PeerStatus {
+	s := &messages.PeerStatus{From: from, StoreReachable: true}
+	if len(unreachableZones) > 0 {
+		s.Partitions = []messages.PartitionStatus{{Partition: 0, UnreachableZones: unreachableZones}}
+	}
+	return s
+}
+
+// newTestAssignment is that of a cluster of three members of which n1 leads the only partition,
+// has 40 machines in use, and reaches 10 of them; n2 reaches 20.
+func newTestAssignment(t *testing.T) (*dutyView, *partitionAssignment) {
+	t.Helper()
+	v := newDutyView(t, nil)
+	for _, member := range []storage.Process{dutyProcess, n1, n2} {
+		v.put(t, dutyKeys.Member(member.Member), member)
+	}
+	v.put(t, dutyKeys.Partition(0), storage.PartitionRecord{Leader: n1})
+	v.inUse = map[string]int{"a": 10, "b": 30}
+	v.reachable = map[storage.Process]int{n1: 10, n2: 20}
+	peers := newDutyPeers(v.Time, status(dutyProcess), status(n1), status(n2))
+	a := newPartitionAssignment(v, dutyConfig(t), dutyProcess, dutyKeys, peers, dutyTerm())
+	a.begin()
+	return v, a
+}
+
+var reassignmentCases = []struct {
+	name   string
+	change func(*dutyView, *partitionAssignment)
+	leader storage.Process // that the partition gets; zero: it keeps its own
+}{
+	{"a leader that is heard and reaches its machines", func(*dutyView, *partitionAssignment) {}, storage.Process{}},
+	{"a leader that is not registered",
+		func(v *dutyView, _ *partitionAssignment) { delete(v.cache.Members, "n1") }, n2},
+	{"a leader that was just heard", func(v *dutyView, _ *partitionAssignment) { v.Time += unheardTimeout - 1 },
+		storage.Process{}},
+	{"a leader that is not heard", func(v *dutyView, a *partitionAssignment) {
+		v.Time += unheardTimeout
+		a.peers.Receive(v.Time, status(n2))
+	}, n2},
+	{"a leader that is not heard, at the beginning of a term", func(v *dutyView, a *partitionAssignment) {
+		v.Time += unheardTimeout
+		a.peers.Receive(v.Time, status(n2))
+		a.term.acquiredAt = v.Time - unheardTimeout
+	}, storage.Process{}},
+	{"a leader of whose member another run is heard", func(v *dutyView, a *partitionAssignment) {
+		a.peers.Receive(v.Time, status(storage.Process{Member: "n1", Incarnation: "0"}))
+	}, n2},
+	{"an isolated leader", func(v *dutyView, a *partitionAssignment) { a.peers.Receive(v.Time, status(n1, "b")) }, n2},
+	{"an isolated leader, of which that is known from long ago", func(v *dutyView, a *partitionAssignment) {
+		a.peers.Receive(v.Time-statusLifetime-1, status(n1, "b"))
+	}, storage.Process{}},
+	{"a leader isolated from machines that no other reaches either", func(v *dutyView, a *partitionAssignment) {
+		a.peers.Receive(v.Time, status(n1, "b"))
+		v.reachable[n2] = 14 // an eighth of 40 more is 15
+	}, storage.Process{}},
+	{"a leader isolated from an eighth of its machines", func(v *dutyView, a *partitionAssignment) {
+		a.peers.Receive(v.Time, status(n1, "b"))
+		v.reachable[n2] = 15
+	}, n2},
+	{"a leader isolated from two of few machines", func(v *dutyView, a *partitionAssignment) {
+		a.peers.Receive(v.Time, status(n1, "b"))
+		v.inUse, v.reachable[n2] = map[string]int{"a": 12}, 12
+	}, storage.Process{}},
+	{"a leader isolated from machines that one without the store reaches", func(v *dutyView, a *partitionAssignment) {
+		a.peers.Receive(v.Time, status(n1, "b"))
+		s := status(n2)
+		s.StoreReachable = false
+		a.peers.Receive(v.Time, s)
+	}, storage.Process{}},
+	{"a leader isolated from machines that one without registration reaches", func(v *dutyView, a *partitionAssignment) {
+		a.peers.Receive(v.Time, status(n1, "b"))
+		delete(v.cache.Members, "n2")
+	}, storage.Process{}},
+	{"isolated from machines of a partition that it does not lead", func(v *dutyView, a *partitionAssignment) {
+		s := status(n1, "b")
+		s.Partitions[0].Partition = 1
+		a.peers.Receive(v.Time, s)
+	}, storage.Process{}},
+}
+
+func TestPartitionAssignmentReplaces(t *testing.T) {
+	for _, test := range reassignmentCases {
+		t.Run(test.name, func(t *testing.T) {
+			v, a := newTestAssignment(t)
+			test.change(v, a)
+			a.tick()
+			if test.leader == (storage.Process{}) {
+				v.RequireNoCall(t)
+				return
+			}
+			r := v.Take(t, storage.Txn).Request
+			want := []storage.Compare{v.LeaderCompare(),
+				{Key: dutyKeys.Partition(0), ModRevision: v.cache.Partitions[0].ModRevision},
+				{Key: dutyKeys.Member("n2"), ModRevision: v.cache.Members["n2"].ModRevision}}
+			if !slices.Equal(r.Compares, want) {
+				t.Errorf("guards %+v, want %+v", r.Compares, want)
+			}
+			record := storage.PartitionRecord{Leader: test.leader, FormerLeaders: []storage.Process{n1}}
+			if len(r.Puts) != 1 || string(r.Puts[0].Value) != string(storage.Encode(record)) {
+				t.Errorf("puts %+v, want %+v", r.Puts, record)
+			}
+		})
+	}
+}
+
+func TestPartitionAssignmentPenalizesIsolation(t *testing.T) {
+	v, a := newTestAssignment(t)
+	a.peers.Receive(v.Time, status(n1, "b"))
+	if !a.isolated(n1) {
+		t.Fatal("the leader is not isolated")
+	}
+	for _, step := range []struct {
+		after micros.Time
+		want  bool
+	}{{isolationPenalty - 1, true}, {1, false}} {
+		v.Time += step.after
+		a.peers.Receive(v.Time, status(n1))
+		if got := a.isolated(n1); got != step.want {
+			t.Errorf("isolated: %v, want %v", got, step.want)
+		}
+	}
+	a.peers.Receive(v.Time, status(n1, "b"))
+	a.isolated(n1)
+	a.begin()
+	a.peers.Receive(v.Time, status(n1))
+	if a.isolated(n1) {
+		t.Error("the penalty outlasts the term")
+	}
+}
+
+func TestPartitionAssignmentPauses(t *testing.T) {
+	v, a := newTestAssignment(t)
+	v.partitionCount = 40
+	a.tick()
+	call := v.Take(t, storage.Txn)
+	if got, most := len(call.Request.Puts), a.config.Settings.StateLimits().TxnOps; got != most {
+		t.Errorf("%d assignments at once, want %d", got, most)
+	}
+	v.Time += micros.Second
+	a.tick()
+	v.RequireNoCall(t) // the first is in flight
+	call.Reply(storage.Reply{Outcome: storage.OK})
+	v.Time += assignmentInterval - 1
+	a.tick()
+	v.RequireNoCall(t)
+	v.Time++
+	a.tick()
+	v.Take(t, storage.Txn)
+}
--- /dev/null
+++ b/internal/coordination/revision_history_test.go
@@ -0,0 +1,52 @@
+package coordination
+
+import (
+	"testing"
+
+	"pipitlatch/internal/micros"
+)
+
+func TestRevisionHistorySettled(t *testing.T) {
+	const age = 30 * micros.Second
+	observation := func(seconds int64, revision uint64) datedRevision {
+		return datedRevision{micros.Time(seconds) * micros.Second, revision}
+	}
+	tests := []struct {
+		name     string
+		observed []datedRevision
+		now      micros.Time
+		want     uint64
+		ok       bool
+	}{
+		{"none without an observation", nil, 100 * micros.Second, 0, false},
+		{"none that is just old enough", []datedRevision{observation(0, 5)}, age, 0, false},
+		{"the first that is old enough", []datedRevision{observation(0, 5)}, age + 1, 5, true},
+		{"not one that was observed since", []datedRevision{observation(0, 5), observation(10, 6)}, age + 1, 5, true},
+		{"the last that is old enough",
+			[]datedRevision{observation(0, 5), observation(10, 6), observation(45, 7)}, 45 * micros.Second, 6, true},
+		{"not one between two that are dated",
+			[]datedRevision{observation(0, 5), observation(9, 6), observation(45, 7)}, 45 * micros.Second, 5, true},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			var history revisionHistory
+			for _, o := range test.observed {
+				history.observe(o.at, o.revision, age)
+			}
+			if got, ok := history.settled(test.now, age); got != test.want || ok != test.ok {
+				t.Errorf("settled = %d, %v, want %d, %v", got, ok, test.want, test.ok)
+			}
+		})
+	}
+}
+
+func TestRevisionHistoryKeepsLittle(t *testing.T) {
+	const age = 30 * micros.Second
+	var history revisionHistory
+	for second := range micros.Time(1000) {
+		history.observe(second*micros.Second, uint64(second), age)
+	}
+	if got, most := len(history.observed), int(age/revisionInterval)+2; got > most {
+		t.Errorf("%d revisions are kept, want at most %d", got, most)
+	}
+}
--- /dev/null
+++ b/internal/coordination/scale_out_test.go
@@ -0,0 +1,240 @@
+package coordination
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/coordination/provisioning"
+	"pipitlatch/internal/coordination/storetest"
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
+)
+
+// newTestScaleOut is that of a cluster leader whose partition 0 lacks capacity for one task, and
+// whose cloud has one kind of instances for two.
+func newTestScaleOut(t *testing.T) (*dutyView, *scaleOut) {
+	t.Helper()
+	v := newDutyView(t, nil)
+	v.catalog = workload.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: workload.Resources{CPU: 2}, Price: 1}}
+	v.statuses = []messages.PartitionStatus{needing(0, 1)}
+	s := newScaleOut(v, dutyConfig(t), dutyKeys, newDutyPeers(v.Time, status(dutyProcess)), dutyTerm())
+	s.begin()
+	return v, s
+}
+
+// needing is a partition that lacks capacity for tasks.
+func needing(partition, count int) messages.PartitionStatus {
+	return messages.PartitionStatus{Partition: partition, CapacityRequests: []provisioning.CapacityRequest{
+		{Resources: workload.Resources{CPU: 1}, Count: count, Hold: micros.Second},
+	}}
+}
+
+// openBlock is the record of an instance request that has had no answer.
+func openBlock(requested int) storage.BlockRecord {
+	b := block(0)
+	b.Requested, b.Machines = requested, nil
+	return b
+}
+
+// recorded are the records that requests write, by key.
+func recorded(calls []*storetest.Call) map[string]string {
+	records := map[string]string{}
+	for _, call := range calls {
+		for _, put := range call.Request.Puts {
+			records[put.Key] = string(put.Value)
+		}
+	}
+	return records
+}
+
+var scaleOutCases = []struct {
+	name   string
+	change func(*testing.T, *dutyView, *scaleOut)
+	want   []int // instances of each request that is recorded
+}{
+	{"for what is lacking", func(*testing.T, *dutyView, *scaleOut) {}, []int{1}},
+	{"in blocks of as many machines as one may have",
+		func(_ *testing.T, v *dutyView, _ *scaleOut) { v.statuses[0] = needing(0, 10) }, []int{2, 2, 1}},
+	{"as many as the cloud's rate limit allows", func(_ *testing.T, v *dutyView, _ *scaleOut) {
+		v.statuses[0] = needing(0, 100)
+	}, []int{2, 2, 2, 2}},
+	{"a part of the fleet at once, divided among the partitions", func(_ *testing.T, v *dutyView, s *scaleOut) {
+		v.statuses = []messages.PartitionStatus{needing(1, 1000), needing(0, 1000)}
+		s.config.Settings.Cloud.RPS = 1000
+	}, slices.Repeat([]int{2}, 20)}, // a fifth of 200, as there is one kind
+	{"nothing before the catalog is known",
+		func(_ *testing.T, v *dutyView, _ *scaleOut) { v.catalog = nil }, nil},
+	{"nothing before the pause is over", func(_ *testing.T, v *dutyView, s *scaleOut) { s.nextAt = v.Time + 1 }, nil},
+	{"nothing at the beginning of a term", func(_ *testing.T, v *dutyView, s *scaleOut) {
+		s.term.acquiredAt = v.Time - minScaleOutTerm + 1
+	}, nil},
+	{"nothing while a request is open", func(t *testing.T, v *dutyView, s *scaleOut) {
+		v.put(t, dutyKeys.Block("c1-1"), openBlock(1))
+		s.pending.RetryAt("c1-1", v.Time+1)
+	}, nil},
+	{"nothing while a request is being written",
+		func(_ *testing.T, _ *dutyView, s *scaleOut) { s.pending.Started("c1-1", dutyKind) }, nil},
+	{"nothing on statuses from before the last round", func(_ *testing.T, v *dutyView, s *scaleOut) {
+		s.provisioned(7)
+		s.peers.Receive(v.Time, status(n1, "z"))
+	}, nil},
+	{"whatever a peer says that leads no partition", func(_ *testing.T, v *dutyView, s *scaleOut) {
+		s.provisioned(7)
+		s.peers.Receive(v.Time, status(n1))
+	}, []int{1}},
+	{"whatever a peer said long ago", func(_ *testing.T, v *dutyView, s *scaleOut) {
+		s.provisioned(7)
+		s.peers.Receive(v.Time-statusLifetime-1, status(n1, "z"))
+	}, []int{1}},
+	{"nothing of an exhausted kind",
+		func(_ *testing.T, v *dutyView, s *scaleOut) { s.capacity.Exhausted(dutyKind, v.Time) }, nil},
+	{"one to probe a zone that is not reached", func(_ *testing.T, v *dutyView, _ *scaleOut) {
+		v.statuses[0] = needing(0, 10)
+		v.statuses[0].UnreachableZones = []string{"a"}
+	}, []int{1}},
+	{"none to probe a zone while one is there", func(t *testing.T, v *dutyView, _ *scaleOut) {
+		v.statuses[0].UnreachableZones = []string{"a"}
+		v.put(t, dutyKeys.Block("b"), block(0, "unused"))
+	}, nil},
+	{"nothing more than the request budget allows",
+		func(_ *testing.T, v *dutyView, _ *scaleOut) { v.OverBudget = true }, nil},
+}
+
+func TestScaleOutRecordsRequests(t *testing.T) {
+	for _, test := range scaleOutCases {
+		t.Run(test.name, func(t *testing.T) {
+			v, s := newTestScaleOut(t)
+			test.change(t, v, s)
+			s.tick()
+			v.requireNoCloudCall(t) // not before the record is written
+			want := map[string]string{}
+			for i, requested := range test.want {
+				b := openBlock(requested)
+				b.Partition = i / 10 // in the largest case ten each
+				want[dutyKeys.Block(fmt.Sprintf("c%d-%d", leaderRevision, i+1))] = string(storage.Encode(b))
+			}
+			if got := recorded(v.Calls); !maps.Equal(got, want) {
+				t.Errorf("recorded %v, want %v", got, want)
+			}
+		})
+	}
+}
+
+func TestScaleOutServesServicesFirst(t *testing.T) {
+	requests := []provisioning.CapacityRequest{
+		{Count: 1}, {Count: 2, Service: true}, {Count: 3}, {Count: 4, Service: true},
+	}
+	var counts []int
+	for _, r := range servicesFirst(requests) {
+		counts = append(counts, r.Count)
+	}
+	if want := []int{2, 4, 1, 3}; !slices.Equal(counts, want) {
+		t.Errorf("order %v, want %v", counts, want)
+	}
+}
+
+// sendOne plays a round until its request is with the cloud.
+func sendOne(t *testing.T, v *dutyView, s *scaleOut) cloudCall {
+	t.Helper()
+	s.tick()
+	call := v.Take(t, storage.Txn)
+	want := []storage.Compare{v.LeaderCompare(), {Key: dutyKeys.Block("c4-1")}}
+	if !slices.Equal(call.Request.Compares, want) {
+		t.Errorf("guards of the record %+v, want %+v", call.Request.Compares, want)
+	}
+	call.Reply(storage.Reply{Outcome: storage.OK, Revision: 20})
+	request := v.takeCloudCall(t, messages.CloudRequestInstances)
+	if request.InstanceRequestID != "c4-1" || request.InstanceRequest.Count != 1 {
+		t.Errorf("request %+v, want one instance as c4-1", request.CloudCall)
+	}
+	return request
+}
+
+func TestScaleOutTurnsARequestIntoABlock(t *testing.T) {
+	tests := []struct {
+		name      string
+		granted   []string
+		outcome   messages.CloudOutcome
+		put       string // record that is written; empty: the request is deleted
+		exhausted bool
+	}{
+		{"of the instances granted", []string{"x"}, messages.CloudOK, string(storage.Encode(block(0, "x"))), false},
+		{"without those adopted before", []string{"adopted"}, messages.CloudOK, "", false},
+		{"deleted where none was granted", nil, messages.CloudInsufficientCapacity, "", true},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			v, s := newTestScaleOut(t)
+			request := sendOne(t, v, s)
+			v.put(t, dutyKeys.Block("other"), block(0, "adopted"))
+			request.reply(&messages.CloudReply{Outcome: test.outcome, Names: test.granted})
+			call := v.Take(t, storage.Txn)
+			want := []storage.Compare{v.LeaderCompare(), {Key: dutyKeys.Block("c4-1"), ModRevision: 20}}
+			if !slices.Equal(call.Request.Compares, want) {
+				t.Errorf("guards %+v, want %+v", call.Request.Compares, want)
+			}
+			if got := recorded([]*storetest.Call{call})[dutyKeys.Block("c4-1")]; got != test.put {
+				t.Errorf("written %q, want %q", got, test.put)
+			}
+			if got := len(call.Request.Deletes) == 1; got != (test.put == "") {
+				t.Errorf("deleted: %v", call.Request.Deletes)
+			}
+			call.Reply(storage.Reply{Outcome: storage.OK, Revision: 30})
+			if s.provisionedRevision != 30 || s.pending.InFlight() > 0 {
+				t.Errorf("provisioned at %d, %d in flight, want 30 and none", s.provisionedRevision, s.pending.InFlight())
+			}
+			if got := s.capacity.Limit(dutyKind, v.Time) == 0; got != test.exhausted {
+				t.Errorf("exhausted: %v, want %v", got, test.exhausted)
+			}
+			if got := s.nextAt == v.Time; got != test.exhausted {
+				t.Errorf("the next round is at once: %v, want %v", got, test.exhausted)
+			}
+		})
+	}
+}
+
+func TestScaleOutSendsARequestAgain(t *testing.T) {
+	t.Run("that the cloud did not answer", func(t *testing.T) {
+		v, s := newTestScaleOut(t)
+		request := sendOne(t, v, s)
+		v.put(t, dutyKeys.Block("c4-1"), openBlock(1))
+		s.tick()
+		v.requireNoCloudCall(t) // it is in flight
+		request.reply(&messages.CloudReply{Outcome: messages.CloudOutcomeUnknown})
+		v.Time += instanceRequestRetryInterval - 1
+		s.tick()
+		v.requireNoCloudCall(t)
+		v.Time++
+		s.tick()
+		v.takeCloudCall(t, messages.CloudRequestInstances)
+	})
+	t.Run("whose block was not written", func(t *testing.T) {
+		v, s := newTestScaleOut(t)
+		request := sendOne(t, v, s)
+		v.put(t, dutyKeys.Block("c4-1"), openBlock(1))
+		v.OverBudget = true
+		request.reply(&messages.CloudReply{Outcome: messages.CloudOK, Names: []string{"x"}})
+		v.Time += closeRetryInterval - 1
+		s.tick()
+		v.requireNoCloudCall(t)
+		v.Time++
+		s.tick()
+		v.takeCloudCall(t, messages.CloudRequestInstances)
+	})
+	t.Run("not one whose record was not written", func(t *testing.T) {
+		v, s := newTestScaleOut(t)
+		s.tick()
+		v.Take(t, storage.Txn).Reply(storage.Reply{Outcome: storage.Conflict})
+		v.requireNoCloudCall(t)
+		v.Time += scaleOutInterval - 1
+		s.tick()
+		v.RequireNoCall(t)
+		v.Time++
+		s.tick()
+		v.Take(t, storage.Txn) // but a new one
+	})
+}
