--- a/internal/coordination/admission_epochs.go
+++ b/internal/coordination/admission_epochs.go
@@ -55,13 +55,13 @@
 	if f.view.Current(c.now) == nil && !f.refusedLately(c.now) {
 		return
 	}
-	f.planAs(c.leader.revision)
+	f.planAs(c.leader.Revision())
 	demand := f.totalDemand(c.now, c.process.Member)
 	capacity := c.admissionCapacity(demand)
 	epoch := f.planner.Next(&f.view, admission.Situation{
 		Now:      c.now,
 		Wall:     c.wall,
-		Leader:   c.leader.revision,
+		Leader:   c.leader.Revision(),
 		Demand:   demand,
 		Capacity: capacity,
 	})
--- a/internal/coordination/archived_jobs_test.go
+++ b/internal/coordination/archived_jobs_test.go
@@ -24,7 +24,7 @@
 // newArchiveCore is a core whose store has archived jobs.
 func newArchiveCore(t *testing.T) *Core {
 	t.Helper()
-	c := New(dutyConfig(t), "1")
+	c := New(testConfig(t), "1")
 	c.output = &messages.Output{}
 	c.cache.Archived = true
 	return c
--- a/internal/coordination/block_records_test.go
+++ b/internal/coordination/block_records_test.go
@@ -19,7 +19,7 @@
 		{"one at least", 0.1, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			cfg := dutyConfig(t)
+			cfg := testConfig(t)
 			cfg.Settings.State.ValueKB = test.valueKB
 			if got := New(cfg, "1").maxBlockMachines(); got != test.want {
 				t.Errorf("maxBlockMachines = %d, want %d", got, test.want)
@@ -61,9 +61,9 @@
 }
 
 func TestPutBlockSplitsWhatIsTooLarge(t *testing.T) {
-	var machines []string
+	record := storage.BlockRecord{InstanceType: "m", Zone: "a", Machines: map[string]storage.MachineRecord{}}
 	for i := range 40 {
-		machines = append(machines, fmt.Sprintf("vm-%06d", i))
+		record.Machines[fmt.Sprintf("vm-%06d", i)] = storage.MachineRecord{}
 	}
 	tests := []struct {
 		name    string
@@ -79,7 +79,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			cfg := dutyConfig(t)
+			cfg := testConfig(t)
 			cfg.Settings.State.ValueKB = test.valueKB
 			c := New(cfg, "1")
 			c.keys = storage.Keys{}
@@ -87,7 +87,7 @@
 				c.cache.Blocks[name] = storage.Versioned[storage.BlockRecord]{ModRevision: 1}
 			}
 			var r storage.Request
-			c.putBlock(&r, "b", block(0, machines...))
+			c.putBlock(&r, "b", record)
 			written, guarded := writtenKeys(&r)
 			if want := blockKeys(test.want); !slices.Equal(written, want) {
 				t.Errorf("written %v, want %v", written, want)
--- a/internal/coordination/cluster_leader_test.go
+++ b/internal/coordination/cluster_leader_test.go
@@ -3,54 +3,24 @@
 import (
 	"testing"
 
+	"pipitlatch/internal/config"
 	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
 )
 
-func TestLeaderTermNamesAreUnique(t *testing.T) {
-	term := &leaderTerm{revision: 7}
-	seen := map[string]bool{}
-	for range 3 {
-		for _, prefix := range []string{"a", "c"} {
-			name := term.uniqueName(prefix)
-			if seen[name] {
-				t.Errorf("name %s is used twice", name)
-			}
-			seen[name] = true
-		}
-	}
-	if !seen["a7-1"] || !seen["c7-6"] {
-		t.Errorf("names %v, want them to have the prefix, the term's revision and a number", seen)
-	}
-}
-
-func TestClusterLeaderForgetsAnEarlierTerm(t *testing.T) {
-	c := New(dutyConfig(t), "1")
-	c.output = &messages.Output{}
-	c.now = 5
-	c.cache.ClusterLeader.ModRevision, c.cache.Revision = 7, 8
-	l := &c.leader
-	l.nameCounter = 3
-	l.terminated.Confirm("m", 0)
-	l.assignment.inFlight, l.termination.inFlight, l.listing.inFlight = true, true, true
-	l.archiver.inFlight, l.formatUpgrade.inFlight = true, true
-	l.scaling.pending.Started("c1-1", dutyKind)
-	l.adoption.name = "a1-1"
-	l.acquire(c)
-	if l.revision != 7 || l.acquiredAt != 5 || l.nameCounter != 0 || l.scaling.provisionedRevision != 8 {
-		t.Errorf("term %+v, provisioned at %d", *l.leaderTerm, l.scaling.provisionedRevision)
-	}
-	if l.terminated.Contains("m") || l.scaling.pending.InFlight() > 0 || l.adoption.name != "" {
-		t.Error("something of an earlier term is left")
-	}
-	if l.assignment.inFlight || l.termination.inFlight || l.listing.inFlight || l.archiver.inFlight ||
-		l.formatUpgrade.inFlight {
-		t.Error("a call of an earlier term is waited for")
+// testConfig are settings for a core.
+func testConfig(t *testing.T) *config.Config {
+	t.Helper()
+	cfg, err := config.Parse([]byte(benchSettings), nil)
+	if err != nil {
+		t.Fatal(err)
 	}
+	return cfg
 }
 
 func TestPartitionStatusesAreThoseOfThePresentLeaders(t *testing.T) {
+	n1, n2 := storage.Process{Member: "n1", Incarnation: "1"}, storage.Process{Member: "n2", Incarnation: "1"}
 	tests := []struct {
 		name  string
 		age   micros.Time
@@ -67,7 +37,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c := New(dutyConfig(t), "1")
+			c := New(testConfig(t), "1")
 			c.now = 1000 * micros.Second
 			c.cache.Partitions[0] = storage.Versioned[storage.PartitionRecord]{
 				Value: storage.PartitionRecord{Leader: n1}, ModRevision: 5,
--- a/internal/coordination/block_pruning.go
+++ b/internal/coordination/clusterleader/block_pruning.go
@@ -1,4 +1,4 @@
-package coordination
+package clusterleader
 
 import (
 	"pipitlatch/internal/coordination/provisioning"
--- /dev/null
+++ b/internal/coordination/clusterleader/leader_test.go
@@ -0,0 +1,85 @@
+package clusterleader
+
+import (
+	"slices"
+	"testing"
+
+	"pipitlatch/internal/coordination/messages"
+)
+
+func TestLeaderTermNamesAreUnique(t *testing.T) {
+	term := &leaderTerm{revision: 7}
+	seen := map[string]bool{}
+	for range 3 {
+		for _, prefix := range []string{"a", "c"} {
+			name := term.uniqueName(prefix)
+			if seen[name] {
+				t.Errorf("name %s is used twice", name)
+			}
+			seen[name] = true
+		}
+	}
+	if !seen["a7-1"] || !seen["c7-6"] {
+		t.Errorf("names %v, want them to have the prefix, the term's revision and a number", seen)
+	}
+}
+
+func TestLeaderBeginsATermOnce(t *testing.T) {
+	v := newDutyView(t, nil)
+	v.cache.Revision = 8
+	l := New(v, dutyConfig(t), dutyProcess, dutyKeys, newDutyPeers(0))
+	l.nameCounter = 3
+	l.terminated.Confirm("m", 0)
+	l.assignment.inFlight, l.termination.inFlight, l.listing.inFlight = true, true, true
+	l.archiver.inFlight, l.formatUpgrade.inFlight = true, true
+	l.scaling.pending.Started("c1-1", dutyKind)
+	l.adoption.name = "a1-1"
+	l.Begin(7)
+	if l.Revision() != 7 || l.acquiredAt != v.Time || l.nameCounter != 0 || l.scaling.provisionedRevision != 8 {
+		t.Errorf("term %+v, provisioned at %d", *l.leaderTerm, l.scaling.provisionedRevision)
+	}
+	if l.terminated.Contains("m") || l.scaling.pending.InFlight() > 0 || l.adoption.name != "" {
+		t.Error("something of an earlier term is left")
+	}
+	if l.assignment.inFlight || l.termination.inFlight || l.listing.inFlight || l.archiver.inFlight ||
+		l.formatUpgrade.inFlight {
+		t.Error("a call of an earlier term is waited for")
+	}
+	l.nameCounter = 3
+	l.Begin(7)
+	if l.nameCounter != 3 {
+		t.Error("the term was begun twice")
+	}
+	if want := []string{"cluster leadership acquired"}; !slices.Equal(v.Messages, want) {
+		t.Errorf("log records %v, want %v", v.Messages, want)
+	}
+}
+
+func TestLeaderKeepsTransfersUntilTheyAreSent(t *testing.T) {
+	v := newTransferView(t)
+	l := New(v, dutyConfig(t), dutyProcess, dutyKeys, newDutyPeers(0))
+	v.statuses = []messages.PartitionStatus{lacking(0, false), idle(1, "m1")}
+	l.transfer.tick()
+	if got := l.Transfers("n1"); len(got) != 1 || len(l.Transfers("n0")) > 0 {
+		t.Errorf("transfers of n1 %v, of n0 %v, want one of n1", got, l.Transfers("n0"))
+	}
+	l.TransfersSent()
+	if got := l.Transfers("n1"); len(got) > 0 {
+		t.Errorf("transfers %v, want none once they are sent", got)
+	}
+}
+
+func TestLeaderAdoptsUnmanagedMachinesThatAreHeard(t *testing.T) {
+	v := newDutyView(t, nil)
+	l := New(v, dutyConfig(t), dutyProcess, dutyKeys, newDutyPeers(0))
+	heartbeat := &messages.Heartbeat{Machine: "x", Address: "x:1", InstanceType: "m", Zone: "a"}
+	l.HeardFromUnmanaged(heartbeat)
+	if len(l.adoption.orphans) > 0 {
+		t.Error("adopted before the term has begun")
+	}
+	l.Begin(leaderRevision)
+	l.HeardFromUnmanaged(heartbeat)
+	if got := l.adoption.orphans["x"]; got != (orphan{dutyKind, "x:1"}) {
+		t.Errorf("orphan %+v, want the machine that was heard", got)
+	}
+}
--- a/internal/coordination/orphans.go
+++ b/internal/coordination/clusterleader/orphans.go
@@ -1,4 +1,4 @@
-package coordination
+package clusterleader
 
 import (
 	"maps"
@@ -54,15 +54,6 @@
 
 func (a *orphanAdoption) begin() { a.orphans, a.name = map[string]orphan{}, "" }
 
-// heardFromUnmanaged takes a machine that sent a heartbeat and has no block. The heartbeat may be
-// a late copy from a machine that was terminated under an earlier cluster leader: as a machine
-// that had no task it holds up no planning, and as one that does not answer it is soon
-// terminated again.
-func (l *clusterLeader) heardFromUnmanaged(r *messages.Heartbeat) {
-	kind := provisioning.InstanceKind{InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot}
-	l.adoption.add(r.Machine, r.Address, kind)
-}
-
 // add notes a machine that is to be assigned to the partition that lacks most. It has had no
 // task: only machines of a block get any, and they leave it only when they are gone.
 func (a *orphanAdoption) add(machine, address string, kind provisioning.InstanceKind) {
--- a/internal/coordination/partition_assignment_test.go
+++ b/internal/coordination/clusterleader/partition_assignment_test.go
@@ -1,4 +1,4 @@
-package coordination
+package clusterleader
 
 import (
 	"slices"
@@ -67,6 +67,11 @@
 	{"an isolated leader, of which that is known from long ago", func(v *dutyView, a *partitionAssignment) {
 		a.peers.Receive(v.Time-statusLifetime-1, status(n1, "b"))
 	}, storage.Process{}},
+	{"a leader that reaches all zones, though another reaches more machines", func(v *dutyView, a *partitionAssignment) {
+		s := status(n1, "b")
+		s.Partitions[0].UnreachableZones = nil
+		a.peers.Receive(v.Time, s)
+	}, storage.Process{}},
 	{"a leader isolated from machines that no other reaches either", func(v *dutyView, a *partitionAssignment) {
 		a.peers.Receive(v.Time, status(n1, "b"))
 		v.reachable[n2] = 14 // an eighth of 40 more is 15
--- a/internal/coordination/scale_out_test.go
+++ b/internal/coordination/clusterleader/scale_out_test.go
@@ -1,4 +1,4 @@
-package coordination
+package clusterleader
 
 import (
 	"fmt"
@@ -96,6 +96,12 @@
 		v.statuses[0] = needing(0, 10)
 		v.statuses[0].UnreachableZones = []string{"a"}
 	}, []int{1}},
+	{"one to probe a zone where all machines are used", func(t *testing.T, v *dutyView, _ *scaleOut) {
+		v.statuses[0].UnreachableZones = []string{"a"}
+		used := block(0)
+		used.Machines["used"] = storage.MachineRecord{Used: true}
+		v.put(t, dutyKeys.Block("b"), used)
+	}, []int{1}},
 	{"none to probe a zone while one is there", func(t *testing.T, v *dutyView, _ *scaleOut) {
 		v.statuses[0].UnreachableZones = []string{"a"}
 		v.put(t, dutyKeys.Block("b"), block(0, "unused"))
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -9,6 +9,7 @@
 	"pipitlatch/internal/coordination/calls"
 	"pipitlatch/internal/coordination/cancellation"
 	"pipitlatch/internal/coordination/catalog"
+	"pipitlatch/internal/coordination/clusterleader"
 	"pipitlatch/internal/coordination/election"
 	"pipitlatch/internal/coordination/leadership"
 	"pipitlatch/internal/coordination/membership"
@@ -43,7 +44,7 @@
 	jobTables
 	fleet
 	fair   *fairAdmission // nil: off
-	leader clusterLeader
+	leader *clusterleader.Leader
 }
 
 // identity is which controller this is, and how it is configured.
@@ -124,7 +125,7 @@
 	}, c.replanAll)
 	c.cancellations = cancellation.NewExchange(c.process, cancellationNoticeTTL(cfg))
 	c.fleet = newFleet(c)
-	c.leader = newClusterLeader(clusterView{environment{c}}, cfg, c.process, c.keys, c.peers)
+	c.leader = clusterleader.New(clusterView{environment{c}}, cfg, c.process, c.keys, c.peers)
 	return c
 }
 
--- a/internal/coordination/doc.go
+++ b/internal/coordination/doc.go
@@ -6,5 +6,5 @@
 // their timers in a fixed order. Parts that need little of the core are packages below this one,
 // which declare what they ask of it as an interface: membership, replication, election, catalog,
 // calls and others. The parts here share the partition leader's view of jobs and machines
-// (partitionLeader), or are the duties of the cluster leader (clusterLeader).
+// (partitionLeader), or are the duties of the cluster leader (package clusterleader).
 package coordination
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -44,7 +44,7 @@
 	leader := c.cache.ClusterLeader
 	switch {
 	case c.isClusterLeader():
-		c.leader.heardFromUnmanaged(in.Heartbeat)
+		c.leader.HeardFromUnmanaged(in.Heartbeat)
 		c.respondUnavailable(in.Request, unknownMachine)
 	case leader.ModRevision != 0 && leader.Value.Member != c.process.Member && !c.isolated():
 		c.redirectHeartbeat(in.Request, leader.Value.Member)
--- a/internal/coordination/status_messages.go
+++ b/internal/coordination/status_messages.go
@@ -41,14 +41,14 @@
 	status := c.composeStatus()
 	for _, peer := range c.config.Peers {
 		message := *status
-		message.Transfers = c.leader.transfer.pending[peer.Member]
+		message.Transfers = c.leader.Transfers(peer.Member)
 		message.Cancelled, message.CancelledUpTo = c.cancellations.NoticesFor(c.lastStatus(peer.Member))
 		c.output.PeerMessages = append(c.output.PeerMessages, messages.PeerMessage{To: peer.Member, Status: &message})
 	}
-	for _, transfer := range c.leader.transfer.pending[c.process.Member] {
+	for _, transfer := range c.leader.Transfers(c.process.Member) {
 		c.transferMachine(transfer)
 	}
-	c.leader.transfer.pending = nil
+	c.leader.TransfersSent()
 	c.receiveStatus(status)
 }
 
@@ -67,7 +67,7 @@
 		status.Partitions = append(status.Partitions, p.status())
 		status.Progress = append(status.Progress, p.jobProgress()...)
 	}
-	status.TerminatedMachines = c.leader.recentlyTerminated(c.now)
+	status.TerminatedMachines = c.leader.RecentlyTerminated(c.now)
 	status.CancellationAcks = c.cancellations.Acks()
 	status.Demand = c.demandForPeers()
 	return status
