--- /dev/null
+++ b/internal/coordination/agent_calls_test.go
@@ -0,0 +1,166 @@
+package coordination
+
+import (
+	"testing"
+
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/micros"
+)
+
+// startInFlight sends a start command to a machine and returns its attempt and the call.
+func startInFlight(t *testing.T, p *partitionLeader, m *machine) (*attempt, messages.AgentCall) {
+	t.Helper()
+	a := &attempt{id: messages.AttemptID{Job: "x", Number: 99}, machine: m}
+	m.attempts[a.id] = a
+	m.commands.Add(messages.Command{Operation: messages.Start, AttemptID: a.id})
+	p.sendBatch(m)
+	calls := p.core.output.AgentCalls
+	if len(calls) != 1 || len(calls[0].Commands) != 1 || !a.start.sent || a.start.inFlight != 1 {
+		t.Fatalf("calls %+v, start %+v", calls, a.start)
+	}
+	return a, calls[0]
+}
+
+// nextHeartbeat is the heartbeat that the agent of a machine sends next.
+func nextHeartbeat(p *partitionLeader, m *machine) *messages.Heartbeat {
+	position := m.agent.Position()
+	return &messages.Heartbeat{
+		Machine:          m.id,
+		AgentEpoch:       position.Epoch,
+		Sequence:         position.Sequence + 1,
+		FencingToken:     p.lease.fencingToken,
+		PreemptionNotice: -1,
+	}
+}
+
+// callOutcome is what became of a call with a start command.
+type callOutcome struct {
+	unanswered  int // start commands that may still be carried out
+	retried     bool
+	failedCalls int
+	drain       drainReason
+	reached     bool
+	inFlight    bool
+}
+
+func outcomeOf(p *partitionLeader, m *machine, a *attempt) callOutcome {
+	outcome := callOutcome{
+		retried:     !m.commands.Empty(),
+		failedCalls: m.contact.FailedCalls(),
+		drain:       m.drain.reason,
+		reached:     m.contact.LastContact() == p.core.now,
+		inFlight:    a.start.inFlight != 0 || m.commands.CallInFlight(),
+	}
+	if m.commands.HasUnansweredStarts() {
+		outcome.unanswered = a.start.unanswered
+	}
+	return outcome
+}
+
+func TestAgentCallCompleted(t *testing.T) {
+	tests := []struct {
+		name  string
+		reply func(p *partitionLeader, m *machine) *messages.Heartbeat
+		want  callOutcome
+	}{
+		{"answered", nextHeartbeat, callOutcome{reached: true}},
+		{"no reply", func(*partitionLeader, *machine) *messages.Heartbeat {
+			return nil
+		}, callOutcome{unanswered: 1, retried: true, failedCalls: 1}},
+		{"no reply, the epoch ended meanwhile", func(p *partitionLeader, m *machine) *messages.Heartbeat {
+			m.agent.BeginEpoch(m.agent.Epoch()+1, p.core.now)
+			return nil
+		}, callOutcome{failedCalls: 1}},
+		{"reply of another machine", func(p *partitionLeader, m *machine) *messages.Heartbeat {
+			h := nextHeartbeat(p, m)
+			h.Machine = p.machines[8].id
+			return h
+		}, callOutcome{unanswered: 1, retried: true, failedCalls: 1}},
+		{"reply older than the call", func(p *partitionLeader, m *machine) *messages.Heartbeat {
+			h := nextHeartbeat(p, m)
+			h.Sequence--
+			return h
+		}, callOutcome{drain: drainAgentRestarted}},
+		{"reply overtaken by a heartbeat", func(p *partitionLeader, m *machine) *messages.Heartbeat {
+			h, newer := nextHeartbeat(p, m), nextHeartbeat(p, m)
+			newer.Sequence++
+			m.agent.Observe(newer, p.core.now)
+			return h
+		}, callOutcome{reached: true}},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			p := observedFleet(t)
+			m := p.machines[7]
+			a, call := startInFlight(t, p, m)
+			p.core.now += micros.Second / 2
+			p.core.calls.CompleteAgent(call.Call, &messages.AgentReply{Heartbeat: test.reply(p, m)})
+			if got := outcomeOf(p, m, a); got != test.want {
+				t.Errorf("outcome %+v, want %+v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestAgentCallCompletedAfterTermination(t *testing.T) {
+	p := observedFleet(t)
+	m := p.machines[7]
+	a, call := startInFlight(t, p, m)
+	p.machineTerminated(m.id)
+	p.core.calls.CompleteAgent(call.Call, &messages.AgentReply{})
+	if m.contact.FailedCalls() != 0 || a.start.unanswered != 0 {
+		t.Errorf("a terminated machine is still noted: %d failed calls, start %+v", m.contact.FailedCalls(), a.start)
+	}
+}
+
+func TestCommandsToRetry(t *testing.T) {
+	tests := []struct {
+		name      string
+		operation messages.Operation
+		change    func(*attempt)
+		want      int
+	}{
+		{"start", messages.Start, func(*attempt) {}, 1},
+		{"start of an attempt that was stopped", messages.Start, func(a *attempt) { a.stop.ordered = true }, 0},
+		{"start of an attempt that was shown", messages.Start, func(a *attempt) { a.start.reported = true }, 0},
+		{"start of an attempt that exited", messages.Start, func(a *attempt) { a.state = messages.Exited }, 0},
+		{"stop", messages.Stop, func(a *attempt) { a.stop.ordered = true }, 1},
+		{"stop of an attempt that exited", messages.Stop, func(a *attempt) { a.state = messages.Exited }, 0},
+		{"attempt that was forgotten", messages.Stop, func(a *attempt) { a.unindex() }, 0},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			m := &machine{attempts: map[messages.AttemptID]*attempt{}}
+			a := &attempt{machine: m}
+			a.index()
+			test.change(a)
+			batch := []messages.Command{{Operation: test.operation, AttemptID: a.id}}
+			if got := m.commandsToRetry(batch); len(got) != test.want {
+				t.Errorf("%d commands to retry, want %d", len(got), test.want)
+			}
+		})
+	}
+}
+
+func TestSendBatchWaitsForTheAgent(t *testing.T) {
+	tests := []struct {
+		name   string
+		change func(p *partitionLeader, m *machine)
+	}{
+		{"does not obey the current token", func(p *partitionLeader, _ *machine) { p.lease.fencingToken++ }},
+		{"has no address", func(_ *partitionLeader, m *machine) { m.address = "" }},
+		{"is called already", func(_ *partitionLeader, m *machine) { m.commands.CallStarted() }},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			p := observedFleet(t)
+			m := p.machines[7]
+			m.commands.Add(messages.Command{Operation: messages.Stop})
+			test.change(p, m)
+			p.sendBatch(m)
+			if calls := p.core.output.AgentCalls; len(calls) != 0 || m.commands.Empty() {
+				t.Errorf("sent %+v", calls)
+			}
+		})
+	}
+}
