--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -107,7 +107,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if w := strings.Join(cfg.Warnings(), "\n"); !strings.HasPrefix(w, c.field) || strings.Contains(w, "\n") || (w == "") != (c.field == "") {
+		w := strings.Join(cfg.Warnings(), "\n")
+		if !strings.HasPrefix(w, c.field) || strings.Contains(w, "\n") || (w == "") != (c.field == "") {
 			t.Errorf("%q: got %q", c.to, w)
 		}
 	}
@@ -117,7 +118,8 @@
 // by far the greatest.
 func TestSockets(t *testing.T) {
 	for _, most := range []int{16, 100, 1000, 3606} {
-		cfg, err := Parse([]byte(strings.Replace(good, "max_connections = 1000", fmt.Sprint("max_connections = ", most), 1)), nil)
+		settings := strings.Replace(good, "max_connections = 1000", fmt.Sprint("max_connections = ", most), 1)
+		cfg, err := Parse([]byte(settings), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -130,15 +132,21 @@
 
 // TestLimitsToCome: everything keeps to the smaller limits from the start.
 func TestLimitsToCome(t *testing.T) {
-	c, err := Parse([]byte(strings.Replace(good, "[settings.cloud]", "[settings.state.next]\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 4\n[settings.cloud]", 1)), nil)
+	withNext := func(limits string) []byte {
+		return []byte(strings.Replace(good, "[settings.cloud]", "[settings.state.next]\n"+limits+"\n[settings.cloud]", 1))
+	}
+	c, err := Parse(withNext("write_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 4"), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l := c.Settings.StateLimits(); l.RPS != 100 || l.WriteRPS != 18 || l.ValueKB != 2 || l.TxnOps != 4 || c.Settings.MaxValue() >= 2048 {
-		t.Errorf("limits %+v, values of %d", l, c.Settings.MaxValue())
+	if got, want := c.Settings.StateLimits(), (State{RPS: 100, WriteRPS: 18, ValueKB: 2, TxnOps: 4}); got != want {
+		t.Errorf("limits: got %+v, want %+v", got, want)
+	}
+	if got := c.Settings.MaxValue(); got >= 2048 {
+		t.Errorf("values of %d bytes", got)
 	}
 	for _, bad := range []string{"txn_ops = 3", "value_kb = 0.5", "write_rps = -1.0"} {
-		if _, err := Parse([]byte(strings.Replace(good, "[settings.cloud]", "[settings.state.next]\n"+bad+"\n[settings.cloud]", 1)), nil); err == nil {
+		if _, err := Parse(withNext(bad), nil); err == nil {
 			t.Errorf("%s was taken", bad)
 		}
 	}
@@ -162,12 +170,14 @@
 		t.Errorf("not off by default: %v", err)
 	}
 	bad := `fair_admission { enabled: true epoch_ms: 500 floor_percent: 101 lag_s: 4000
-		weights { team: "nobody" weight: 2 } weights { team: "alpha" weight: 2000 } weights { team: "alpha" weight: 3 } weights { team: "alpha" class: "x" } }`
+		weights { team: "nobody" weight: 2 } weights { team: "alpha" weight: 2000 }
+		weights { team: "alpha" weight: 3 } weights { team: "alpha" class: "x" } }`
 	_, err = Parse([]byte(good), []byte(bad))
 	if err == nil {
 		t.Fatal("taken")
 	}
-	for _, field := range []string{"epoch_ms", "floor_percent", "lag_s", "weights[0].team", "weights[1].weight", "weights[2]", "weights[3].weight"} {
+	for _, field := range []string{"epoch_ms", "floor_percent", "lag_s",
+		"weights[0].team", "weights[1].weight", "weights[2]", "weights[3].weight"} {
 		if strings.Count(err.Error(), "operator.fair_admission."+field+":") != 1 {
 			t.Errorf("%s is not named once: %v", field, err)
 		}
