--- /dev/null
+++ b/internal/coordination/preemption_test.go
@@ -0,0 +1,119 @@
+package coordination
+
+import (
+	"slices"
+	"testing"
+
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/storage"
+	"pipitlatch/internal/workload"
+)
+
+// runningOn puts an attempt at a task of a job on a machine, which has run for a time.
+func runningOn(m *machine, j *workload.Job, cpu int64, since micros.Time) *attempt {
+	a := &attempt{
+		id:           messages.AttemptID{Job: j.ID, Number: uint64(len(m.attempts) + 1)},
+		machine:      m,
+		job:          &job{Job: j},
+		resources:    workload.Resources{CPU: cpu},
+		state:        messages.Running,
+		runningSince: since,
+	}
+	m.attempts[a.id] = a
+	return a
+}
+
+// TestPreemptionOn: the least work lost is stopped, no more than needed, and none of the same
+// priority.
+func TestPreemptionOn(t *testing.T) {
+	const now = 1000 * micros.Second
+	p := &partitionLeader{core: coreAt(now)}
+	service := &job{Job: &workload.Job{
+		Kind: workload.Service, Priority: workload.High, Resources: workload.Resources{CPU: 4},
+	}}
+	low := func(id string) *workload.Job { return &workload.Job{ID: id, Priority: workload.Low} }
+	for _, c := range []struct {
+		name   string
+		on     func(m *machine)
+		want   []string
+		cost   float64
+		enough bool
+	}{
+		{name: "nothing where it fits", on: func(m *machine) { runningOn(m, low("1"), 4, now-9*micros.Second) },
+			enough: true},
+		{name: "the least work lost", on: func(m *machine) {
+			runningOn(m, low("1"), 4, now-9*micros.Second)
+			runningOn(m, low("2"), 4, now-5*micros.Second)
+		}, want: []string{"2"}, cost: 5 + costOfAStop, enough: true},
+		{name: "what does not run yet loses none", on: func(m *machine) {
+			runningOn(m, low("1"), 4, now-micros.Second)
+			runningOn(m, low("2"), 4, 0)
+		}, want: []string{"2"}, cost: costOfAStop, enough: true},
+		{name: "what checkpoints loses the time of that", on: func(m *machine) {
+			runningOn(m, low("1"), 4, now-9*micros.Second)
+			j := low("2")
+			j.CheckpointInterval, j.CheckpointDuration = 60*micros.Second, 2*micros.Second
+			runningOn(m, j, 4, now-500*micros.Second)
+		}, want: []string{"2"}, cost: 2 + costOfAStop, enough: true},
+		{name: "as many as are needed", on: func(m *machine) {
+			runningOn(m, low("1"), 2, now-1*micros.Second)
+			runningOn(m, low("2"), 2, now-2*micros.Second)
+			runningOn(m, low("3"), 4, now-3*micros.Second)
+		}, want: []string{"1", "2"}, cost: 3 + 2*costOfAStop, enough: true},
+		{name: "not of the same priority", on: func(m *machine) {
+			runningOn(m, &workload.Job{ID: "1", Priority: workload.High}, 6, now-micros.Second)
+			runningOn(m, low("2"), 1, now-micros.Second)
+		}, want: []string{"2"}, cost: 1 + costOfAStop},
+		{name: "not what is being stopped already", on: func(m *machine) {
+			runningOn(m, low("1"), 8, now-micros.Second).stop.ordered = true
+		}},
+		{name: "what exited takes nothing", on: func(m *machine) {
+			runningOn(m, low("1"), 8, now-micros.Second).state = messages.Exited
+		}, enough: true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			m := &machine{
+				instanceType: &workload.InstanceType{Capacity: workload.Resources{CPU: 8}},
+				attempts:     map[messages.AttemptID]*attempt{},
+			}
+			c.on(m)
+			on, enough := p.preemptionOn(m, service)
+			var victims []string
+			for _, a := range on.victims {
+				victims = append(victims, a.id.Job)
+			}
+			if !slices.Equal(victims, c.want) || on.cost != c.cost || enough != c.enough {
+				t.Errorf("stops %v at %v s, enough %v; want %v at %v s, %v",
+					victims, on.cost, enough, c.want, c.cost, c.enough)
+			}
+		})
+	}
+}
+
+// TestZoneHasCapacity: what a job's active tasks allow of a zone.
+func TestZoneHasCapacity(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		job    workload.Job
+		active []string // zones
+		want   bool
+	}{
+		{"any zone", workload.Job{Tasks: 4}, []string{"a", "b", "a"}, true},
+		{"the first task of a one-zone job", workload.Job{Tasks: 4, OneZone: true}, nil, true},
+		{"its zone", workload.Job{Tasks: 4, OneZone: true}, []string{"a"}, true},
+		{"not another zone", workload.Job{Tasks: 4, OneZone: true}, []string{"b"}, false},
+		{"up to half of a spread job", workload.Job{Tasks: 4, Spread: true}, []string{"a", "b", "b"}, true},
+		{"no more than half of a spread job", workload.Job{Tasks: 4, Spread: true}, []string{"a", "a"}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			j := &job{Job: &c.job, activeAttempts: map[int]*attempt{}}
+			for task, zone := range c.active {
+				j.activeAttempts[task] = &attempt{machine: &machine{record: storage.Machine{Zone: zone}}}
+			}
+			if got := j.zoneHasCapacity("a"); got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
