--- a/internal/scenario/cluster_test.go
+++ b/internal/scenario/cluster_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"strconv"
 	"strings"
 
@@ -12,7 +11,7 @@
 
 // newWorld makes a deployment from its cluster line; nothing runs yet.
 func newWorld(l *line, seed uint64, logf func(string, ...any)) (*World, error) {
-	w := &World{random: rand.New(rand.NewPCG(seed, 7)), logf: logf}
+	w := &World{simulation: newSimulation(seed, logf)}
 	zones, nodeZones := []string{"a", "b"}, []string{"a"}
 	if l.settings["zones"] != "" {
 		zones = strings.Split(l.settings["zones"], ",")
@@ -30,7 +29,8 @@
 		w.config = n.config
 		w.nodes = append(w.nodes, n)
 	}
-	w.store = newKeyValueStore(w)
+	limits := w.config.Settings.State
+	w.store = newKeyValueStore(w.simulation, limits.TxnOps, int(limits.ValueKB*1024))
 	w.store.historyLimit = l.count("history", 10_000)
 	w.cloud = newCloud(w)
 	w.users = newUsers(w)
--- a/internal/scenario/recorded_deployment_test.go
+++ b/internal/scenario/recorded_deployment_test.go
@@ -35,12 +35,12 @@
 func (s *keyValueStore) load(file string) {
 	d, err := readRecordedDeployment(file)
 	if err != nil {
-		s.w.breakRule("bench", "%v", err)
+		s.sim.breakRule("bench", "%v", err)
 		return
 	}
 	s.loaded = storage.NewCache(storage.Keys{Prefix: "pl/"})
 	s.leases.lastID++
-	s.leases.expiry[s.leases.lastID] = s.w.now + micros.Second // of the processes that were registered
+	s.leases.expiry[s.leases.lastID] = s.sim.now + micros.Second // of the processes that were registered
 	for _, r := range d.Rows {
 		leaseID := uint64(0)
 		if strings.HasPrefix(r.Key, "pl/node/") || r.Key == "pl/leader" {
@@ -49,11 +49,10 @@
 		s.keys[r.Key] = storedRecord{r.Value, r.ModRevision, leaseID}
 		key := strings.Replace(r.Key, "pl/~over/", "pl/job/", 1)
 		if _, _, err := s.loaded.Apply(storage.Item{Key: key, Value: r.Value, ModRevision: r.ModRevision}); err != nil {
-			s.w.breakRule("bench", "%v", err)
+			s.sim.breakRule("bench", "%v", err)
 		}
 	}
 	s.revision = d.Revision
-	s.w.cloud.lastMachineNumber = 900 // names are never used twice
 }
 
 // restoreCompletion gives a job's user what was done before the records were left.
--- a/internal/scenario/service_faults_test.go
+++ b/internal/scenario/service_faults_test.go
@@ -10,7 +10,7 @@
 var storeFaults = map[string]func(*line) effect{
 	"down":         storeDown,
 	"refuse":       storeRefuses,
-	"load":         func(l *line) effect { return func(w *World) { w.store.load(l.word(2)) } },
+	"load":         storeLoads,
 	"write":        func(l *line) effect { return func(w *World) { w.store.write(l.word(2), l.word(3)) } },
 	"limits":       storeLimits,
 	"delay":        storeDelaysKey,
@@ -36,6 +36,19 @@
 	}
 }
 
+// firstNewMachine is the number of machines after those of a recorded deployment: no name is used
+// twice.
+const firstNewMachine = 900
+
+// storeLoads puts a recorded deployment in place.
+func storeLoads(l *line) effect {
+	file := l.word(2)
+	return func(w *World) {
+		w.store.load(file)
+		w.cloud.lastMachineNumber = firstNewMachine
+	}
+}
+
 // storeRefuses is an outage for some controllers.
 func storeRefuses(l *line) effect {
 	target, length := l.word(2), l.duration()
--- a/internal/scenario/store_leases_test.go
+++ b/internal/scenario/store_leases_test.go
@@ -17,7 +17,7 @@
 	}
 	s.leases.lastID++
 	s.leases.ttl[s.leases.lastID] = g.TTL * micros.Millisecond
-	s.leases.expiry[s.leases.lastID] = s.w.now + s.leases.ttl[s.leases.lastID]
+	s.leases.expiry[s.leases.lastID] = s.sim.now + s.leases.ttl[s.leases.lastID]
 	reply(200, encode(map[string]any{"permit": s.leases.lastID}))
 }
 
@@ -25,12 +25,12 @@
 func (s *keyValueStore) expireLeases() {
 	if !s.faults.down {
 		for _, id := range sortedIDs(s.leases.expiry) {
-			if s.w.now > s.leases.expiry[id] {
+			if s.sim.now > s.leases.expiry[id] {
 				s.revokeLease(id)
 			}
 		}
 	}
-	s.w.after(50*micros.Millisecond, s.expireLeases)
+	s.sim.after(50*micros.Millisecond, s.expireLeases)
 }
 
 func (s *keyValueStore) revokeLease(id uint64) {
--- a/internal/scenario/store_test.go
+++ b/internal/scenario/store_test.go
@@ -27,7 +27,7 @@
 
 // keyValueStore is a stand-in of the key-value store.
 type keyValueStore struct {
-	w            *World
+	sim          *simulation
 	keys         map[string]storedRecord
 	revision     uint64
 	changes      []storeChange
@@ -67,13 +67,13 @@
 	writeTokensAt micros.Time
 }
 
-func newKeyValueStore(w *World) *keyValueStore {
-	limits := w.config.Settings.State
+// newKeyValueStore makes an empty store with limits on a transaction's operations and its values.
+func newKeyValueStore(sim *simulation, maxOperations, maxValueBytes int) *keyValueStore {
 	s := &keyValueStore{
-		w: w, keys: map[string]storedRecord{}, historyLimit: 10_000, largest: map[string]writeSize{},
+		sim: sim, keys: map[string]storedRecord{}, historyLimit: 10_000, largest: map[string]writeSize{},
 		leases: leaseTable{expiry: map[uint64]micros.Time{}, ttl: map[uint64]micros.Time{}},
 		faults: storeFaultState{refusedMembers: map[string]bool{}, delayedKeys: map[string]micros.Time{}},
-		limits: storeLimitState{maxOperations: limits.TxnOps, maxValueBytes: int(limits.ValueKB * 1024)},
+		limits: storeLimitState{maxOperations: maxOperations, maxValueBytes: maxValueBytes},
 	}
 	s.expireLeases()
 	return s
@@ -89,15 +89,15 @@
 	s.faults.down = down
 	if !down {
 		for id := range s.leases.expiry {
-			s.leases.expiry[id] = s.w.now + s.leases.ttl[id]
+			s.leases.expiry[id] = s.sim.now + s.leases.ttl[id]
 		}
 		s.answerWatches()
 	}
 }
 
 func (s *keyValueStore) handle(from string, r protocol.HTTPRequest, reply replyFunc) {
-	delay := 1*micros.Millisecond + s.w.random.Int64N(3*micros.Millisecond) + s.faults.delay
-	s.w.after(delay, func() {
+	delay := 1*micros.Millisecond + s.sim.random.Int64N(3*micros.Millisecond) + s.faults.delay
+	s.sim.after(delay, func() {
 		if s.refuses(from) {
 			reply(503, []byte(`{"error":"unavailable"}`))
 			return
@@ -133,7 +133,7 @@
 			reply(404, []byte(`{}`))
 			return
 		}
-		s.leases.expiry[id] = s.w.now + s.leases.ttl[id]
+		s.leases.expiry[id] = s.sim.now + s.leases.ttl[id]
 		reply(200, encode(map[string]any{"permit": id}))
 	case r.Method == "POST" && u.Path == "/commit":
 		s.transact(r.Body, reply)
--- a/internal/scenario/store_transactions_test.go
+++ b/internal/scenario/store_transactions_test.go
@@ -24,14 +24,14 @@
 // transact commits: at once, or late, or without an answer.
 func (s *keyValueStore) transact(body []byte, reply replyFunc) {
 	if by := s.commitDelay(body); by > 0 {
-		s.w.after(by, func() { s.commit(body) })
+		s.sim.after(by, func() { s.commit(body) })
 		return
 	}
-	switch x := s.w.random.Float64(); {
+	switch x := s.sim.random.Float64(); {
 	case x < s.faults.lostReplyShare:
 		s.commit(body)
 	case x < s.faults.lostReplyShare+s.faults.lateCommitShare:
-		s.w.after(micros.Second+s.w.random.Int64N(20*micros.Second), func() {
+		s.sim.after(micros.Second+s.sim.random.Int64N(20*micros.Second), func() {
 			if !s.faults.down {
 				s.commit(body)
 			}
@@ -65,7 +65,7 @@
 		s.tooLarge++
 		return 400, []byte(`{"error":"malformed"}`)
 	}
-	if !s.limits.take(len(t.Writes), s.w.now) {
+	if !s.limits.take(len(t.Writes), s.sim.now) {
 		return 429, []byte(`{"error":"too many changes"}`)
 	}
 	if failed := s.failedCompares(&t); len(failed) > 0 {
--- a/internal/scenario/store_watches_test.go
+++ b/internal/scenario/store_watches_test.go
@@ -38,12 +38,12 @@
 			return
 		}
 		if s.refuses(from) {
-			s.w.after(100*micros.Millisecond, timeUp) // stays open
+			s.sim.after(100*micros.Millisecond, timeUp) // stays open
 			return
 		}
 		s.answerWatch(x, true)
 	}
-	s.w.after(block*micros.Millisecond, timeUp)
+	s.sim.after(block*micros.Millisecond, timeUp)
 }
 
 func (s *keyValueStore) answerWatches() {
