--- /dev/null
+++ b/internal/coordination/store_changes_test.go
@@ -0,0 +1,127 @@
+package coordination
+
+import (
+	"slices"
+	"testing"
+
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/storage"
+)
+
+var otherProcess = storage.Process{Member: "n1", Incarnation: "1"}
+
+// applyItem lets a core take one change of the store.
+func applyItem(t *testing.T, c *Core, key string, value any, revision uint64) {
+	t.Helper()
+	item := storage.Item{Key: key, Value: storage.Encode(value), ModRevision: revision}
+	change, changed, err := c.cache.Apply(item)
+	if err != nil || !changed {
+		t.Fatalf("change of %s: changed %v, error %v", key, changed, err)
+	}
+	replicaObserver{c}.Changed(change, item)
+}
+
+// logMessages are the messages of the log records of the present step.
+func logMessages(c *Core) (out []string) {
+	for _, record := range c.output.LogRecords {
+		out = append(out, record.Message)
+	}
+	return out
+}
+
+// newCoreInStep returns a core within a step at ten seconds.
+func newCoreInStep(t *testing.T) *Core {
+	t.Helper()
+	c := newTestCore(t)
+	c.now, c.output = 10*micros.Second, &messages.Output{}
+	return c
+}
+
+func TestPartitionLeadershipFollowsTheStream(t *testing.T) {
+	c := newCoreInStep(t)
+	key := c.keys.Partition(0)
+	applyItem(t, c, key, storage.PartitionRecord{Leader: otherProcess}, 5)
+	if len(c.partitions) != 0 || len(logMessages(c)) != 0 {
+		t.Fatalf("%d partitions led, log %q", len(c.partitions), logMessages(c))
+	}
+	applyItem(t, c, key, storage.PartitionRecord{Leader: c.process}, 6)
+	acquired := c.partitions[0]
+	if acquired == nil || acquired.lease.fencingToken != 6 {
+		t.Fatalf("partition %+v, want one with fencing token 6", acquired)
+	}
+	applyItem(t, c, key, storage.PartitionRecord{Leader: c.process}, 7)
+	if c.partitions[0] != acquired || acquired.lease.fencingToken != 7 {
+		t.Errorf("a new fencing token made the leader begin anew, or wasn't taken")
+	}
+	applyItem(t, c, key, storage.PartitionRecord{Leader: otherProcess}, 8)
+	if len(c.partitions) != 0 {
+		t.Error("still led after another process became the leader")
+	}
+	want := []string{"partition leadership acquired", "partition leadership lost"}
+	if got := logMessages(c); !slices.Equal(got, want) {
+		t.Errorf("log %q, want %q", got, want)
+	}
+}
+
+// TestSnapshotAndPartitionLeadership: what was between two copies of the store is unknown, so the
+// leadership goes on only if its record is the same.
+func TestSnapshotAndPartitionLeadership(t *testing.T) {
+	for name, test := range map[string]struct {
+		leader   *storage.Process // in the snapshot; nil: no record
+		revision uint64
+		kept     bool
+		leads    bool
+	}{
+		"the same record: it goes on":                    {&storage.Process{Member: "n0", Incarnation: "1"}, 6, true, true},
+		"a later record of this process: it begins anew": {&storage.Process{Member: "n0", Incarnation: "1"}, 9, false, true},
+		"another leader: it ends":                        {&otherProcess, 9, false, false},
+		"no record: it ends":                             {nil, 0, false, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := newCoreInStep(t)
+			applyItem(t, c, c.keys.Partition(0), storage.PartitionRecord{Leader: c.process}, 6)
+			before := c.partitions[0]
+			snapshot := storage.NewCache(c.keys)
+			if test.leader != nil {
+				record := storage.Versioned[storage.PartitionRecord]{ModRevision: test.revision}
+				record.Value.Leader = *test.leader
+				snapshot.Partitions[0] = record
+			}
+			c.replica.Install(snapshot, c.now)
+			after := c.partitions[0]
+			if c.cache != snapshot {
+				t.Error("the core has another cache than the replica")
+			}
+			if (after != nil) != test.leads || (after != nil && after == before) != test.kept {
+				t.Errorf("leads %v, the same as before %v", after != nil, after == before)
+			}
+		})
+	}
+}
+
+// TestDeathOfFormerLeadersIsDated: a former leader is surely dead when a newer process of its
+// member is registered, and the time when that was first known is kept.
+func TestDeathOfFormerLeadersIsDated(t *testing.T) {
+	c := newCoreInStep(t)
+	record := storage.PartitionRecord{Leader: c.process, FormerLeaders: []storage.Process{otherProcess}}
+	applyItem(t, c, c.keys.Partition(0), record, 6)
+	if len(c.deathTimes) != 0 {
+		t.Fatalf("deaths %v, but none is known", c.deathTimes)
+	}
+	register := func(incarnation string, revision uint64) {
+		process := storage.Process{Member: "n1", Incarnation: incarnation}
+		applyItem(t, c, c.keys.Member("n1"), storage.Registration{Process: process, Format: storage.Format}, revision)
+	}
+	register("1", 7)
+	if len(c.deathTimes) != 0 {
+		t.Fatalf("deaths %v, but the process is registered", c.deathTimes)
+	}
+	register("2", 8)
+	died := c.now
+	c.now += micros.Second
+	register("3", 9)
+	if got := c.deathTimes[otherProcess]; got != died {
+		t.Errorf("died at %d, want %d: when it was first known", got, died)
+	}
+}
