--- /dev/null
+++ b/internal/admission/epoch_test.go
@@ -0,0 +1,83 @@
+package admission
+
+import (
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"pipitlatch/internal/micros"
+)
+
+func encode(t testing.TB, e *Epoch) json.RawMessage {
+	t.Helper()
+	raw, err := json.Marshal(e)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+func epochOf(number uint64, windows map[string]Window, rest Window) *Epoch {
+	return &Epoch{
+		Number:   number,
+		Leader:   5,
+		Written:  100 * micros.Second,
+		Length:   4 * micros.Second,
+		Validity: 12 * micros.Second,
+		Windows:  windows,
+		Rest:     rest,
+	}
+}
+
+// TestWindowsCoverTheCircle: whatever the widths, windows that follow each other admit every
+// reference within the epochs that the narrowest of them needs for the whole circle, and the
+// turn that a refused one is promised is right as long as the widths stay.
+func TestWindowsCoverTheCircle(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		least := rapid.Uint32Range(Points/40, Points).Draw(t, "least")
+		w := Window{Start: rapid.Uint32Range(0, Points-1).Draw(t, "start"), Width: least}
+		ref := fmt.Sprintf("wk-%06d", rapid.IntRange(0, 999_999).Draw(t, "ref"))
+		most := int(Points/least) + 1
+		for range most {
+			if !w.valid() {
+				t.Fatalf("%+v", w)
+			}
+			if w.admits(position(ref)) {
+				return
+			}
+			w = w.next(rapid.Uint32Range(least, Points).Draw(t, "width"))
+		}
+		t.Fatalf("%s not admitted in %d epochs", ref, most)
+	})
+}
+
+func TestTurnIsKept(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		f := Flow{"alpha", "short"}
+		w := Window{
+			Start: rapid.Uint32Range(0, Points-1).Draw(t, "start"),
+			Width: rapid.Uint32Range(Points/20, Points/2).Draw(t, "width"),
+		}
+		w.Before = min(w.Width, Points-w.Width)
+		ref := fmt.Sprintf("wk-%06d", rapid.IntRange(0, 999_999).Draw(t, "ref"))
+		e := epochOf(1, map[string]Window{f.Key(): w}, w)
+		if e.Admits(f, ref) {
+			return
+		}
+		turn := e.Turn(f, ref)
+		for n := micros.Time(1); ; n++ {
+			w = w.next(w.Width)
+			if epochOf(1, map[string]Window{f.Key(): w}, w).Admits(f, ref) {
+				if turn < n*e.Length || turn > (n+1)*e.Length {
+					t.Fatalf("admitted in epoch %d, promised %d", n, turn)
+				}
+				return
+			}
+			if n > 30 {
+				t.Fatal("never admitted")
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/coordination/admission_epochs_test.go
@@ -0,0 +1,147 @@
+package coordination
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"pipitlatch/internal/admission"
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/micros"
+	"pipitlatch/internal/storage"
+)
+
+// TestBadRecordsAreLoggedRarely: whoever writes nonsense there fills no log.
+func TestBadRecordsAreLoggedRarely(t *testing.T) {
+	c := newFair(t)
+	lines := 0
+	for i := range 100 {
+		c.now += 50 * micros.Millisecond
+		c.output = &messages.Output{}
+		item := storage.Item{Key: c.keys.Admission(), Value: []byte(`{"n":`), ModRevision: uint64(20 + i)}
+		if _, _, err := c.cache.Apply(item); err != nil {
+			t.Fatal(err)
+		}
+		c.admissionChanged(c.now)
+		for _, record := range c.output.LogRecords {
+			if record.Level >= messages.LevelWarn {
+				lines++
+			}
+		}
+	}
+	if lines < 1 || lines > 2 {
+		t.Errorf("%d lines in 5 s", lines)
+	}
+	if e := c.fair.view.Current(c.now); e == nil || e.Number != 3 {
+		t.Error("the epoch before is not in force")
+	}
+}
+
+// leadUnderOverload makes the core cluster leader, with a fencing token, at a time when the epoch
+// before has ended and submissions are refused.
+func leadUnderOverload(c *Core, fencingToken uint64) {
+	c.cache.ClusterLeader = storage.Versioned[storage.Process]{Value: c.process, ModRevision: fencingToken}
+	c.leader.Begin(fencingToken)
+	c.now += 20 * micros.Second
+	for i := range 3000 {
+		c.fair.tracker.Asked(c.now, admission.Flow{Team: "alpha", Class: "c"}, fmt.Sprintf("wk-%06d", i))
+		c.fair.tracker.Refused(c.now)
+	}
+}
+
+// tickEpoch is the request by which an epoch is written at a time, and that epoch; nil: none is.
+func tickEpoch(t *testing.T, c *Core, now micros.Time) (*storage.Request, *admission.Epoch) {
+	t.Helper()
+	c.now, c.output = now, &messages.Output{}
+	c.tickAdmission()
+	switch len(c.output.StoreCalls) {
+	case 0:
+		return nil, nil
+	case 1:
+	default:
+		t.Fatalf("%d requests", len(c.output.StoreCalls))
+	}
+	r := c.output.StoreCalls[0].Request
+	epoch, err := admission.Parse(r.Puts[0].Value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r, epoch
+}
+
+// TestEpochIsWrittenAsLeader: carried out late, or for a cluster leader that was replaced, or over a
+// newer epoch, the write has no effect.
+func TestEpochIsWrittenAsLeader(t *testing.T) {
+	c := newFair(t)
+	leadUnderOverload(c, 4)
+	r, epoch := tickEpoch(t, c, c.now)
+	if epoch == nil || epoch.Number != 4 || epoch.Leader != 4 {
+		t.Fatalf("%+v", epoch)
+	}
+	want := []storage.Compare{
+		{Key: c.keys.ClusterLeader(), ModRevision: 4},
+		{Key: c.keys.Admission(), ModRevision: 9},
+	}
+	if !slices.Equal(r.Compares, want) {
+		t.Errorf("compares %+v, want %+v", r.Compares, want)
+	}
+	if _, again := tickEpoch(t, c, c.now); again != nil {
+		t.Error("written again while the write is in flight")
+	}
+}
+
+// TestOneEpochIsWrittenAtATime: the next one, though it is due, waits for the reply to the last. One
+// that was refused is tried again at the next check.
+func TestOneEpochIsWrittenAtATime(t *testing.T) {
+	for name, test := range map[string]struct {
+		inFlight bool
+		want     bool
+	}{
+		"no reply yet": {inFlight: true},
+		"refused":      {want: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := newFair(t)
+			leadUnderOverload(c, 4)
+			_, epoch := tickEpoch(t, c, c.now)
+			if epoch == nil {
+				t.Fatal("no epoch")
+			}
+			wait := epoch.Length
+			if !test.inFlight {
+				c.calls.CompleteStore(c.now, c.output.StoreCalls[0].Call, &storage.Reply{Outcome: storage.Unavailable})
+				wait = epochCheckInterval
+			}
+			_, next := tickEpoch(t, c, c.now+wait)
+			if got := next != nil; got != test.want {
+				t.Errorf("written %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+// TestNewLeadershipPlansAnew: what was written under another fencing token says nothing of when the
+// next epoch is due.
+func TestNewLeadershipPlansAnew(t *testing.T) {
+	for name, test := range map[string]struct {
+		fencingToken uint64
+		want         bool
+	}{
+		"same leadership":    {fencingToken: 4},
+		"another leadership": {fencingToken: 5, want: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := newFair(t)
+			leadUnderOverload(c, 4)
+			if _, epoch := tickEpoch(t, c, c.now); epoch == nil {
+				t.Fatal("no epoch")
+			}
+			c.calls.CompleteStore(c.now, c.output.StoreCalls[0].Call, &storage.Reply{Outcome: storage.OK})
+			c.leader.Begin(test.fencingToken)
+			_, next := tickEpoch(t, c, c.now+epochCheckInterval)
+			if got := next != nil; got != test.want {
+				t.Errorf("written %v, want %v", got, test.want)
+			}
+		})
+	}
+}
