--- a/internal/coordination/doc.go
+++ b/internal/coordination/doc.go
@@ -5,6 +5,6 @@
 // Core (core.go) dispatches each input to the part that it concerns, and lets all parts act on
 // their timers in a fixed order. Parts that need little of the core are packages below this one,
 // which declare what they ask of it as an interface: membership, replication, election, catalog,
-// calls and others. The parts here share the partition leader's view of jobs and machines
-// (partitionLeader), or are the duties of the cluster leader (package clusterleader).
+// clusterleader, calls and others. The parts here share the partition leader's view of jobs and
+// machines (partitionLeader), or connect the packages to the core.
 package coordination
