--- a/internal/coordination/cluster_leader_test.go
+++ b/internal/coordination/cluster_leader_test.go
@@ -51,3 +51,48 @@
 		})
 	}
 }
+
+// newClusterLeaderCore is a core that leads the cluster, with a member lease and in its term.
+func newClusterLeaderCore(t *testing.T) *Core {
+	t.Helper()
+	c := New(testConfig(t), "1")
+	c.now, c.output = 1000*micros.Second, &messages.Output{}
+	cache := storage.NewCache(c.keys)
+	cache.ClusterLeader = storage.Versioned[storage.Process]{Value: c.process, ModRevision: 7}
+	cache.Members["n0"] = storage.Versioned[storage.Process]{Value: c.process, ModRevision: 6}
+	c.replica.Install(cache, c.now)
+	c.term.Confirm(c.now)
+	c.member.RenewLease()
+	call := c.output.StoreCalls[0]
+	c.calls.CompleteStore(c.now, call.Call, &storage.Reply{Outcome: storage.OK, Lease: 3})
+	c.output = &messages.Output{}
+	return c
+}
+
+func TestCoreDoesTheDutiesAsClusterLeaderOnly(t *testing.T) {
+	tests := []struct {
+		name   string
+		change func(*Core)
+		begun  bool // is the term
+		calls  bool // are the store and the cloud called
+	}{
+		{"as cluster leader", func(*Core) {}, true, true},
+		{"as a follower", func(c *Core) { c.cache.ClusterLeader.Value.Incarnation = "0" }, false, false},
+		{"without a member lease", func(c *Core) { c.member.LeaseNotFound() }, true, false},
+		{"once the leadership term has ended", func(c *Core) { c.term.Invalidate() }, true, false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			c := newClusterLeaderCore(t)
+			test.change(c)
+			c.tickLeader()
+			if got := c.leader.Revision() == 7; got != test.begun {
+				t.Errorf("term begun: %v, want %v", got, test.begun)
+			}
+			store, cloud := len(c.output.StoreCalls) > 0, len(c.output.CloudCalls) > 0
+			if store != test.calls || cloud != test.calls {
+				t.Errorf("store called: %v, cloud called: %v, want %v", store, cloud, test.calls)
+			}
+		})
+	}
+}
