--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -46,7 +46,7 @@
 func (c *Config) ownSockets() int { return 1 + 5*len(c.Peers) + 2 + 4 }
 
 // Sockets shares max_connections out: what this process opens itself is bounded
-// and small, so that every worker of a fleet finds a socket for its heartbeats, also
+// and small, so that every agent of a fleet finds a socket for its heartbeats, also
 // when all of them come to one controller.
 func (c *Config) Sockets() Sockets {
 	most := c.Settings.MachineLimits.MaxConnections
