--- /dev/null
+++ b/internal/coordination/heartbeats_test.go
@@ -0,0 +1,194 @@
+package coordination
+
+import (
+	"testing"
+
+	"pipitlatch/internal/coordination/agents"
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/micros"
+)
+
+// respondTo returns the response to a heartbeat of a machine.
+func respondTo(t *testing.T, p *partitionLeader, h *messages.Heartbeat) messages.Response {
+	t.Helper()
+	p.core.output = &messages.Output{}
+	p.core.handleHeartbeat(&messages.HeartbeatRequest{Request: 1, Heartbeat: h})
+	if len(p.core.output.Responses) != 1 {
+		t.Fatalf("%d responses to a heartbeat", len(p.core.output.Responses))
+	}
+	return p.core.output.Responses[0]
+}
+
+func TestHeartbeatResponse(t *testing.T) {
+	tests := []struct {
+		name   string
+		change func(p *partitionLeader, m *machine, h *messages.Heartbeat)
+		want   messages.ResponseKind
+		text   unavailableReason
+	}{
+		{"newer", func(*partitionLeader, *machine, *messages.Heartbeat) {}, messages.HeartbeatAcknowledged, ""},
+		{"copy that may still wait", func(_ *partitionLeader, _ *machine, h *messages.Heartbeat) {
+			h.Sequence--
+		}, messages.HeartbeatAcknowledged, ""},
+		{"copy that waits no more", func(p *partitionLeader, _ *machine, h *messages.Heartbeat) {
+			h.Sequence--
+			p.core.now += agents.ReplyTimeout
+		}, messages.ServiceUnavailable, staleHeartbeat},
+		{"agent began anew", func(_ *partitionLeader, _ *machine, h *messages.Heartbeat) {
+			h.FencingToken--
+		}, messages.ServiceUnavailable, machineDecommissioned},
+		{"term is over", func(p *partitionLeader, _ *machine, _ *messages.Heartbeat) {
+			p.core.term.Invalidate()
+		}, messages.HeartbeatRedirected, ""},
+		{"higher token", func(_ *partitionLeader, _ *machine, h *messages.Heartbeat) {
+			h.FencingToken++
+		}, messages.HeartbeatRedirected, ""},
+		{"machine is given up", func(_ *partitionLeader, m *machine, _ *messages.Heartbeat) {
+			m.drain.reason = drainKillTimeout
+		}, messages.ServiceUnavailable, machineDecommissioned},
+		{"replies never arrive", func(p *partitionLeader, m *machine, h *messages.Heartbeat) {
+			loseReplies(p, m, 3)
+			h.Sequence--
+		}, messages.ServiceUnavailable, machineDecommissioned},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			p := observedFleet(t)
+			m := p.machines[7]
+			m.agent.Observe(nextHeartbeat(p, m), p.core.now)
+			h := nextHeartbeat(p, m)
+			test.change(p, m, h)
+			renewed := m.contact.LastRenewal()
+			p.core.now++
+			got := respondTo(t, p, h)
+			if got.Kind != test.want || got.Text != test.text.String() {
+				t.Errorf("response %+v, want kind %d, text %q", got, test.want, test.text)
+			}
+			if answered := test.want == messages.HeartbeatAcknowledged; (m.contact.LastRenewal() != renewed) != answered {
+				t.Errorf("lease renewed at %d, before at %d", m.contact.LastRenewal(), renewed)
+			}
+		})
+	}
+}
+
+func TestHeartbeatOfUnmanagedMachine(t *testing.T) {
+	p := observedFleet(t)
+	h := nextHeartbeat(p, p.machines[7])
+	h.Machine = "vm-unmanaged"
+	if got := respondTo(t, p, h); got.Kind != messages.ServiceUnavailable || got.Text != unknownMachine.String() {
+		t.Errorf("response %+v, want %q", got, unknownMachine)
+	}
+}
+
+func TestHeartbeatWithHigherTokenEndsTheTerm(t *testing.T) {
+	p := observedFleet(t)
+	h := nextHeartbeat(p, p.machines[7])
+	h.FencingToken++
+	respondTo(t, p, h)
+	if p.core.term.Valid(p.core.now) {
+		t.Error("somebody has a higher token, and the term is still valid")
+	}
+}
+
+func TestHeartbeatCommands(t *testing.T) {
+	p := observedFleet(t)
+	m := p.machines[7]
+	h := nextHeartbeat(p, m)
+	for id, a := range m.attempts {
+		h.Tasks = append(h.Tasks, messages.TaskStatus{AttemptID: id, State: messages.Running})
+		a.stop.ordered = true
+	}
+	first := respondTo(t, p, h)
+	if len(first.Commands) != len(m.attempts) || first.FencingToken != p.lease.fencingToken {
+		t.Errorf("%d commands under token %d for %d attempts", len(first.Commands), first.FencingToken, len(m.attempts))
+	}
+	for i := 1; i < len(first.Commands); i++ {
+		if first.Commands[i-1].Compare(first.Commands[i].AttemptID) >= 0 {
+			t.Errorf("commands are not in order: %+v", first.Commands)
+		}
+	}
+	if again := respondTo(t, p, h); again.Kind != messages.HeartbeatAcknowledged || len(again.Commands) != 0 {
+		t.Errorf("response to a copy %+v, want no commands", again)
+	}
+}
+
+func TestHeartbeatAfterLeaseExpiry(t *testing.T) {
+	p := observedFleet(t)
+	m := p.machines[7]
+	p.clearAttempts(m)
+	m.agent.ExpireLease()
+	h := nextHeartbeat(p, m)
+	h.Tasks = []messages.TaskStatus{{AttemptID: messages.AttemptID{Job: "x", Number: 99}, State: messages.Running}}
+	respondTo(t, p, h)
+	if len(m.attempts) != 0 || m.agent.Acknowledged(p.lease.fencingToken) {
+		t.Errorf("a heartbeat from before the expiry is believed: %d attempts", len(m.attempts))
+	}
+	h = nextHeartbeat(p, m)
+	h.AgentEpoch++
+	respondTo(t, p, h)
+	if !m.agent.Usable(p.lease.fencingToken) {
+		t.Error("the next epoch does not make the machine usable")
+	}
+}
+
+func TestForgettable(t *testing.T) {
+	tests := []struct {
+		name   string
+		change func(*attempt)
+		want   bool
+	}{
+		{"exited and stored", func(*attempt) {}, true},
+		{"still runs", func(a *attempt) { a.state = messages.Running }, false},
+		{"its result is not stored yet", func(a *attempt) { a.persisted = false }, false},
+		{"never shown", func(a *attempt) { a.start.reported = false }, false},
+		{"a start is in flight", func(a *attempt) { a.start.inFlight = 1 }, false},
+		{"a start may still arrive", func(a *attempt) { a.start.unanswered = 1 }, false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			a := &attempt{state: messages.Exited, persisted: true, start: startState{sent: true, reported: true}}
+			test.change(a)
+			if got := a.forgettable(); got != test.want {
+				t.Errorf("forgettable = %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestMayStillArrive(t *testing.T) {
+	tests := []struct {
+		name  string
+		start startState
+		want  bool
+	}{
+		{"waits to be sent", startState{}, true},
+		{"in flight", startState{sent: true, inFlight: 1}, true},
+		{"no reply", startState{sent: true, unanswered: 1}, true},
+		{"answered, and not shown", startState{sent: true}, false},
+		{"shown before, and forgotten", startState{sent: true, reported: true, unanswered: 1}, false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			a := &attempt{start: test.start}
+			if got := a.mayStillArrive(); got != test.want {
+				t.Errorf("mayStillArrive = %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestIgnoredHeartbeatsAreLoggedAtIntervals(t *testing.T) {
+	p := observedFleet(t)
+	m := p.machines[7]
+	for _, step := range []struct {
+		after micros.Time
+		want  int
+	}{{0, 1}, {1, 0}, {ignoredLogInterval - 2, 0}, {1, 1}} {
+		p.core.now += step.after
+		p.core.output = &messages.Output{}
+		p.logIgnoredHeartbeat(ignoredStaleCopy, m, nextHeartbeat(p, m))
+		if got := len(p.core.output.LogRecords); got != step.want {
+			t.Errorf("%d log records %d after the last look, want %d", got, step.after, step.want)
+		}
+	}
+}
