--- a/internal/coordination/failure_detector_test.go
+++ b/internal/coordination/failure_detector_test.go
@@ -87,7 +87,8 @@
 		status messages.PartitionStatus
 		want   []string
 	}{
-		{"of this partition", 4 * micros.Second, messages.PartitionStatus{UnreachableZones: []string{"b", "a"}}, []string{"a", "b"}},
+		{"of this partition",
+			4 * micros.Second, messages.PartitionStatus{UnreachableZones: []string{"b", "a"}}, []string{"a", "b"}},
 		{"of another partition", 0, messages.PartitionStatus{Partition: 1, UnreachableZones: []string{"a"}}, nil},
 		{"told too long ago", 4*micros.Second + 1, messages.PartitionStatus{UnreachableZones: []string{"a"}}, nil},
 	}
