--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -24,54 +24,63 @@
 	return a
 }
 
+// preemptionNow is when the cases are looked at.
+const preemptionNow = 1000 * micros.Second
+
+// ranFor is since when an attempt runs that has run for a number of seconds.
+func ranFor(seconds micros.Time) micros.Time { return preemptionNow - seconds*micros.Second }
+
+func lowPriority(id string) *workload.Job { return &workload.Job{ID: id, Priority: workload.Low} }
+
+// preemptionCases are machines of eight CPUs on which a replica is to run that needs four.
+var preemptionCases = []struct {
+	name   string
+	on     func(m *machine)
+	want   []string
+	cost   float64
+	enough bool
+}{
+	{name: "nothing where it fits", on: func(m *machine) { runningOn(m, lowPriority("1"), 4, ranFor(9)) },
+		enough: true},
+	{name: "the least work lost", on: func(m *machine) {
+		runningOn(m, lowPriority("1"), 4, ranFor(9))
+		runningOn(m, lowPriority("2"), 4, ranFor(5))
+	}, want: []string{"2"}, cost: 5 + costOfAStop, enough: true},
+	{name: "what does not run yet loses none", on: func(m *machine) {
+		runningOn(m, lowPriority("1"), 4, ranFor(1))
+		runningOn(m, lowPriority("2"), 4, 0)
+	}, want: []string{"2"}, cost: costOfAStop, enough: true},
+	{name: "what checkpoints loses the time of that", on: func(m *machine) {
+		runningOn(m, lowPriority("1"), 4, ranFor(9))
+		j := lowPriority("2")
+		j.CheckpointInterval, j.CheckpointDuration = 60*micros.Second, 2*micros.Second
+		runningOn(m, j, 4, ranFor(500))
+	}, want: []string{"2"}, cost: 2 + costOfAStop, enough: true},
+	{name: "as many as are needed", on: func(m *machine) {
+		runningOn(m, lowPriority("1"), 2, ranFor(1))
+		runningOn(m, lowPriority("2"), 2, ranFor(2))
+		runningOn(m, lowPriority("3"), 4, ranFor(3))
+	}, want: []string{"1", "2"}, cost: 3 + 2*costOfAStop, enough: true},
+	{name: "not of the same priority", on: func(m *machine) {
+		runningOn(m, &workload.Job{ID: "1", Priority: workload.High}, 6, ranFor(1))
+		runningOn(m, lowPriority("2"), 1, ranFor(1))
+	}, want: []string{"2"}, cost: 1 + costOfAStop},
+	{name: "not what is being stopped already", on: func(m *machine) {
+		runningOn(m, lowPriority("1"), 8, ranFor(1)).stop.ordered = true
+	}},
+	{name: "what exited takes nothing", on: func(m *machine) {
+		runningOn(m, lowPriority("1"), 8, ranFor(1)).state = messages.Exited
+	}, enough: true},
+}
+
 // TestPreemptionOn: the least work lost is stopped, no more than needed, and none of the same
 // priority.
 func TestPreemptionOn(t *testing.T) {
-	const now = 1000 * micros.Second
-	p := &partitionLeader{core: coreAt(now)}
+	p := &partitionLeader{core: coreAt(preemptionNow)}
 	service := &job{Job: &workload.Job{
 		Kind: workload.Service, Priority: workload.High, Resources: workload.Resources{CPU: 4},
 	}}
-	low := func(id string) *workload.Job { return &workload.Job{ID: id, Priority: workload.Low} }
-	for _, c := range []struct {
-		name   string
-		on     func(m *machine)
-		want   []string
-		cost   float64
-		enough bool
-	}{
-		{name: "nothing where it fits", on: func(m *machine) { runningOn(m, low("1"), 4, now-9*micros.Second) },
-			enough: true},
-		{name: "the least work lost", on: func(m *machine) {
-			runningOn(m, low("1"), 4, now-9*micros.Second)
-			runningOn(m, low("2"), 4, now-5*micros.Second)
-		}, want: []string{"2"}, cost: 5 + costOfAStop, enough: true},
-		{name: "what does not run yet loses none", on: func(m *machine) {
-			runningOn(m, low("1"), 4, now-micros.Second)
-			runningOn(m, low("2"), 4, 0)
-		}, want: []string{"2"}, cost: costOfAStop, enough: true},
-		{name: "what checkpoints loses the time of that", on: func(m *machine) {
-			runningOn(m, low("1"), 4, now-9*micros.Second)
-			j := low("2")
-			j.CheckpointInterval, j.CheckpointDuration = 60*micros.Second, 2*micros.Second
-			runningOn(m, j, 4, now-500*micros.Second)
-		}, want: []string{"2"}, cost: 2 + costOfAStop, enough: true},
-		{name: "as many as are needed", on: func(m *machine) {
-			runningOn(m, low("1"), 2, now-1*micros.Second)
-			runningOn(m, low("2"), 2, now-2*micros.Second)
-			runningOn(m, low("3"), 4, now-3*micros.Second)
-		}, want: []string{"1", "2"}, cost: 3 + 2*costOfAStop, enough: true},
-		{name: "not of the same priority", on: func(m *machine) {
-			runningOn(m, &workload.Job{ID: "1", Priority: workload.High}, 6, now-micros.Second)
-			runningOn(m, low("2"), 1, now-micros.Second)
-		}, want: []string{"2"}, cost: 1 + costOfAStop},
-		{name: "not what is being stopped already", on: func(m *machine) {
-			runningOn(m, low("1"), 8, now-micros.Second).stop.ordered = true
-		}},
-		{name: "what exited takes nothing", on: func(m *machine) {
-			runningOn(m, low("1"), 8, now-micros.Second).state = messages.Exited
-		}, enough: true},
-	} {
+	for _, c := range preemptionCases {
 		t.Run(c.name, func(t *testing.T) {
 			m := &machine{
 				instanceType: &workload.InstanceType{Capacity: workload.Resources{CPU: 8}},
