--- /dev/null
+++ b/internal/coordination/reconciliation_test.go
@@ -0,0 +1,129 @@
+package coordination
+
+import (
+	"testing"
+
+	"pipitlatch/internal/coordination/messages"
+	"pipitlatch/internal/micros"
+)
+
+// anyRunning returns an attempt of a machine whose first heartbeat showed it running.
+func anyRunning(t *testing.T, m *machine) *attempt {
+	t.Helper()
+	for _, id := range sortedAttempts(m) {
+		if a := m.attempts[id]; a.state == messages.Running && a.job != nil {
+			return a
+		}
+	}
+	t.Fatal("no running attempt")
+	return nil
+}
+
+func TestAdoptAttempt(t *testing.T) {
+	tests := []struct {
+		name       string
+		status     func(p *partitionLeader, a *attempt) messages.TaskStatus
+		wantJob    bool
+		wantStop   bool
+		wantActive bool
+	}{
+		{"active task", func(p *partitionLeader, a *attempt) messages.TaskStatus {
+			p.release(a)
+			p.requeue(a)
+			return messages.TaskStatus{AttemptID: messages.AttemptID{Job: a.id.Job, Task: a.id.Task, Number: 999}}
+		}, true, false, true},
+		{"second attempt at an active task", func(_ *partitionLeader, a *attempt) messages.TaskStatus {
+			return messages.TaskStatus{AttemptID: messages.AttemptID{Job: a.id.Job, Task: a.id.Task, Number: 999}}
+		}, true, true, false},
+		{"task of a cancelled job", func(p *partitionLeader, a *attempt) messages.TaskStatus {
+			p.release(a)
+			p.requeue(a)
+			a.job.cancelRequested = true
+			return messages.TaskStatus{AttemptID: messages.AttemptID{Job: a.id.Job, Task: a.id.Task, Number: 999}}
+		}, true, true, true},
+		{"task of an unknown job", func(*partitionLeader, *attempt) messages.TaskStatus {
+			return messages.TaskStatus{AttemptID: messages.AttemptID{Job: "x", Number: 999}}
+		}, false, true, false},
+		{"task that the job does not have", func(_ *partitionLeader, a *attempt) messages.TaskStatus {
+			return messages.TaskStatus{AttemptID: messages.AttemptID{Job: a.id.Job, Task: a.job.Tasks, Number: 999}}
+		}, false, true, false},
+		{"exited task of an unknown job", func(*partitionLeader, *attempt) messages.TaskStatus {
+			return messages.TaskStatus{AttemptID: messages.AttemptID{Job: "x", Number: 999}, State: messages.Exited}
+		}, false, false, false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			p := observedFleet(t)
+			m := p.machines[7]
+			status := test.status(p, anyRunning(t, m))
+			a := p.adoptAttempt(m, &status)
+			active := a.job != nil && a.job.activeAttempts[status.Task] == a
+			if (a.job != nil) != test.wantJob || a.stop.ordered != test.wantStop || active != test.wantActive {
+				t.Errorf("job known %v, stop ordered %v, active %v", a.job != nil, a.stop.ordered, active)
+			}
+			if m.attempts[status.AttemptID] != a || !a.start.sent {
+				t.Errorf("attempt is not recorded as started: %+v", a)
+			}
+		})
+	}
+}
+
+func TestObserveExit(t *testing.T) {
+	tests := []struct {
+		name             string
+		reason           messages.ExitReason
+		wantPending      bool
+		wantMachinePause micros.Time
+		wantJobPause     micros.Time
+	}{
+		{"completed", messages.ExitCompleted, false, 0, 0},
+		{"stopped", messages.ExitStopped, true, 0, 0},
+		{"failed once", messages.ExitFailed, true, 0, 0},
+		{"refused for lack of resources", messages.ExitInsufficientResources, true, refusedStartPause, 0},
+		{"refused as a duplicate", messages.ExitDuplicateTask, true, refusedStartPause, 0},
+		{"unknown to the agent", messages.ExitUnknownTask, true, 0, unknownTaskPause},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			p := observedFleet(t)
+			m := p.machines[7]
+			a := anyRunning(t, m)
+			p.updateAttempt(a, &messages.TaskStatus{AttemptID: a.id, State: messages.Exited, ExitReason: test.reason})
+			if a.state != messages.Exited || a.job.pendingTasks.Has(a.id.Task) != test.wantPending {
+				t.Errorf("state %d, task pending %v", a.state, a.job.pendingTasks.Has(a.id.Task))
+			}
+			if got := max(0, m.lifecycle.startsPausedUntil-p.core.now); got != test.wantMachinePause {
+				t.Errorf("machine paused for %d, want %d", got, test.wantMachinePause)
+			}
+			if got := max(0, a.job.startsPausedUntil-p.core.now); got != test.wantJobPause {
+				t.Errorf("job paused for %d, want %d", got, test.wantJobPause)
+			}
+			if a.job.taskCompleted(a.id.Task) == test.wantPending {
+				t.Errorf("task completed: %v", !test.wantPending)
+			}
+		})
+	}
+}
+
+func TestReconcileTasksRemovesAbsentAttempts(t *testing.T) {
+	p := observedFleet(t)
+	m := p.machines[7]
+	gone := anyRunning(t, m)
+	waiting := unresolvedStart(p, m, 0)
+	h := nextHeartbeat(p, m)
+	for id := range m.attempts {
+		if id != gone.id && id != waiting.id {
+			h.Tasks = append(h.Tasks, messages.TaskStatus{AttemptID: id, State: messages.Running})
+		}
+	}
+	p.reconcileTasks(m, h)
+	if m.attempts[gone.id] != nil || !gone.job.pendingTasks.Has(gone.id.Task) {
+		t.Error("a task that the heartbeat does not show any more is not pending again")
+	}
+	if m.attempts[waiting.id] == nil {
+		t.Error("a start that may still arrive is taken for not started: the task would run twice")
+	}
+	if len(m.attempts) != len(h.Tasks)+1 {
+		t.Errorf("%d attempts, want the %d that are shown and one that may still arrive", len(m.attempts), len(h.Tasks))
+	}
+}
