--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -14,8 +14,8 @@
 	drainUnresponsive
 	// drainUnreachable: it sends heartbeats, but shows that no reply reaches it.
 	drainUnreachable
-	// drainAgentRestarted: its agent began anew within its lease, so that no order of its
-	// heartbeats can be told any more.
+	// drainAgentRestarted: its agent began anew within its lease, so that its heartbeats can't be
+	// put in order any more.
 	drainAgentRestarted
 	// drainBootTimeout: it never sent a heartbeat.
 	drainBootTimeout
