--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -217,12 +217,12 @@
 	production, pipelines := programAt(t, productionCommit(t)), programAt(t, pipelineCommit)
 	current := build(t, repositoryRoot)
 	for _, u := range []upgrade{
-		{"production/holder_ends", false, false, [3]int{0, 1, 2}, time.Second, partitionLeaderRestarts},
-		{"production/quick_return", false, false, [3]int{2, 1, 0}, 100 * time.Millisecond, quickRestart},
-		{"production/state_troubles", false, false, [3]int{1, 0, 2}, time.Second, storeOutages},
+		{"production/leader_ends", false, false, [3]int{0, 1, 2}, time.Second, partitionLeaderRestarts},
+		{"production/quick_restart", false, false, [3]int{2, 1, 0}, 100 * time.Millisecond, quickRestart},
+		{"production/store_outages", false, false, [3]int{1, 0, 2}, time.Second, storeOutages},
 		{"pipelines/all_end", true, false, [3]int{1, 2, 0}, time.Second, allRestart},
-		{"pipelines/state_troubles", true, false, [3]int{0, 2, 1}, 100 * time.Millisecond, storeOutages},
-		{"pipelines/holder_ends", true, false, [3]int{2, 0, 1}, time.Second, partitionLeaderRestarts},
+		{"pipelines/store_outages", true, false, [3]int{0, 2, 1}, 100 * time.Millisecond, storeOutages},
+		{"pipelines/leader_ends", true, false, [3]int{2, 0, 1}, time.Second, partitionLeaderRestarts},
 		{"production/burst", false, true, [3]int{0, 2, 1}, time.Second, burst},
 	} {
 		old := production
