--- a/internal/scenario/checks_test.go
+++ b/internal/scenario/checks_test.go
@@ -139,8 +139,9 @@
 // as they were, in those of the first that serves pipelines.
 func TestMessagesOfEarlierVersions(t *testing.T) {
 	for version, want := range map[string]struct{ cancelled, heard bool }{
-		"production": {},
-		"pipelines":  {cancelled: true, heard: true},
+		"production":     {},
+		"pipelines":      {cancelled: true, heard: true},
+		"fair_admission": {cancelled: true, heard: true},
 	} {
 		d, err := readRecordedDeployment("testdata/" + version + "/records.json")
 		if err != nil || len(d.Status) == 0 {
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -10,8 +10,13 @@
 	"time"
 )
 
-// pipelineCommit is a version that already serves jobs that wait on others.
-const pipelineCommit = "2ac89afe98092af152de8aba244567fd1d67d41f"
+const (
+	// pipelineCommit is a version that already serves jobs that depend on others.
+	pipelineCommit = "2ac89afe98092af152de8aba244567fd1d67d41f"
+	// fairAdmissionCommit is a version that already serves fair admission, the last one before the
+	// code was renamed to the field's terms.
+	fairAdmissionCommit = "bf51e09dc4f741a8d49c2a971126ea1883f032af"
+)
 
 // tinyJob are the fields of a job whose image is there at once.
 func tinyJob(fields string) map[string]string {
@@ -147,11 +152,22 @@
 	}
 }
 
+// version is one that is upgraded from.
+type version int
+
+const (
+	production version = iota
+	pipelines
+	fairAdmission
+)
+
 // upgrade is one way in which three controllers are upgraded.
 type upgrade struct {
 	name      string
+	from      version
 	pipelines bool // the version before serves them already
-	fair      bool // fair admission is on in the new version, which the older does not know
+	fair      bool // fair admission is on in the new version, and off in the one before
+	goBack    bool // all processes go back to the version before, under load
 	order     [3]int
 	back      time.Duration // until a process that ended is back
 	fault     func(d *deployment, upgraded int)
@@ -209,29 +225,67 @@
 	partitionLeaderRestarts(d, upgraded)
 }
 
+// upgrades are those that TestRollingUpgrade plays.
+var upgrades = []upgrade{
+	{
+		name: "production/leader_ends", from: production,
+		order: [3]int{0, 1, 2}, back: time.Second, fault: partitionLeaderRestarts,
+	},
+	{
+		name: "production/quick_restart", from: production,
+		order: [3]int{2, 1, 0}, back: 100 * time.Millisecond, fault: quickRestart,
+	},
+	{
+		name: "production/store_outages", from: production,
+		order: [3]int{1, 0, 2}, back: time.Second, fault: storeOutages,
+	},
+	{
+		name: "pipelines/all_end", from: pipelines,
+		order: [3]int{1, 2, 0}, back: time.Second, fault: allRestart,
+		pipelines: true,
+	},
+	{
+		name: "pipelines/store_outages", from: pipelines,
+		order: [3]int{0, 2, 1}, back: 100 * time.Millisecond, fault: storeOutages,
+		pipelines: true,
+	},
+	{
+		name: "pipelines/leader_ends", from: pipelines,
+		order: [3]int{2, 0, 1}, back: time.Second, fault: partitionLeaderRestarts,
+		pipelines: true,
+	},
+	{
+		name: "production/burst", from: production,
+		order: [3]int{0, 2, 1}, back: time.Second, fault: burst,
+		fair: true,
+	},
+	{
+		name: "fair_admission/burst", from: fairAdmission,
+		order: [3]int{1, 0, 2}, back: time.Second, fault: burst,
+		pipelines: true, fair: true,
+	},
+	{
+		name: "fair_admission/and_back", from: fairAdmission,
+		order: [3]int{2, 1, 0}, back: 100 * time.Millisecond, fault: partitionLeaderRestarts,
+		pipelines: true, goBack: true,
+	},
+}
+
 // TestRollingUpgrade upgrades three real processes one by one under load, from the version
-// in production and from one that already serves pipelines, in every order, with a fault
+// in production and from later ones, in every order, with a fault
 // after each; the store's limits shrink the moment after the last is new, and jobs
 // wait on others. The stand-ins check the rules, as in the scenarios.
 func TestRollingUpgrade(t *testing.T) {
-	production, pipelines := programAt(t, productionCommit(t)), programAt(t, pipelineCommit)
+	programs := map[version]string{
+		production:    programAt(t, productionCommit(t)),
+		pipelines:     programAt(t, pipelineCommit),
+		fairAdmission: programAt(t, fairAdmissionCommit),
+	}
 	current := build(t, repositoryRoot)
-	for _, u := range []upgrade{
-		{"production/leader_ends", false, false, [3]int{0, 1, 2}, time.Second, partitionLeaderRestarts},
-		{"production/quick_restart", false, false, [3]int{2, 1, 0}, 100 * time.Millisecond, quickRestart},
-		{"production/store_outages", false, false, [3]int{1, 0, 2}, time.Second, storeOutages},
-		{"pipelines/all_end", true, false, [3]int{1, 2, 0}, time.Second, allRestart},
-		{"pipelines/store_outages", true, false, [3]int{0, 2, 1}, 100 * time.Millisecond, storeOutages},
-		{"pipelines/leader_ends", true, false, [3]int{2, 0, 1}, time.Second, partitionLeaderRestarts},
-		{"production/burst", false, true, [3]int{0, 2, 1}, time.Second, burst},
-	} {
-		old := production
-		if u.pipelines {
-			old = pipelines
-		}
+	for _, u := range upgrades {
 		t.Run(u.name, func(t *testing.T) {
 			t.Parallel()
-			u.play(t, old, current)
+			u.play(t, programs[u.from], current)
 		})
 	}
 }
@@ -264,6 +318,9 @@
 		d.load(u.pipelines)
 	}
 	u.playPipeline(d, current)
+	if u.goBack {
+		d.allGoBack(u.order, old)
+	}
 	d.until("everything is done", func(*World) bool {
 		for _, j := range d.jobs {
 			if j != service && !j.told.done && j.told.cancelled == 0 {
@@ -273,7 +330,7 @@
 		return true
 	})
 	if !u.pipelines {
-		d.goBack(old, current)
+		d.oneGoesBack(old, current)
 	}
 	d.check(long, service)
 }
@@ -292,9 +349,17 @@
 	d.until("what waits on a cancelled job is cancelled", func(*World) bool { return tail.told.cancelled != 0 })
 }
 
-// goBack has a process of the older version read what the new one wrote, which it does
+// allGoBack replaces the processes one by one by the older version, under load.
+func (d *deployment) allGoBack(order [3]int, old string) {
+	for _, n := range order {
+		d.restart(nodeName(n), old, time.Second)
+		d.load(true)
+	}
+}
+
+// oneGoesBack has a process of the older version read what the new one wrote, which it does
 // without a complaint; while it serves, nothing that depends on others is accepted.
-func (d *deployment) goBack(old, current string) {
+func (d *deployment) oneGoesBack(old, current string) {
 	d.t.Helper()
 	node, other := nodeName(0), nodeName(1)
 	d.restart(node, old, 500*time.Millisecond)
