--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -203,7 +203,7 @@
 	case *messages.LoadShed:
 		c.countShed()
 	case *messages.HeartbeatRequest:
-		c.handleHeartbeat(in)
+		c.routeHeartbeat(in)
 	case *messages.StoreCompletion:
 		c.calls.CompleteStore(c.now, in.Call, in.Reply)
 	case *messages.CloudCompletion:
@@ -248,19 +248,19 @@
 	}
 }
 
-// storeReachable reports whether this controller can serve users now.
+// storeReachable tells whether this controller can serve users now.
 func (c *Core) storeReachable() bool { return c.replica.Current() && c.catalog.Types() != nil }
 
-// isClusterLeader reports whether this process is the cluster leader, as far as it can know.
+// isClusterLeader tells whether this process is the cluster leader, as far as it can know.
 func (c *Core) isClusterLeader() bool { return c.replica.Synced() && c.election.Leads(c.cache) }
 
 // leaderCompare guards every transaction of the cluster leader: they may be applied late.
 func (c *Core) leaderCompare() storage.Compare { return c.election.Compare(c.cache) }
 
-// isolated reports whether this controller's view may be outdated, whatever it says.
+// isolated tells whether this controller's view may be outdated, whatever it says.
 func (c *Core) isolated() bool { return c.health.Isolated(c.now, c.replica.Stale()) }
 
-// Healthy reports whether the controller should be sent users' requests.
+// Healthy tells whether the controller should be sent users' requests.
 func (c *Core) Healthy() bool { return c.health.Healthy(c.now, c.storeReachable()) }
 
 // sortedKeys are a map's keys in order, where the order of what is done must not vary.
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -10,7 +10,8 @@
 
 const (
 	notDraining drainReason = iota
-	// drainUnresponsive: neither heartbeats nor replies to probes came for too long.
+	// drainUnresponsive: nothing has shown for too long that our messages reach it. Heartbeats alone do
+	// not show that.
 	drainUnresponsive
 	// drainUnreachable: it sends heartbeats, but shows that no reply reaches it.
 	drainUnreachable
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -70,7 +70,7 @@
 	})
 }
 
-// Leads reports whether the process is the cluster leader by the cache, which may be old.
+// Leads tells whether the process is the cluster leader by the cache, which may be old.
 func (e *Election) Leads(cache *storage.Cache) bool {
 	return cache.ClusterLeader.ModRevision != 0 && cache.ClusterLeader.Value == e.process
 }
--- a/internal/coordination/failuredetector/detector.go
+++ b/internal/coordination/failuredetector/detector.go
@@ -78,11 +78,12 @@
 	return after
 }
 
-// RestartSilence notes that this process did not run for a while: the silence until now was its own.
+// RestartSilence notes that this process did not run for a while: that nothing was heard until now was
+// its own fault.
 func (d *Detector) RestartSilence(now micros.Time) { d.silenceCountsFrom = now }
 
-// Silence is for how long a machine with this last contact has been silent while this process
-// could hear it.
+// Silence is for how long nothing has shown that our messages reach a machine with this last contact,
+// while this process could have noticed: heartbeats alone do not show it.
 func (d *Detector) Silence(now, lastContact micros.Time) micros.Time {
 	return now - max(lastContact, d.silenceCountsFrom)
 }
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -19,8 +19,9 @@
 	ignoredEndedEpoch ignoreReason = "ended agent epoch"
 )
 
-// handleHeartbeat replies to an agent's heartbeat, or sends the agent to the controller that can.
-func (c *Core) handleHeartbeat(in *messages.HeartbeatRequest) {
+// routeHeartbeat has a heartbeat answered by the leader of its machine's partition, or sends the
+// agent to the controller that can.
+func (c *Core) routeHeartbeat(in *messages.HeartbeatRequest) {
 	if !c.replica.Synced() {
 		c.respondUnavailable(in.Request, starting)
 		return
--- a/internal/coordination/heartbeats_test.go
+++ b/internal/coordination/heartbeats_test.go
@@ -12,7 +12,7 @@
 func respondTo(t *testing.T, p *partitionLeader, h *messages.Heartbeat) messages.Response {
 	t.Helper()
 	p.core.output = &messages.Output{}
-	p.core.handleHeartbeat(&messages.HeartbeatRequest{Request: 1, Heartbeat: h})
+	p.core.routeHeartbeat(&messages.HeartbeatRequest{Request: 1, Heartbeat: h})
 	if len(p.core.output.Responses) != 1 {
 		t.Fatalf("%d responses to a heartbeat", len(p.core.output.Responses))
 	}
--- a/internal/coordination/membership/health.go
+++ b/internal/coordination/membership/health.go
@@ -32,14 +32,14 @@
 // StoreServed takes that the key-value store is reachable.
 func (h *Health) StoreServed(now micros.Time) { h.lastServedAt = now }
 
-// Isolated reports whether neither the key-value store, whose last confirmation is stale, nor
+// Isolated tells whether neither the key-value store, whose last confirmation is stale, nor
 // any peer has been heard of late: then this controller's view may be outdated, whatever it
 // says.
 func (h *Health) Isolated(now micros.Time, storeStale bool) bool {
 	return storeStale && now > h.startedAt+peerTimeout && !h.peers.AnyHeard(now, peerTimeout, anyStatus)
 }
 
-// Healthy reports whether the controller should be sent users' requests: it is not while a
+// Healthy tells whether the controller should be sent users' requests: it is not while a
 // peer can serve them and this one cannot. In an outage for all, everybody stays and tells
 // users when to come back: being taken out of the load balancer outlasts the outage. With its
 // peers out of reach too, a controller cannot tell an outage from its own isolation. It leaves
--- a/internal/coordination/membership/peers.go
+++ b/internal/coordination/membership/peers.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// AnyHeard reports whether the last status of any other member meets the condition and came
+// AnyHeard tells whether the last status of any other member meets the condition and came
 // less than a duration ago.
 func (p *Peers) AnyHeard(now, within micros.Time, condition func(*messages.PeerStatus) bool) bool {
 	for member, peer := range p.latest {
@@ -63,7 +63,7 @@
 	return false
 }
 
-// AllHeard reports whether every other member has been heard of late.
+// AllHeard tells whether every other member has been heard of late.
 func (p *Peers) AllHeard(now micros.Time) bool {
 	for _, member := range p.expected {
 		if peer := p.latest[member]; peer == nil || now-peer.ReceivedAt >= statusTimeout {
--- a/internal/coordination/replication/read_barrier.go
+++ b/internal/coordination/replication/read_barrier.go
@@ -18,7 +18,7 @@
 
 // stream is what a read barrier needs of the change stream.
 type stream interface {
-	// Current reports whether the stream has been heard of late.
+	// Current tells whether the stream has been heard of late.
 	Current() bool
 	// Revision is how far the stream has come.
 	Revision() uint64
--- a/internal/coordination/replication/replica.go
+++ b/internal/coordination/replication/replica.go
@@ -78,17 +78,17 @@
 // Cache is the copy of the store. Install replaces it.
 func (r *Replica) Cache() *storage.Cache { return r.cache }
 
-// Synced reports whether the cache is whole, though it may be old.
+// Synced tells whether the cache is whole, though it may be old.
 func (r *Replica) Synced() bool { return r.synced }
 
 // Term counts how long a leader may act without a confirmation by the change stream.
 func (r *Replica) Term() *leadership.Term { return &r.term }
 
-// Stale reports whether the change stream has not confirmed the cache of late: the store
+// Stale tells whether the change stream has not confirmed the cache of late: the store
 // counts as out of reach.
 func (r *Replica) Stale() bool { return r.term.SinceConfirmed(r.environment.Now()) >= staleAfter }
 
-// Current reports whether the cache is whole and the change stream has confirmed it of late.
+// Current tells whether the cache is whole and the change stream has confirmed it of late.
 func (r *Replica) Current() bool { return r.synced && !r.Stale() }
 
 // Revision is how far the cache has come.
--- a/internal/coordination/responses.go
+++ b/internal/coordination/responses.go
@@ -8,7 +8,8 @@
 // defaultRetryAfter is when a client that was turned away may try again.
 const defaultRetryAfter = micros.Second
 
-// unavailableReason is why a request cannot be served now, as the client is told.
+// unavailableReason is why a request cannot be served now. Users are told; agents get the same text
+// whatever the reason.
 type unavailableReason string
 
 const (
@@ -19,7 +20,7 @@
 	// concurrentChange: the job's record changed meanwhile.
 	concurrentChange unavailableReason = "try again"
 
-	// The reasons below are those for agents.
+	// The reasons below are for heartbeats: they are not sent, and keep the words of the first version.
 
 	// starting: this controller has not read the store yet.
 	starting unavailableReason = "starting"
@@ -35,7 +36,7 @@
 	machineDecommissioned unavailableReason = "machine is given up"
 )
 
-// String returns the reason as the client gets it. The texts are part of the wire protocol.
+// String returns the reason as users get it. The texts are part of the wire protocol.
 func (r unavailableReason) String() string { return string(r) }
 
 // unschedulableReason is why a job can never run, as its user is told.
--- a/internal/coordination/status_messages.go
+++ b/internal/coordination/status_messages.go
@@ -20,7 +20,7 @@
 	soon   bool // send the next one soon
 }
 
-// begin reports whether a status message is due, and counts it as sent if it is.
+// begin tells whether a status message is due, and counts it as sent if it is.
 func (s *statusSchedule) begin(now micros.Time) bool {
 	interval := statusInterval
 	if s.soon {
@@ -93,7 +93,7 @@
 	c.progress.observe(status.Progress)
 }
 
-// jobActive reports whether a job is active as far as the cache tells.
+// jobActive tells whether a job is active as far as the cache tells.
 func (c *Core) jobActive(id string) bool {
 	entry := c.cache.Jobs[id]
 	return entry != nil && entry.Job.Phase == workload.Active
--- a/internal/coordination/txnbackoff/txnbackoff.go
+++ b/internal/coordination/txnbackoff/txnbackoff.go
@@ -31,7 +31,7 @@
 // New returns a Backoff that blocks nothing.
 func New() *Backoff { return &Backoff{rejected: map[string]rejection{}} }
 
-// Blocked reports whether a transaction has to wait because the last one for its key was
+// Blocked tells whether a transaction has to wait because the last one for its key was
 // rejected. Other requests never wait.
 func (b *Backoff) Blocked(r *storage.Request, now micros.Time) bool {
 	key := firstKey(r)
--- a/internal/storage/rate_limiter.go
+++ b/internal/storage/rate_limiter.go
@@ -67,7 +67,7 @@
 // RecentUsage is what this controller recently used.
 func (l *RateLimiter) RecentUsage() Usage { return l.recent }
 
-// Allow reports whether a request with a number of changes may be sent now, and counts it if so.
+// Allow tells whether a request with a number of changes may be sent now, and counts it if so.
 func (l *RateLimiter) Allow(now micros.Time, writes int, urgency Urgency) bool {
 	l.refill(now)
 	l.measureUsage(now)
@@ -130,7 +130,7 @@
 	b.level = min(burst, b.level+b.rate*elapsed/micros.Second)
 }
 
-// covers reports whether a cost may be taken out, overdrawn as far as its urgency allows.
+// covers tells whether a cost may be taken out, overdrawn as far as its urgency allows.
 func (b *bucket) covers(cost int64, urgency Urgency) bool {
 	lowest := -b.rate * overdraftQuarters[urgency] / 4
 	return b.level-cost >= lowest
