--- a/internal/coordination/failuredetector/detector.go
+++ b/internal/coordination/failuredetector/detector.go
@@ -65,6 +65,9 @@
 	}
 }
 
+// AgentLeaseExpiry is how long after the last possible renewal an agent lease has surely expired.
+func (d *Detector) AgentLeaseExpiry() micros.Time { return d.timeouts.AgentLeaseExpiry }
+
 // SuspicionTimeout is how long a machine may go without contact before it is suspected.
 func (d *Detector) SuspicionTimeout() micros.Time { return d.timeouts.Suspicion }
 
--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -53,7 +53,7 @@
 func (p *partitionLeader) agentLeaseExpired(m *machine, silence micros.Time) bool {
 	return m.inUse() &&
 		!m.agent.LeaseExpired() &&
-		p.core.term.ConfirmedSince(p.lastPossibleRenewal(m)+p.core.config.AgentLeaseExpiry()) &&
+		p.core.term.ConfirmedSince(p.lastPossibleRenewal(m)+p.detector.AgentLeaseExpiry()) &&
 		silence > p.suspicionTimeout()
 }
 
@@ -119,7 +119,7 @@
 // silentSinceLeaseExpiry tells whether the machine has long been empty and silent: a fault of the
 // network near this controller would have shown by now.
 func (p *partitionLeader) silentSinceLeaseExpiry(m *machine, silence micros.Time) bool {
-	return m.inUse() && m.agent.LeaseExpired() && silence > 3*p.core.config.AgentLeaseExpiry()
+	return m.inUse() && m.agent.LeaseExpired() && silence > 3*p.detector.AgentLeaseExpiry()
 }
 
 // unresponsiveAfterPreemption tells whether the cloud was to take the machine by now, and it does
