--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -6,6 +6,7 @@
 
 	"pipitlatch/internal/admission"
 	"pipitlatch/internal/config"
+	"pipitlatch/internal/config/configtest"
 	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
@@ -16,7 +17,7 @@
 // almost nothing.
 func newFair(t *testing.T) *Core {
 	t.Helper()
-	cfg, err := config.Parse([]byte(benchSettings), []byte("fair_admission { enabled: true }"))
+	cfg, err := config.Parse(configtest.Default().Platform(), []byte("fair_admission { enabled: true }"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"testing"
 
+	"pipitlatch/internal/config/configtest"
 	"pipitlatch/internal/coordination/messages"
 
 	"pipitlatch/internal/config"
@@ -14,32 +15,6 @@
 	"pipitlatch/internal/workload"
 )
 
-const benchSettings = `member = "n0"
-listen = "10.0.0.1:1"
-internal_addr = "10.0.0.1:2"
-[services]
-cloud = "10.2.0.2:1"
-state = "10.2.0.1:1"
-[settings]
-nodes = 1
-[[settings.teams]]
-name = "alpha"
-[settings.workers]
-report_s = 1.5
-lease_s = 10.0
-cancel_s = 35.0
-[settings.state]
-rps = 100.0
-write_rps = 25.0
-value_kb = 16.0
-txn_ops = 12
-[settings.cloud]
-rps = 8.0
-[settings.machine_limits]
-memory_mb = 125.0
-max_connections = 1000
-`
-
 // fleetSizes are the numbers of machines that the benchmarks are run with.
 var fleetSizes = []int{400, 1300, 4000}
 
@@ -61,7 +36,7 @@
 // machine.
 func newLarge(b testing.TB, size int) (*Core, []*messages.Heartbeat) {
 	b.Helper()
-	cfg, err := config.Parse([]byte(benchSettings), nil)
+	cfg, err := config.Parse(configtest.Default().Platform(), nil)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/coordination/cluster_leader_test.go
+++ b/internal/coordination/cluster_leader_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"pipitlatch/internal/config"
+	"pipitlatch/internal/config/configtest"
 	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
@@ -12,7 +13,7 @@
 // testConfig are settings for a core.
 func testConfig(t *testing.T) *config.Config {
 	t.Helper()
-	cfg, err := config.Parse([]byte(benchSettings), nil)
+	cfg, err := config.Parse(configtest.Default().Platform(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordination/clusterleader/duties_test.go
+++ b/internal/coordination/clusterleader/duties_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"pipitlatch/internal/config"
+	"pipitlatch/internal/config/configtest"
 	"pipitlatch/internal/coordination/membership"
 	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/coordination/provisioning"
@@ -13,33 +14,6 @@
 	"pipitlatch/internal/workload"
 )
 
-// testSettings are those of a small site.
-const testSettings = `member = "n0"
-listen = "10.0.0.1:1"
-internal_addr = "10.0.0.1:2"
-[services]
-cloud = "10.2.0.2:1"
-state = "10.2.0.1:1"
-[settings]
-nodes = 1
-[[settings.teams]]
-name = "alpha"
-[settings.workers]
-report_s = 1.5
-lease_s = 10.0
-cancel_s = 35.0
-[settings.state]
-rps = 100.0
-write_rps = 25.0
-value_kb = 16.0
-txn_ops = 12
-[settings.cloud]
-rps = 8.0
-[settings.machine_limits]
-memory_mb = 125.0
-max_connections = 1000
-`
-
 // dutyView stands in for the core around one duty of the cluster leader.
 type dutyView struct {
 	storetest.Environment
@@ -115,7 +89,7 @@
 // dutyConfig are settings for the duties.
 func dutyConfig(t *testing.T) *config.Config {
 	t.Helper()
-	cfg, err := config.Parse([]byte(testSettings), nil)
+	cfg, err := config.Parse(configtest.Default().Platform(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"pipitlatch/internal/config"
+	"pipitlatch/internal/config/configtest"
 	"pipitlatch/internal/coordination/messages"
 	"pipitlatch/internal/micros"
 	"pipitlatch/internal/storage"
@@ -13,7 +14,7 @@
 // newTestCore returns a core that has not made its first step.
 func newTestCore(t *testing.T) *Core {
 	t.Helper()
-	cfg, err := config.Parse([]byte(benchSettings), nil)
+	cfg, err := config.Parse(configtest.Default().Platform(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"io"
 	"log/slog"
 	"net"
@@ -16,6 +15,7 @@
 	"go.uber.org/goleak"
 
 	"pipitlatch/internal/config"
+	"pipitlatch/internal/config/configtest"
 )
 
 // TestMain fails if any test leaves a goroutine: all that a controller starts has an end.
@@ -44,32 +44,6 @@
 	return l.Addr().String()
 }
 
-const settingsFormat = `member = "n"
-listen = %q
-internal_addr = %q
-[services]
-cloud = %q
-state = %q
-[settings]
-nodes = 1
-[[settings.teams]]
-name = "alpha"
-[settings.workers]
-report_s = 1.5
-lease_s = 10.0
-cancel_s = 35.0
-[settings.state]
-rps = 100.0
-write_rps = 25.0
-value_kb = 16.0
-txn_ops = 12
-[settings.cloud]
-rps = 8.0
-[settings.machine_limits]
-memory_mb = 125.0
-max_connections = 100
-`
-
 // start runs a controller on loopback whose key-value store and cloud are down.
 func start(t *testing.T) string {
 	t.Helper()
@@ -77,8 +51,15 @@
 	t.Cleanup(down.Close)
 	addr := freeAddress(t)
 	outside := strings.TrimPrefix(down.URL, "http://")
-	settings := fmt.Sprintf(settingsFormat, addr, freeAddress(t), outside, outside)
-	cfg, err := config.Parse([]byte(settings), nil)
+	site := configtest.Site{
+		Member:         "n",
+		Listen:         addr,
+		InternalAddr:   freeAddress(t),
+		Cloud:          outside,
+		Store:          outside,
+		MaxConnections: 100,
+	}
+	cfg, err := config.Parse(site.Platform(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
