--- a/internal/scenario/deployment_test.go
+++ b/internal/scenario/deployment_test.go
@@ -129,7 +129,7 @@
 	cloud := d.listen(d.w.cloud.handle)
 	var members []memberSettings
 	for i := range 3 {
-		m := memberSettings{member: nodeName(i), zone: "a", listen: freeAddress(d.t), internal: freeAddress(d.t)}
+		m := memberSettings{member: nodeName(i), zone: "a", listen: controllerAddress(), internal: controllerAddress()}
 		d.nodes[m.member] = m.listen
 		members = append(members, m)
 	}
--- a/internal/scenario/live_test.go
+++ b/internal/scenario/live_test.go
@@ -7,9 +7,11 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"os"
 	"strconv"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -139,17 +141,21 @@
 	}()
 }
 
-func freeAddress(t *testing.T) string {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.78:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	address := ln.Addr().String()
-	if err := ln.Close(); err != nil {
-		t.Fatal(err)
-	}
-	return address
+// firstControllerPort is below the ports that the system gives to connections and listeners.
+const firstControllerPort = 20_000
+
+// controllerAddresses counts the addresses that controllers of this process were given.
+var controllerAddresses atomic.Uint32
+
+// controllerAddress is an address of a controller that nobody else has, nor takes while the controller
+// is away: a controller that comes back listens where it did, and another deployment's agents and
+// peers, which have the same names, must not find it in place of their own. The host is that of
+// this process, so that two runs of the tests on one machine do not meet.
+func controllerAddress() string {
+	pid := os.Getpid()
+	host := net.IPv4(127, byte(1+pid>>16&0x3f), byte(pid>>8), byte(pid))
+	port := firstControllerPort + int(controllerAddresses.Add(1))
+	return net.JoinHostPort(host.String(), strconv.Itoa(port))
 }
 
 // addMachinesOf adds a type to the cloud, and machines of it that run already.
--- a/internal/scenario/loopback_test.go
+++ b/internal/scenario/loopback_test.go
@@ -67,7 +67,7 @@
 	}
 	f.storeAddress = f.listen(func(r protocol.HTTPRequest, reply replyFunc) { w.store.handle("node-0", r, reply) })
 	f.cloudAddress = f.listen(w.cloud.handle)
-	f.control = freeAddress(t)
+	f.control = controllerAddress()
 	f.writeSettings()
 	f.addMachines()
 	f.runClock()
@@ -85,7 +85,7 @@
 func (f *loopbackFleet) writeSettings() {
 	f.t.Helper()
 	settings := platformSettings{
-		identity: memberSettings{member: "node-0", listen: f.control, internal: freeAddress(f.t)},
+		identity: memberSettings{member: "node-0", listen: f.control, internal: controllerAddress()},
 		cloud:    f.cloudAddress,
 		store:    f.storeAddress,
 		fleet:    fleetSettings{nodes: 1, teams: []teamSettings{{name: "alpha"}}},
