--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -13,4 +13,6 @@
 sh scripts/lint.sh
 sh -c "$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/service.toml)"
 target/pipitlatch --version
+# Tests that are known to fail now and then are told, and run all the same.
+[ ! -s KNOWN-RED.txt ] || { echo "known red:"; cat KNOWN-RED.txt; }
 exec go test -race -count=1 -timeout 40m ./...
