--- a/internal/coordination/failuredetector/detector.go
+++ b/internal/coordination/failuredetector/detector.go
@@ -24,8 +24,8 @@
 	Reached bool // some peer reaches most of the machines that it probed
 }
 
-// Observer is what the detector may ask of the partition leader.
-type Observer interface {
+// FleetView is what the detector may ask of the partition leader.
+type FleetView interface {
 	// Machines yields all machines of the partition.
 	Machines(yield func(Machine) bool)
 	// PeerVerdict is what the peers found out about a zone.
@@ -42,7 +42,7 @@
 // Detector is the failure detector of one partition leader.
 type Detector struct {
 	timeouts Timeouts
-	observer Observer
+	observer FleetView
 
 	// silenceCountsFrom is when this process could first hear, or could hear again after it did
 	// not run: silence before that was its own.
@@ -56,7 +56,7 @@
 }
 
 // New returns a detector that counts silence from now on.
-func New(timeouts Timeouts, observer Observer, now micros.Time) *Detector {
+func New(timeouts Timeouts, observer FleetView, now micros.Time) *Detector {
 	return &Detector{
 		timeouts:          timeouts,
 		observer:          observer,
