--- a/internal/coordination/failuredetector/detector.go
+++ b/internal/coordination/failuredetector/detector.go
@@ -81,9 +81,9 @@
 	return after
 }
 
-// RestartSilence notes that this process did not run for a while: that nothing was heard until now was
+// ResetSilence notes that this process did not run for a while: that nothing was heard until now was
 // its own fault.
-func (d *Detector) RestartSilence(now micros.Time) { d.silenceCountsFrom = now }
+func (d *Detector) ResetSilence(now micros.Time) { d.silenceCountsFrom = now }
 
 // Silence is for how long nothing has shown that our messages reach a machine with this last contact,
 // while this process could have noticed: heartbeats alone do not show it.
--- a/internal/coordination/failuredetector/detector_test.go
+++ b/internal/coordination/failuredetector/detector_test.go
@@ -72,7 +72,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			d := newDetector(&fakeFleet{})
-			d.RestartSilence(test.countsFrom)
+			d.ResetSilence(test.countsFrom)
 			if got := d.Silence(now, test.last); got != test.wantSince {
 				t.Errorf("silence %d, want %d", got, test.wantSince)
 			}
@@ -135,7 +135,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			d := newDetector(test.fleet)
-			d.RestartSilence(test.silenceFrom)
+			d.ResetSilence(test.silenceFrom)
 			if got := d.CannotReport(now, now-test.sinceLast); got != test.want {
 				t.Errorf("cannot report: %v, want %v", got, test.want)
 			}
--- a/internal/coordination/failuredetector/zones_test.go
+++ b/internal/coordination/failuredetector/zones_test.go
@@ -72,7 +72,7 @@
 
 func TestCheckZonesDoesNotCountOwnSilence(t *testing.T) {
 	d := newDetector((&fakeFleet{}).add(4, "a", false, unreachable))
-	d.RestartSilence(now - suspected + 1)
+	d.ResetSilence(now - suspected + 1)
 	if got := d.CheckZones(now); got != nil {
 		t.Errorf("reports %v for a silence of this process itself", got)
 	}
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -124,7 +124,7 @@
 	now := p.core.now
 	if now-p.lastTick > micros.Second {
 		// This process did not run for a while: that nothing was heard was its own fault.
-		p.detector.RestartSilence(now)
+		p.detector.ResetSilence(now)
 		for _, m := range p.machines {
 			m.contact.DiscountSilence(now - p.suspicionTimeout()/2)
 		}
