--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -93,7 +93,7 @@
 // the network near this controller nor that between it and the machine's zone explains the silence.
 func (p *partitionLeader) networkRuledOut(m *machine) bool {
 	now := p.core.now
-	return !p.detector.NetworkSuspected(now) && p.detector.RestOfFleetHeard(now, m.contact.FirstFailedCallAt()) &&
+	return !p.detector.NetworkSuspected(now) && p.detector.RestOfFleetReachable(now, m.contact.FirstFailedCallAt()) &&
 		!p.detector.ZoneVerdictPending(now, m.record.Zone)
 }
 
--- a/internal/coordination/failuredetector/fleet.go
+++ b/internal/coordination/failuredetector/fleet.go
@@ -65,11 +65,11 @@
 	return health.reconciled*2 >= health.mayHaveTasks
 }
 
-// RestOfFleetHeard tells whether a good part of the machines has been heard since a time: for a
+// RestOfFleetReachable tells whether a good part of the machines has been heard since a time: for a
 // machine that does not answer, when the first of its failed calls in a row was sent. Then it is
 // not this controller that nobody hears: a fault near it shows at once, long before many machines
 // are overdue. A small fleet is too little to tell, and counts as heard.
-func (d *Detector) RestOfFleetHeard(now, since micros.Time) bool {
+func (d *Detector) RestOfFleetReachable(now, since micros.Time) bool {
 	health := d.fleetHealth(now)
 	silent := sort.Search(len(health.lastContacts), func(i int) bool { return health.lastContacts[i] > since })
 	heard := len(health.lastContacts) - silent
--- a/internal/coordination/failuredetector/fleet_test.go
+++ b/internal/coordination/failuredetector/fleet_test.go
@@ -66,7 +66,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := newDetector(test.fleet).RestOfFleetHeard(now, now-since); got != test.want {
+			if got := newDetector(test.fleet).RestOfFleetReachable(now, now-since); got != test.want {
 				t.Errorf("rest of the fleet heard: %v, want %v", got, test.want)
 			}
 		})
@@ -111,7 +111,7 @@
 	d := newDetector(fleet)
 	verdicts := func(at micros.Time) {
 		for range 8 {
-			d.RestOfFleetHeard(at, at-micros.Second)
+			d.RestOfFleetReachable(at, at-micros.Second)
 			d.MostReconciled(at)
 			d.CannotReport(at, at-timeouts.AgentLeaseExpiry-1)
 		}
@@ -120,13 +120,13 @@
 	if fleet.listings != 1 {
 		t.Errorf("the fleet was listed %d times in one tick, want once", fleet.listings)
 	}
-	if d.RestOfFleetHeard(now, now-micros.Second) {
+	if d.RestOfFleetReachable(now, now-micros.Second) {
 		t.Error("heard, although nothing was")
 	}
 	for i := range fleet.machines {
 		fleet.machines[i].LastContact = now + 1
 	}
-	if d.RestOfFleetHeard(now, now-micros.Second) {
+	if d.RestOfFleetReachable(now, now-micros.Second) {
 		t.Error("the summary changed within the tick")
 	}
 	next := now + 50*micros.Millisecond
@@ -134,7 +134,7 @@
 	if fleet.listings != 2 {
 		t.Errorf("the fleet was listed %d times in two ticks, want twice", fleet.listings)
 	}
-	if !d.RestOfFleetHeard(next, next-micros.Second) {
+	if !d.RestOfFleetReachable(next, next-micros.Second) {
 		t.Error("the next tick does not see what was heard")
 	}
 }
