--- a/internal/coordination/agents/progress.go
+++ b/internal/coordination/agents/progress.go
@@ -47,8 +47,8 @@
 // Epoch returns the agent epoch that is running, 0 if the agent has not been heard from.
 func (p *Progress) Epoch() uint64 { return p.position.Epoch }
 
-// HeardFrom tells whether any heartbeat of the agent came.
-func (p *Progress) HeardFrom() bool { return p.position.Epoch != 0 }
+// HeartbeatReceived tells whether any heartbeat of the agent came.
+func (p *Progress) HeartbeatReceived() bool { return p.position.Epoch != 0 }
 
 // BootedWithin tells whether the first heartbeat of the agent came less than a while ago.
 func (p *Progress) BootedWithin(while, now micros.Time) bool {
@@ -68,7 +68,7 @@
 
 // Usable tells whether the agent's tasks are known and it obeys commands under this token.
 func (p *Progress) Usable(token uint64) bool {
-	return p.reconciled && !p.leaseExpired && p.ackedToken == token && p.HeardFrom()
+	return p.reconciled && !p.leaseExpired && p.ackedToken == token && p.HeartbeatReceived()
 }
 
 // IsNewer tells whether a heartbeat is newer than all that is known of the agent.
@@ -101,7 +101,7 @@
 // all tasks of the epoch before. That does not make it reconciled: a former leader may have
 // started others since.
 func (p *Progress) BeginEpoch(epoch uint64, now micros.Time) {
-	if p.HeardFrom() {
+	if p.HeartbeatReceived() {
 		p.ackedToken = 0
 	} else {
 		p.bootedAt = now
--- a/internal/coordination/fleet_log.go
+++ b/internal/coordination/fleet_log.go
@@ -23,7 +23,7 @@
 func (u *fleetUsage) add(m *machine) {
 	u.machines++
 	u.cpu += m.instanceType.Capacity.CPU
-	if !m.agent.HeardFrom() {
+	if !m.agent.HeartbeatReceived() {
 		u.booting++
 		u.cpuBooting += m.instanceType.Capacity.CPU
 	}
