--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -19,8 +19,8 @@
 // Add lets a command wait behind all others.
 func (q *CommandQueue) Add(command messages.Command) { q.waiting = append(q.waiting, command) }
 
-// Withdraw removes what waits for an attempt.
-func (q *CommandQueue) Withdraw(id messages.AttemptID) {
+// RemoveAttempt removes what waits for an attempt.
+func (q *CommandQueue) RemoveAttempt(id messages.AttemptID) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(c messages.Command) bool { return c.AttemptID == id })
 }
 
--- a/internal/coordination/agents/commands_test.go
+++ b/internal/coordination/agents/commands_test.go
@@ -47,7 +47,7 @@
 		{"nothing to retry", func(q *CommandQueue) { q.Retry(nil) }, 1, []uint64{1}, []uint64{2, 3}},
 		{"withdrawn attempt", func(q *CommandQueue) {
 			q.Add(messages.Command{Operation: messages.Stop, AttemptID: start(2).AttemptID})
-			q.Withdraw(start(2).AttemptID)
+			q.RemoveAttempt(start(2).AttemptID)
 		}, 9, []uint64{1, 3}, nil},
 		{"cleared", func(q *CommandQueue) { q.Clear() }, 9, nil, nil},
 	}
--- a/internal/coordination/attempt.go
+++ b/internal/coordination/attempt.go
@@ -131,5 +131,5 @@
 	p.release(a)
 	p.requeue(a)
 	a.unindex()
-	a.machine.commands.Withdraw(a.id)
+	a.machine.commands.RemoveAttempt(a.id)
 }
