--- a/internal/coordination/agents/contact.go
+++ b/internal/coordination/agents/contact.go
@@ -61,9 +61,9 @@
 	c.lastContact, c.unacknowledgedReplies, c.failedCalls = now, 0, 0
 }
 
-// DiscountSilence takes the machine as reached at some time, if it was not reached since:
+// AdvanceLastContact takes the machine as reached at some time, if it was not reached since:
 // silence before that was the leader's own.
-func (c *Contact) DiscountSilence(before micros.Time) { c.lastContact = max(c.lastContact, before) }
+func (c *Contact) AdvanceLastContact(before micros.Time) { c.lastContact = max(c.lastContact, before) }
 
 // Replied notes a reply to a heartbeat, which renews the agent lease if it arrives.
 func (c *Contact) Replied(now micros.Time) { c.lastRenewal, c.lastReply = now, now }
--- a/internal/coordination/agents/contact_test.go
+++ b/internal/coordination/agents/contact_test.go
@@ -122,11 +122,11 @@
 
 func TestDiscountSilence(t *testing.T) {
 	contact := NewContact(5 * micros.Second)
-	contact.DiscountSilence(3 * micros.Second)
+	contact.AdvanceLastContact(3 * micros.Second)
 	if contact.LastContact() != 5*micros.Second {
 		t.Errorf("last contact went back to %d", contact.LastContact())
 	}
-	contact.DiscountSilence(8 * micros.Second)
+	contact.AdvanceLastContact(8 * micros.Second)
 	if contact.LastContact() != 8*micros.Second {
 		t.Errorf("last contact at %d, want 8 s", contact.LastContact())
 	}
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -126,7 +126,7 @@
 		// This process did not run for a while: that nothing was heard was its own fault.
 		p.detector.ResetSilence(now)
 		for _, m := range p.machines {
-			m.contact.DiscountSilence(now - p.suspicionTimeout()/2)
+			m.contact.AdvanceLastContact(now - p.suspicionTimeout()/2)
 		}
 	}
 	for _, m := range p.machines {
