--- a/internal/coordination/agents/progress_test.go
+++ b/internal/coordination/agents/progress_test.go
@@ -14,10 +14,10 @@
 
 // observed is the progress after heartbeats of epoch 3, one a second from second 1 on, all with
 // fencing token 5.
-func observed(t *testing.T, sequences ...uint64) *Progress {
+func observed(t *testing.T, sequences ...uint64) *HeartbeatState {
 	t.Helper()
 	const epoch, token = 3, 5
-	p := &Progress{}
+	p := &HeartbeatState{}
 	now := micros.Second
 	p.BeginEpoch(epoch, now)
 	for _, sequence := range sequences {
@@ -35,11 +35,11 @@
 func TestIsNewer(t *testing.T) {
 	tests := []struct {
 		name     string
-		progress *Progress
+		progress *HeartbeatState
 		h        *messages.Heartbeat
 		want     bool
 	}{
-		{"first heartbeat of a machine", &Progress{}, heartbeat(1, 0, 0), true},
+		{"first heartbeat of a machine", &HeartbeatState{}, heartbeat(1, 0, 0), true},
 		{"later sequence", observed(t, 7), heartbeat(3, 8, 5), true},
 		{"same sequence again", observed(t, 7), heartbeat(3, 7, 5), false},
 		{"earlier sequence", observed(t, 7), heartbeat(3, 6, 5), false},
@@ -125,7 +125,7 @@
 }
 
 // checkStale checks whether copies of heartbeats that were observed are stale.
-func checkStale(t *testing.T, progress *Progress, now micros.Time, sequences []uint64, want bool) {
+func checkStale(t *testing.T, progress *HeartbeatState, now micros.Time, sequences []uint64, want bool) {
 	t.Helper()
 	for _, s := range sequences {
 		if got := progress.IsStaleCopy(heartbeat(3, s, 5), now); got != want {
@@ -168,7 +168,7 @@
 
 func TestBeginEpoch(t *testing.T) {
 	t.Run("first epoch is the boot", func(t *testing.T) {
-		progress := &Progress{}
+		progress := &HeartbeatState{}
 		if progress.HeartbeatReceived() || progress.BootedWithin(micros.Second, 0) {
 			t.Error("a machine without heartbeats counts as booted")
 		}
@@ -222,14 +222,14 @@
 	const token = 5
 	tests := []struct {
 		name   string
-		change func(*Progress)
+		change func(*HeartbeatState)
 		want   bool
 	}{
-		{"reconciled under this token", func(*Progress) {}, true},
-		{"acknowledged an earlier token", func(p *Progress) { p.Acknowledge(token - 1) }, false},
-		{"lease expired", func(p *Progress) { p.ExpireLease(); p.Acknowledge(token) }, false},
-		{"never heard from", func(p *Progress) { *p = Progress{}; p.Reconcile(); p.Acknowledge(token) }, false},
-		{"not reconciled", func(p *Progress) { *p = *observed(t, 7) }, false},
+		{"reconciled under this token", func(*HeartbeatState) {}, true},
+		{"acknowledged an earlier token", func(p *HeartbeatState) { p.Acknowledge(token - 1) }, false},
+		{"lease expired", func(p *HeartbeatState) { p.ExpireLease(); p.Acknowledge(token) }, false},
+		{"never heard from", func(p *HeartbeatState) { *p = HeartbeatState{}; p.Reconcile(); p.Acknowledge(token) }, false},
+		{"not reconciled", func(p *HeartbeatState) { *p = *observed(t, 7) }, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -20,7 +20,7 @@
 	instanceType *workload.InstanceType
 	address      string
 
-	agent     agents.Progress
+	agent     agents.HeartbeatState
 	contact   agents.Contact
 	lifecycle machineLifecycle
 	drain     drainState
--- a/internal/coordination/machine_health_test.go
+++ b/internal/coordination/machine_health_test.go
@@ -111,7 +111,7 @@
 		}, notDraining},
 		{"never in use", func(p *partitionLeader, m *machine) {
 			silentFor(p, m, p.suspicionTimeout()+1, 1)
-			m.agent, m.record.Used = agents.Progress{}, false
+			m.agent, m.record.Used = agents.HeartbeatState{}, false
 			m.agent.Reconcile()
 		}, notDraining},
 		{"long silent after the lease expired", func(p *partitionLeader, m *machine) {
@@ -195,13 +195,13 @@
 func TestReasonToDrainWorseThanOthers(t *testing.T) {
 	testReasonToDrain(t, []drainCase{
 		{"last one to be reconciled does not answer", func(p *partitionLeader, m *machine) {
-			m.agent = agents.Progress{}
+			m.agent = agents.HeartbeatState{}
 			m.contact.CallFailed(p.core.now)
 			m.contact.CallFailed(p.core.now)
 		}, drainUnresponsive},
 		{"does not answer while most are unreconciled", func(p *partitionLeader, m *machine) {
 			for _, other := range p.machines {
-				other.agent = agents.Progress{}
+				other.agent = agents.HeartbeatState{}
 			}
 			m.contact.CallFailed(p.core.now)
 			m.contact.CallFailed(p.core.now)
@@ -227,7 +227,7 @@
 
 func TestReasonToDrainBootTimeout(t *testing.T) {
 	neverBooted := func(m *machine) {
-		m.agent, m.record.Used = agents.Progress{}, false
+		m.agent, m.record.Used = agents.HeartbeatState{}, false
 		m.agent.Reconcile()
 	}
 	testReasonToDrain(t, []drainCase{
@@ -291,7 +291,7 @@
 		}, false},
 		{"never in use", func(p *partitionLeader, m *machine) {
 			m.contact.CallFailed(p.core.now)
-			m.agent, m.record.Used = agents.Progress{}, false
+			m.agent, m.record.Used = agents.HeartbeatState{}, false
 		}, false},
 	}
 	for _, test := range tests {
@@ -315,7 +315,7 @@
 		{"silent until the lease has expired", func(*partitionLeader, *machine) {}, true},
 		{"noted already", func(_ *partitionLeader, m *machine) { m.agent.ExpireLease() }, false},
 		{"never in use", func(_ *partitionLeader, m *machine) {
-			m.agent, m.record.Used = agents.Progress{}, false
+			m.agent, m.record.Used = agents.HeartbeatState{}, false
 		}, false},
 		{"a call was answered", func(p *partitionLeader, m *machine) { m.contact.Reached(p.core.now) }, false},
 		{"a reply may have renewed it", func(_ *partitionLeader, m *machine) {
--- a/internal/coordination/machine_use_test.go
+++ b/internal/coordination/machine_use_test.go
@@ -29,7 +29,7 @@
 	p.lease.fencingToken--
 	p.machines[0].modRevision++
 	p.machines[1].drain.reason = drainSlow
-	p.machines[2].agent = agents.Progress{}
+	p.machines[2].agent = agents.HeartbeatState{}
 	if got := storedUse(t, p); len(got) != 0 {
 		t.Fatalf("wrote %v for a machine of a changed block, one that drains, and one not heard from", got)
 	}
