--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -7,70 +7,70 @@
 	"pipitlatch/internal/micros"
 )
 
-// CommandQueue holds the commands that wait to be sent to a machine's agent. One call is in
-// flight at a time, so that commands arrive in the order in which they were added.
+// CommandQueue is the FIFO queue of commands for the agent of one machine. At most one call to the
+// agent is in flight at a time, so that commands arrive in the order in which they were added.
 type CommandQueue struct {
-	waiting             []messages.Command
+	pending             []messages.Command
 	callInFlight        bool
-	nextCallAt          micros.Time // no commands are sent before
-	hasUnansweredStarts bool        // some start command got no reply
+	nextCallAt          micros.Time // earliest time of the next call
+	hasUnansweredStarts bool        // at least one start command got no reply
 }
 
-// Add lets a command wait behind all others.
-func (q *CommandQueue) Add(command messages.Command) { q.waiting = append(q.waiting, command) }
+// Add appends a command to the queue.
+func (q *CommandQueue) Add(command messages.Command) { q.pending = append(q.pending, command) }
 
-// RemoveAttempt removes what waits for an attempt.
+// RemoveAttempt removes all queued commands for an attempt.
 func (q *CommandQueue) RemoveAttempt(id messages.AttemptID) {
-	q.waiting = slices.DeleteFunc(q.waiting, func(c messages.Command) bool { return c.AttemptID == id })
+	q.pending = slices.DeleteFunc(q.pending, func(c messages.Command) bool { return c.AttemptID == id })
 }
 
-// Clear removes all that waits.
-func (q *CommandQueue) Clear() { q.waiting = nil }
+// Clear removes all queued commands.
+func (q *CommandQueue) Clear() { q.pending = nil }
 
-// Empty tells whether no command waits.
-func (q *CommandQueue) Empty() bool { return len(q.waiting) == 0 }
+// Empty reports whether no commands are queued.
+func (q *CommandQueue) Empty() bool { return len(q.pending) == 0 }
 
-// ContainsFunc tells whether a command waits that matches.
+// ContainsFunc reports whether any queued command satisfies match.
 func (q *CommandQueue) ContainsFunc(match func(messages.Command) bool) bool {
-	return slices.ContainsFunc(q.waiting, match)
+	return slices.ContainsFunc(q.pending, match)
 }
 
-// Ready tells whether commands wait and may be sent now.
+// Ready reports whether commands are queued and may be sent now.
 func (q *CommandQueue) Ready(now micros.Time) bool {
 	return !q.callInFlight && !q.Empty() && now >= q.nextCallAt
 }
 
-// TakeBatch removes the commands that waited longest, at most so many, and returns them.
+// TakeBatch removes up to limit commands from the front of the queue and returns them.
 func (q *CommandQueue) TakeBatch(limit int) []messages.Command {
-	n := min(len(q.waiting), limit)
-	batch := slices.Clone(q.waiting[:n])
-	q.waiting = slices.Delete(q.waiting, 0, n)
+	n := min(len(q.pending), limit)
+	batch := slices.Clone(q.pending[:n])
+	q.pending = slices.Delete(q.pending, 0, n)
 	return batch
 }
 
-// Retry puts the commands of a call without a reply before all others.
+// Retry puts the commands of a call that got no reply back at the front of the queue.
 func (q *CommandQueue) Retry(commands []messages.Command) {
-	q.waiting = append(commands, q.waiting...)
+	q.pending = append(commands, q.pending...)
 }
 
-// CallInFlight tells whether a call to the agent has no reply yet.
+// CallInFlight reports whether a call to the agent is in flight.
 func (q *CommandQueue) CallInFlight() bool { return q.callInFlight }
 
-// CallStarted notes that a call to the agent is sent.
+// CallStarted records that a call to the agent was sent.
 func (q *CommandQueue) CallStarted() { q.callInFlight = true }
 
-// CallEnded notes that the call in flight got its reply, or gets none.
+// CallEnded records that the call in flight got its reply or failed.
 func (q *CommandQueue) CallEnded() { q.callInFlight = false }
 
-// DelayUntil sends no commands before some time.
+// DelayUntil holds back all commands until the given time.
 func (q *CommandQueue) DelayUntil(next micros.Time) { q.nextCallAt = next }
 
-// EndDelay lets commands be sent again.
+// EndDelay cancels the delay set by DelayUntil.
 func (q *CommandQueue) EndDelay() { q.nextCallAt = 0 }
 
-// StartUnanswered notes that a start command got no reply: it may still be carried out, even
+// StartUnanswered records that a start command got no reply: the agent may still execute it, even
 // minutes later.
 func (q *CommandQueue) StartUnanswered() { q.hasUnansweredStarts = true }
 
-// HasUnansweredStarts tells whether any start command got no reply.
+// HasUnansweredStarts reports whether any start command got no reply.
 func (q *CommandQueue) HasUnansweredStarts() bool { return q.hasUnansweredStarts }
