--- a/internal/coordination/agents/images.go
+++ b/internal/coordination/agents/images.go
@@ -2,40 +2,40 @@
 
 import "slices"
 
-// ImageCache is what a machine's cache of images is thought to hold: the most recently used
-// ones.
+// ImageCache models the image cache of a machine as an LRU cache. It is inferred from the tasks that
+// ran there and may differ from what the agent has actually cached.
 type ImageCache struct {
-	images []image // most recently used last
+	images []image // ordered by last use, most recent last
 }
 
 type image struct {
-	name string
-	gb   float64
+	name   string
+	sizeGB float64
 }
 
-// Has tells whether the cache holds an image.
+// Has reports whether the cache holds an image.
 func (c *ImageCache) Has(name string) bool {
 	return slices.ContainsFunc(c.images, func(i image) bool { return i.name == name })
 }
 
-// Use notes that a task with this image was started.
-func (c *ImageCache) Use(name string, gb float64) {
+// Use marks an image as the most recently used one, adding it if it is not cached.
+func (c *ImageCache) Use(name string, sizeGB float64) {
 	c.images = slices.DeleteFunc(c.images, func(i image) bool { return i.name == name })
-	c.images = append(c.images, image{name, gb})
+	c.images = append(c.images, image{name, sizeGB})
 }
 
-// Evict removes the images that were not used for longest until the others fit. The last one
-// used always stays: its task runs, so the agent has it.
+// Evict removes the least recently used images until the rest fit into the capacity. The most
+// recently used image always stays: its task is running, so the agent must have it.
 func (c *ImageCache) Evict(capacityGB float64) {
-	for len(c.images) > 1 && c.size() > capacityGB {
+	for len(c.images) > 1 && c.totalGB() > capacityGB {
 		c.images = c.images[1:]
 	}
 }
 
-func (c *ImageCache) size() float64 {
+func (c *ImageCache) totalGB() float64 {
 	sum := 0.0
 	for _, i := range c.images {
-		sum += i.gb
+		sum += i.sizeGB
 	}
 	return sum
 }
