--- a/internal/coordination/agents/images.go
+++ b/internal/coordination/agents/images.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// ImageCache models the image cache of a machine as an LRU cache. It is inferred from the tasks that
-// ran there and may differ from what the agent has actually cached.
+// ImageCache models the image cache of a machine as an LRU cache. It is inferred from the tasks started
+// there and may differ from what the agent actually holds.
 type ImageCache struct {
 	images []image // ordered by last use, most recent last
 }
@@ -25,7 +25,7 @@
 }
 
 // Evict removes the least recently used images until the rest fit into the capacity. The most
-// recently used image always stays: its task is running, so the agent must have it.
+// recently used image always stays: its task was started, so the agent needs it.
 func (c *ImageCache) Evict(capacityGB float64) {
 	for len(c.images) > 1 && c.totalGB() > capacityGB {
 		c.images = c.images[1:]
