--- a/internal/coordination/agent_calls.go
+++ b/internal/coordination/agent_calls.go
@@ -72,7 +72,7 @@
 			continue
 		}
 		m.contact.Probed(p.core.now)
-		p.callAgent(m, nil, !m.agent.HeartbeatReceived())
+		p.callAgent(m, nil, !m.agent.HasHeartbeat())
 	}
 	clear(p.probeQueue)
 	p.probeQueue = p.probeQueue[:0]
@@ -82,7 +82,7 @@
 // leader and may be called now.
 func (p *partitionLeader) sendBatch(m *machine) {
 	if !m.commands.Ready(p.core.now) ||
-		!m.agent.Acknowledged(p.lease.fencingToken) || !m.agent.HeartbeatReceived() || m.address == "" {
+		!m.agent.Acknowledged(p.lease.fencingToken) || !m.agent.HasHeartbeat() || m.address == "" {
 		return
 	}
 	batch := m.commands.TakeBatch(maxCommandsPerMessage)
--- a/internal/coordination/agents/heartbeat_state.go
+++ b/internal/coordination/agents/heartbeat_state.go
@@ -47,8 +47,8 @@
 // Epoch returns the agent epoch that is running, 0 if the agent has not been heard from.
 func (p *HeartbeatState) Epoch() uint64 { return p.position.Epoch }
 
-// HeartbeatReceived tells whether any heartbeat of the agent came.
-func (p *HeartbeatState) HeartbeatReceived() bool { return p.position.Epoch != 0 }
+// HasHeartbeat tells whether any heartbeat of the agent came.
+func (p *HeartbeatState) HasHeartbeat() bool { return p.position.Epoch != 0 }
 
 // BootedWithin tells whether the first heartbeat of the agent came less than a while ago.
 func (p *HeartbeatState) BootedWithin(while, now micros.Time) bool {
@@ -68,7 +68,7 @@
 
 // Usable tells whether the agent's tasks are known and it obeys commands under this token.
 func (p *HeartbeatState) Usable(token uint64) bool {
-	return p.reconciled && !p.leaseExpired && p.ackedToken == token && p.HeartbeatReceived()
+	return p.reconciled && !p.leaseExpired && p.ackedToken == token && p.HasHeartbeat()
 }
 
 // IsNewer tells whether a heartbeat is newer than all that is known of the agent.
@@ -101,7 +101,7 @@
 // all tasks of the epoch before. That does not make it reconciled: a former leader may have
 // started others since.
 func (p *HeartbeatState) BeginEpoch(epoch uint64, now micros.Time) {
-	if p.HeartbeatReceived() {
+	if p.HasHeartbeat() {
 		p.ackedToken = 0
 	} else {
 		p.bootedAt = now
--- a/internal/coordination/agents/heartbeat_state_test.go
+++ b/internal/coordination/agents/heartbeat_state_test.go
@@ -169,12 +169,12 @@
 func TestBeginEpoch(t *testing.T) {
 	t.Run("first epoch is the boot", func(t *testing.T) {
 		progress := &HeartbeatState{}
-		if progress.HeartbeatReceived() || progress.BootedWithin(micros.Second, 0) {
+		if progress.HasHeartbeat() || progress.BootedWithin(micros.Second, 0) {
 			t.Error("a machine without heartbeats counts as booted")
 		}
 		progress.BeginEpoch(3, 10*micros.Second)
-		if !progress.HeartbeatReceived() || progress.Epoch() != 3 || progress.Reconciled() {
-			t.Errorf("heard %v, epoch %d, reconciled %v", progress.HeartbeatReceived(), progress.Epoch(), progress.Reconciled())
+		if !progress.HasHeartbeat() || progress.Epoch() != 3 || progress.Reconciled() {
+			t.Errorf("heard %v, epoch %d, reconciled %v", progress.HasHeartbeat(), progress.Epoch(), progress.Reconciled())
 		}
 		if !progress.BootedWithin(micros.Second, 11*micros.Second-1) {
 			t.Error("no boot within a second before a second is over")
--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -60,7 +60,7 @@
 }
 
 // inUse tells whether the machine's agent was heard from, or it may have tasks.
-func (m *machine) inUse() bool { return m.agent.HeartbeatReceived() || m.record.Used }
+func (m *machine) inUse() bool { return m.agent.HasHeartbeat() || m.record.Used }
 
 // leaseRenewedAt is when the machine's agent lease was last renewed by this partition leader, or
 // could first have been.
@@ -86,7 +86,7 @@
 // cannotReport tells whether a machine that answers calls has reached no controller for an agent
 // lease, while most others do.
 func (p *partitionLeader) cannotReport(m *machine) bool {
-	return m.agent.HeartbeatReceived() && p.detector.CannotReport(p.core.now, p.leaseRenewedAt(m))
+	return m.agent.HasHeartbeat() && p.detector.CannotReport(p.core.now, p.leaseRenewedAt(m))
 }
 
 // networkRuledOut tells whether a silent machine itself is at fault, as far as the others show: neither
--- a/internal/coordination/fleet_log.go
+++ b/internal/coordination/fleet_log.go
@@ -23,7 +23,7 @@
 func (u *fleetUsage) add(m *machine) {
 	u.machines++
 	u.cpu += m.instanceType.Capacity.CPU
-	if !m.agent.HeartbeatReceived() {
+	if !m.agent.HasHeartbeat() {
 		u.booting++
 		u.cpuBooting += m.instanceType.Capacity.CPU
 	}
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -198,7 +198,7 @@
 
 // beginEpoch notes that the machine's agent lease ended: the agent killed and forgot all its tasks.
 func (p *partitionLeader) beginEpoch(m *machine, epoch uint64) {
-	if m.agent.HeartbeatReceived() {
+	if m.agent.HasHeartbeat() {
 		p.clearAttempts(m)
 	}
 	m.agent.BeginEpoch(epoch, p.core.now)
--- a/internal/coordination/machine_use.go
+++ b/internal/coordination/machine_use.go
@@ -55,7 +55,7 @@
 // partition leader, and its block is not being written.
 func (p *partitionLeader) useToBeRecorded(m *machine) bool {
 	return !m.record.Used &&
-		m.agent.HeartbeatReceived() &&
+		m.agent.HasHeartbeat() &&
 		m.agent.Acknowledged(p.lease.fencingToken) &&
 		m.drain.reason == notDraining &&
 		p.core.now >= p.useWriteAfter[m.record.Block]
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -130,7 +130,7 @@
 		}
 	}
 	for _, m := range p.machines {
-		if m.record.Spot && m.agent.HeartbeatReceived() && m.drain.reason == notDraining {
+		if m.record.Spot && m.agent.HasHeartbeat() && m.drain.reason == notDraining {
 			p.core.spot.time += now - p.lastTick
 		}
 	}
@@ -203,7 +203,7 @@
 	if m == nil {
 		return
 	}
-	if m.record.Spot && m.agent.HeartbeatReceived() && (m.drain.reason == drainUnresponsive || m.lifecycle.preemptAt != 0) {
+	if m.record.Spot && m.agent.HasHeartbeat() && (m.drain.reason == drainUnresponsive || m.lifecycle.preemptAt != 0) {
 		p.core.spot.losses++
 	}
 	p.clearAttempts(m)
--- a/internal/coordination/timelines.go
+++ b/internal/coordination/timelines.go
@@ -76,7 +76,7 @@
 	if m.drain.reason != notDraining || m.lifecycle.preemptAt != 0 {
 		return false
 	}
-	if m.agent.HeartbeatReceived() {
+	if m.agent.HasHeartbeat() {
 		// About to be usable.
 		return m.agent.Reconciled() && !m.agent.LeaseExpired() && p.core.now-m.contact.LastContact() < p.suspicionTimeout()
 	}
