--- a/internal/coordination/agents/contact.go
+++ b/internal/coordination/agents/contact.go
@@ -2,79 +2,77 @@
 
 import "pipitlatch/internal/micros"
 
-// maxUnacknowledgedReplies is how many replies in a row may be shown as not received before a
-// machine counts as out of reach.
+// maxUnacknowledgedReplies is the number of consecutive replies that may appear lost before the
+// machine is considered unreachable.
 const maxUnacknowledgedReplies = 2
 
-// replyTimeoutMargin is by how much a heartbeat must come sooner than an agent gives up
-// waiting for the reply to the one before, so that it shows that this reply was received.
+// replyTimeoutMargin is subtracted from ReplyTimeout to decide whether a heartbeat acknowledges the
+// previous reply: only one that comes at least this much before the agent would have given up
+// waiting for that reply shows that the agent received it.
 const replyTimeoutMargin = 1500 * micros.Millisecond
 
-// What is waited for after a call without a reply: twice as long after each further one, up to a
-// few times.
+// Exponential backoff between failed calls.
 const (
 	firstCallBackoff        = 300 * micros.Millisecond
 	maxCallBackoffDoublings = 3
 )
 
-// Contact is when messages last went to a machine and came from it.
+// Contact tracks when messages last reached a machine and which replies and calls to it failed.
 type Contact struct {
-	// lastContact is when something last showed that the leader's messages reach the machine.
-	// A heartbeat alone does not: the way back may be cut.
+	// lastContact is the last time there was evidence that the leader's messages reach the machine.
+	// A heartbeat alone is no such evidence: the path from the leader to the machine may be down.
 	lastContact micros.Time
 	lastRenewal micros.Time // last reply that may have renewed the agent lease
 
-	lastReply             micros.Time // reply that the next heartbeat has not acknowledged yet; 0: none
-	unacknowledgedReplies int         // replies in a row that the next heartbeat showed as not received
+	lastReply             micros.Time // last reply not yet matched with the next heartbeat; 0: none
+	unacknowledgedReplies int         // consecutive replies that the next heartbeat showed to be lost
 
 	lastProbe         micros.Time
-	failedCalls       int         // calls in a row without a reply
+	failedCalls       int         // consecutive calls without a reply
 	firstFailedCallAt micros.Time // when the first of them was sent
 }
 
-// NewContact returns the contact to a machine that is taken as reached now.
+// NewContact returns the state of a machine that is assumed to be reachable now.
 func NewContact(now micros.Time) Contact { return Contact{lastContact: now} }
 
-// LastContact returns when the machine was last known to be reached.
+// LastContact returns the last time at which the machine was known to be reachable.
 func (c *Contact) LastContact() micros.Time { return c.lastContact }
 
-// LastRenewal returns when a reply that may have renewed the agent lease was last sent.
+// LastRenewal returns the time of the last reply that may have renewed the agent lease.
 func (c *Contact) LastRenewal() micros.Time { return c.lastRenewal }
 
-// LastProbe returns when the machine was last asked for its heartbeat, 0 if it can be asked at
-// once.
+// LastProbe returns the time of the last probe, or 0 if the machine may be probed immediately.
 func (c *Contact) LastProbe() micros.Time { return c.lastProbe }
 
-// FailedCalls returns how many calls in a row got no reply.
+// FailedCalls returns the number of consecutive calls without a reply.
 func (c *Contact) FailedCalls() int { return c.failedCalls }
 
-// FirstFailedCallAt returns when the first of the last calls in a row without a reply was
-// sent.
+// FirstFailedCallAt returns when the first call of the latest run of failed calls was sent.
 func (c *Contact) FirstFailedCallAt() micros.Time { return c.firstFailedCallAt }
 
-// RepliesLost tells whether so many replies in a row were not received that heartbeats reach
-// the leader, but its replies do not reach the machine.
+// RepliesLost reports whether enough consecutive replies were lost to conclude that the machine's
+// heartbeats reach the leader but the leader's replies do not reach the machine.
 func (c *Contact) RepliesLost() bool { return c.unacknowledgedReplies > maxUnacknowledgedReplies }
 
-// Reached notes that the machine was shown to receive the leader's messages.
+// Reached records evidence that the machine receives the leader's messages.
 func (c *Contact) Reached(now micros.Time) {
 	c.lastContact, c.unacknowledgedReplies, c.failedCalls = now, 0, 0
 }
 
-// AdvanceLastContact takes the machine as reached at some time, if it was not reached since:
-// silence before that was the leader's own.
-func (c *Contact) AdvanceLastContact(before micros.Time) { c.lastContact = max(c.lastContact, before) }
+// AdvanceLastContact moves the last contact forward to the given time if it is older. It is used when
+// the leader itself was not running, so that the machine is not blamed for the gap.
+func (c *Contact) AdvanceLastContact(to micros.Time) { c.lastContact = max(c.lastContact, to) }
 
-// Replied notes a reply to a heartbeat, which renews the agent lease if it arrives.
+// Replied records a reply to a heartbeat; it renews the agent lease if it arrives.
 func (c *Contact) Replied(now micros.Time) { c.lastRenewal, c.lastReply = now, now }
 
-// ObserveNextHeartbeat notes what a newer heartbeat says of the reply to the one before, and
-// tells whether it shows that the reply was received. A heartbeat proves nothing about the way
-// back: a machine that sends heartbeats but cannot be answered must neither count as sound nor
-// have its lease renewed by replies that never arrive.
+// ObserveNextHeartbeat uses a newer heartbeat to determine what became of the reply to the previous
+// one, and reports whether that reply is known to have been received. The arrival of a heartbeat
+// does not prove that replies get through: a machine that sends heartbeats but cannot be answered
+// must not be considered healthy, nor its lease renewed by replies that never arrive.
 //
-// exchangeBroken says that the heartbeat shows the reply as lost: it does not carry a fencing
-// token of this lease, or the agent's epoch ended.
+// exchangeBroken indicates that the heartbeat shows the reply to be lost: either it does not carry
+// a fencing token of this leadership lease, or the agent's epoch ended.
 func (c *Contact) ObserveNextHeartbeat(exchangeBroken bool, now micros.Time) (received bool) {
 	if c.lastReply == 0 {
 		return false
@@ -83,8 +81,8 @@
 	case exchangeBroken:
 		c.unacknowledgedReplies++
 	case now-c.lastReply < ReplyTimeout-replyTimeoutMargin:
-		// The agent keeps its interval and stays with this leader: it had the reply. One
-		// that got none would have waited for it, and come later.
+		// The agent keeps its heartbeat interval and stays with this leader, so it received the
+		// reply. Otherwise it would have waited for the reply and sent this heartbeat later.
 		c.Reached(now)
 		received = true
 	}
@@ -92,7 +90,7 @@
 	return received
 }
 
-// CallFailed notes that a call got no reply.
+// CallFailed records a call that got no reply.
 func (c *Contact) CallFailed(sentAt micros.Time) {
 	c.failedCalls++
 	if c.failedCalls == 1 {
@@ -100,7 +98,7 @@
 	}
 }
 
-// Probed notes that the machine is asked for its heartbeat.
+// Probed records that a probe, which asks the machine for a heartbeat, is being sent.
 func (c *Contact) Probed(now micros.Time) { c.lastProbe = now }
 
 // CallBackoff returns how long to wait after a failed call before the next one.
@@ -108,5 +106,5 @@
 	return firstCallBackoff << min(c.failedCalls-1, maxCallBackoffDoublings)
 }
 
-// AllowProbe lets the machine be asked again at once.
+// AllowProbe lets the machine be probed again immediately.
 func (c *Contact) AllowProbe() { c.lastProbe = 0 }
