--- a/internal/coordination/agents/runtime_ratio.go
+++ b/internal/coordination/agents/runtime_ratio.go
@@ -1,46 +1,46 @@
 package agents
 
 const (
-	// minRuntimeSamples is how many tasks must have completed before a machine is judged.
+	// minRuntimeSamples is the number of completed tasks required before a machine can be
+	// classified as slow.
 	minRuntimeSamples = 3
-	// maxSlowness is how much slower than its peers a machine may be: sound ones of a type
-	// differ by a tenth, estimates by more.
+	// maxSlowness is the slowdown relative to its peers beyond which a machine is classified as
+	// slow. Healthy machines of one type differ by about 10%, runtime estimates by more.
 	maxSlowness = 2.5
-	// soundSlowness is how much slower sound machines may be by chance.
-	soundSlowness = 1.3
-	// maxRatio bounds what one task counts: one that was stuck says little of the next.
-	maxRatio = 20
-	// priorSamples is how many tasks as fast as elsewhere a new machine is taken to have run,
-	// so that its first task does not decide alone.
+	// healthySlowness is the slowdown that healthy machines may show by chance.
+	healthySlowness = 1.3
+	// maxSampleRatio caps the ratio of a single task: one that hung says little about the next.
+	maxSampleRatio = 20
+	// priorSamples is the number of samples with a ratio of 1 that every machine starts with, so
+	// that its first task alone does not determine the mean.
 	priorSamples = 2
 )
 
-// RuntimeRatio compares the run times of a machine's completed tasks with those of the other
-// tasks of their jobs.
+// RuntimeRatio compares the run times of the tasks completed on a machine with those of the other
+// tasks of the same jobs.
 type RuntimeRatio struct {
 	total   float64
 	samples int
 }
 
-// Observe notes by which factor a completed task took longer than those of its job did on
-// average.
+// Observe adds a completed task: ratio is its run time divided by the mean run time of its job's
+// tasks.
 func (r *RuntimeRatio) Observe(ratio float64) {
-	r.total += min(maxRatio, ratio)
+	r.total += min(maxSampleRatio, ratio)
 	r.samples++
 }
 
-// Slowness returns by which factor the machine is slower than others; what lies within the
-// spread of sound machines counts as none.
+// Slowness returns the slowdown of the machine relative to others, or 1 if it is within the normal
+// variation between healthy machines.
 func (r *RuntimeRatio) Slowness() float64 {
 	mean := (priorSamples + r.total) / float64(priorSamples+r.samples)
-	if mean > soundSlowness {
+	if mean > healthySlowness {
 		return mean
 	}
 	return 1
 }
 
-// IsSlow tells whether so many tasks took so much longer than elsewhere that the machine is to
-// be replaced.
+// IsSlow reports whether enough tasks were slow enough that the machine should be replaced.
 func (r *RuntimeRatio) IsSlow() bool {
 	return r.samples >= minRuntimeSamples && r.Slowness() > maxSlowness
 }
