--- a/internal/coordination/agents/heartbeat_state.go
+++ b/internal/coordination/agents/heartbeat_state.go
@@ -5,131 +5,132 @@
 	"pipitlatch/internal/micros"
 )
 
-// HeartbeatState is what an agent's heartbeats showed: which of its epochs is running, how far its
-// heartbeats came, and which fencing token it obeys. The zero value is an agent that has not
-// been heard from.
+// HeartbeatState is the state of an agent as derived from its heartbeats: its current epoch, the
+// position of its newest heartbeat, and the fencing token it accepts. The zero value is an agent
+// that has not sent a heartbeat yet.
 //
-// Heartbeats arrive out of order, twice, or minutes late. Epoch and sequence order them; the
-// fencing token, which an agent never forgets while it runs, shows an agent that began anew
-// under its old name.
+// Heartbeats may be reordered, duplicated, or delayed by minutes. They are ordered by epoch and
+// sequence. The fencing token, which an agent keeps for as long as it runs, reveals an agent that
+// was restarted under the same name.
 type HeartbeatState struct {
 	position Position
-	// bootedAt is when the first epoch was heard of; nothing can have reached the agent before.
+	// bootedAt is when the first epoch was observed; no message can have reached the agent earlier.
 	bootedAt        micros.Time
-	lastHeartbeatAt micros.Time // when the newest heartbeat or call reply came
+	lastHeartbeatAt micros.Time // arrival of the newest heartbeat or call reply
 	ackedToken      uint64      // fencing token of the newest heartbeat
 	highestToken    uint64      // highest fencing token of any heartbeat
 
-	// A heartbeat up to settledSequence surely does not wait for a reply any more.
-	// nextSettledSequence takes its place once it has been known for ReplyTimeout.
-	settledSequence     uint64
-	nextSettledSequence uint64
-	settledSequenceAt   micros.Time
+	// Heartbeats up to timedOutSequence are certain to have timed out waiting for a reply.
+	// nextTimedOutSequence replaces it once it has been known for longer than ReplyTimeout.
+	timedOutSequence     uint64
+	nextTimedOutSequence uint64
+	timedOutSequenceAt   micros.Time
 
-	reconciled   bool // its tasks are known, or it surely has none
+	reconciled   bool // its tasks are known, or it is certain to have none
 	leaseExpired bool // the agent lease expired or its epoch ended: no tasks until the next epoch
 }
 
-// Position is the place of a heartbeat in the order of an agent's heartbeats.
+// Position identifies a heartbeat in the total order of an agent's heartbeats.
 type Position struct {
 	Epoch    uint64 // 0: before the first heartbeat
 	Sequence uint64
 }
 
-// Before tells whether a heartbeat was sent after the one at this position.
+// Before reports whether the position precedes that of a heartbeat.
 func (p Position) Before(h *messages.Heartbeat) bool {
 	return h.AgentEpoch > p.Epoch || (h.AgentEpoch == p.Epoch && h.Sequence > p.Sequence)
 }
 
 // Position returns the position of the newest heartbeat.
-func (p *HeartbeatState) Position() Position { return p.position }
+func (s *HeartbeatState) Position() Position { return s.position }
 
-// Epoch returns the agent epoch that is running, 0 if the agent has not been heard from.
-func (p *HeartbeatState) Epoch() uint64 { return p.position.Epoch }
+// Epoch returns the current agent epoch, or 0 if the agent has not sent a heartbeat yet.
+func (s *HeartbeatState) Epoch() uint64 { return s.position.Epoch }
 
-// HasHeartbeat tells whether any heartbeat of the agent came.
-func (p *HeartbeatState) HasHeartbeat() bool { return p.position.Epoch != 0 }
+// HasHeartbeat reports whether any heartbeat of the agent has been received.
+func (s *HeartbeatState) HasHeartbeat() bool { return s.position.Epoch != 0 }
 
-// BootedWithin tells whether the first heartbeat of the agent came less than a while ago.
-func (p *HeartbeatState) BootedWithin(while, now micros.Time) bool {
-	return p.bootedAt != 0 && now-p.bootedAt < while
+// BootedWithin reports whether the agent's first heartbeat arrived less than the given duration ago.
+func (s *HeartbeatState) BootedWithin(duration, now micros.Time) bool {
+	return s.bootedAt != 0 && now-s.bootedAt < duration
 }
 
-// Acknowledged tells whether the newest heartbeat carried this fencing token: commands under
-// it are obeyed, and those under any lower token no more.
-func (p *HeartbeatState) Acknowledged(token uint64) bool { return p.ackedToken == token }
+// Acknowledged reports whether the newest heartbeat carried this fencing token: the agent accepts
+// commands with this token and rejects those with a lower one.
+func (s *HeartbeatState) Acknowledged(token uint64) bool { return s.ackedToken == token }
 
-// Reconciled tells whether the agent's tasks are known, or it surely has none.
-func (p *HeartbeatState) Reconciled() bool { return p.reconciled }
+// Reconciled reports whether the agent's tasks are known, or it is certain to have none.
+func (s *HeartbeatState) Reconciled() bool { return s.reconciled }
 
-// LeaseExpired tells whether the agent lease expired, so that the agent has no tasks until its
-// next epoch.
-func (p *HeartbeatState) LeaseExpired() bool { return p.leaseExpired }
+// LeaseExpired reports whether the agent lease expired, in which case the agent has no tasks until
+// its next epoch.
+func (s *HeartbeatState) LeaseExpired() bool { return s.leaseExpired }
 
-// Usable tells whether the agent's tasks are known and it obeys commands under this token.
-func (p *HeartbeatState) Usable(token uint64) bool {
-	return p.reconciled && !p.leaseExpired && p.ackedToken == token && p.HasHeartbeat()
+// Usable reports whether the agent's tasks are known and it accepts commands with this token.
+func (s *HeartbeatState) Usable(token uint64) bool {
+	return s.reconciled && !s.leaseExpired && s.ackedToken == token && s.HasHeartbeat()
 }
 
-// IsNewer tells whether a heartbeat is newer than all that is known of the agent.
-func (p *HeartbeatState) IsNewer(h *messages.Heartbeat) bool { return p.position.Before(h) }
+// IsNewer reports whether a heartbeat is newer than all those observed so far.
+func (s *HeartbeatState) IsNewer(h *messages.Heartbeat) bool { return s.position.Before(h) }
 
-// IsStaleCopy tells whether a heartbeat must not be answered: it is a late copy of one that no
-// longer waits for its reply, or comes from an agent that began anew. A reply to it would
-// reach nobody, and must neither count nor renew a lease. A copy of the newest heartbeat that
-// may still wait is answered again: the first reply may have been lost.
-func (p *HeartbeatState) IsStaleCopy(h *messages.Heartbeat, now micros.Time) bool {
-	if p.IsNewer(h) {
+// IsStaleCopy reports whether a heartbeat must not be answered because it is a late duplicate whose
+// sender has stopped waiting for the reply, or because it comes from a restarted agent. A reply would
+// not be received, and must not be counted or taken as a renewal of the lease. A duplicate whose
+// sender may still be waiting is answered again: the first reply may have been lost.
+func (s *HeartbeatState) IsStaleCopy(h *messages.Heartbeat, now micros.Time) bool {
+	if s.IsNewer(h) {
 		return false
 	}
-	return h.AgentEpoch < p.position.Epoch ||
-		h.Sequence <= p.settledSequence ||
-		now-p.lastHeartbeatAt > ReplyTimeout ||
-		h.FencingToken < p.highestToken
+	return h.AgentEpoch < s.position.Epoch ||
+		h.Sequence <= s.timedOutSequence ||
+		now-s.lastHeartbeatAt > ReplyTimeout ||
+		h.FencingToken < s.highestToken
 }
 
-// ShowsRestart tells whether a heartbeat is of an agent that began anew within its epoch: an
-// agent never forgets a token, and this one is lower than one that it had. Tokens from before
-// leadership was acquired don't count: heartbeats under these may have been reordered.
-func (p *HeartbeatState) ShowsRestart(h *messages.Heartbeat, acquiredToken uint64) bool {
-	return h.AgentEpoch == p.position.Epoch &&
-		h.FencingToken < p.highestToken &&
-		p.highestToken >= acquiredToken
+// ShowsRestart reports whether a heartbeat shows that the agent was restarted within its epoch. A
+// running agent never returns to a lower fencing token, so a heartbeat with a lower one than before
+// comes from a new agent process. This does not apply if the highest token seen predates this
+// leader's acquisition of the lease, as heartbeats from that time may have been reordered.
+func (s *HeartbeatState) ShowsRestart(h *messages.Heartbeat, acquiredToken uint64) bool {
+	return h.AgentEpoch == s.position.Epoch &&
+		h.FencingToken < s.highestToken &&
+		s.highestToken >= acquiredToken
 }
 
-// BeginEpoch notes that a new epoch began: the agent's lease ended, and it killed and forgot
-// all tasks of the epoch before. That does not make it reconciled: a former leader may have
-// started others since.
-func (p *HeartbeatState) BeginEpoch(epoch uint64, now micros.Time) {
-	if p.HasHeartbeat() {
-		p.ackedToken = 0
+// BeginEpoch records the start of a new epoch: the agent's lease ended, and the agent killed and
+// discarded all tasks of the previous epoch. This does not make the agent reconciled, as a former
+// leader may have started other tasks since.
+func (s *HeartbeatState) BeginEpoch(epoch uint64, now micros.Time) {
+	if s.HasHeartbeat() {
+		s.ackedToken = 0
 	} else {
-		p.bootedAt = now
+		s.bootedAt = now
 	}
-	p.position.Epoch = epoch
-	p.settledSequence, p.nextSettledSequence, p.settledSequenceAt = 0, 0, now
-	p.leaseExpired = false
+	s.position.Epoch = epoch
+	s.timedOutSequence, s.nextTimedOutSequence, s.timedOutSequenceAt = 0, 0, now
+	s.leaseExpired = false
 }
 
-// Observe notes a heartbeat of the running epoch that is newer than all before.
-func (p *HeartbeatState) Observe(h *messages.Heartbeat, now micros.Time) {
-	if now-p.settledSequenceAt > ReplyTimeout {
-		p.settledSequence, p.nextSettledSequence, p.settledSequenceAt = p.nextSettledSequence, h.Sequence, now
+// Observe records a heartbeat of the current epoch that is newer than all previous ones.
+func (s *HeartbeatState) Observe(h *messages.Heartbeat, now micros.Time) {
+	if now-s.timedOutSequenceAt > ReplyTimeout {
+		s.timedOutSequence, s.nextTimedOutSequence, s.timedOutSequenceAt = s.nextTimedOutSequence, h.Sequence, now
 	}
-	p.position.Sequence, p.lastHeartbeatAt = h.Sequence, now
-	p.highestToken = max(p.highestToken, h.FencingToken)
+	s.position.Sequence, s.lastHeartbeatAt = h.Sequence, now
+	s.highestToken = max(s.highestToken, h.FencingToken)
 }
 
-// Acknowledge notes the fencing token of the newest heartbeat.
-func (p *HeartbeatState) Acknowledge(token uint64) { p.ackedToken = token }
+// Acknowledge records the fencing token of the newest heartbeat.
+func (s *HeartbeatState) Acknowledge(token uint64) { s.ackedToken = token }
 
-// Reconcile notes that the agent's tasks are known.
-func (p *HeartbeatState) Reconcile() { p.reconciled = true }
+// Reconcile records that the agent's tasks are known.
+func (s *HeartbeatState) Reconcile() { s.reconciled = true }
 
-// ExpireLease notes that nobody can have renewed the agent lease any more: the agent has ended
-// all its tasks, and obeys no command before its next heartbeat.
-func (p *HeartbeatState) ExpireLease() {
-	p.reconciled = true
-	p.ackedToken = 0
-	p.leaseExpired = true
+// ExpireLease records that the agent lease expired and cannot have been renewed by anybody: the agent
+// has ended all its tasks, and accepts no commands before its next heartbeat.
+func (s *HeartbeatState) ExpireLease() {
+	s.reconciled = true
+	s.ackedToken = 0
+	s.leaseExpired = true
 }
