--- a/internal/coordination/agents/commands_test.go
+++ b/internal/coordination/agents/commands_test.go
@@ -8,13 +8,13 @@
 	"pipitlatch/internal/micros"
 )
 
-// start is the command to start attempt n of a job's only task.
+// start returns the command to start attempt n of a job's only task.
 func start(n uint64) messages.Command {
 	return messages.Command{Operation: messages.Start, AttemptID: messages.AttemptID{Job: "j", Number: n}}
 }
 
-// queued is a queue with the starts of some attempts.
-func queued(attempts ...uint64) *CommandQueue {
+// newQueue returns a queue with start commands for the given attempts.
+func newQueue(attempts ...uint64) *CommandQueue {
 	q := &CommandQueue{}
 	for _, n := range attempts {
 		q.Add(start(n))
@@ -22,8 +22,8 @@
 	return q
 }
 
-// numbers are the attempts of some commands, in their order.
-func numbers(commands []messages.Command) []uint64 {
+// attemptNumbers returns the attempt numbers of commands in order.
+func attemptNumbers(commands []messages.Command) []uint64 {
 	var out []uint64
 	for _, c := range commands {
 		out = append(out, c.Number)
@@ -34,7 +34,7 @@
 func TestCommandQueueOrder(t *testing.T) {
 	tests := []struct {
 		name  string
-		play  func(*CommandQueue)
+		setup func(*CommandQueue)
 		limit int
 		want  []uint64
 		rest  []uint64
@@ -45,7 +45,7 @@
 			q.Retry([]messages.Command{start(8), start(9)})
 		}, 3, []uint64{8, 9, 1}, []uint64{2, 3}},
 		{"nothing to retry", func(q *CommandQueue) { q.Retry(nil) }, 1, []uint64{1}, []uint64{2, 3}},
-		{"withdrawn attempt", func(q *CommandQueue) {
+		{"removed attempt", func(q *CommandQueue) {
 			q.Add(messages.Command{Operation: messages.Stop, AttemptID: start(2).AttemptID})
 			q.RemoveAttempt(start(2).AttemptID)
 		}, 9, []uint64{1, 3}, nil},
@@ -53,48 +53,48 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			q := queued(1, 2, 3)
-			test.play(q)
-			if got := numbers(q.TakeBatch(test.limit)); !slices.Equal(got, test.want) {
+			q := newQueue(1, 2, 3)
+			test.setup(q)
+			if got := attemptNumbers(q.TakeBatch(test.limit)); !slices.Equal(got, test.want) {
 				t.Errorf("first batch %v, want %v", got, test.want)
 			}
-			if got := numbers(q.TakeBatch(9)); !slices.Equal(got, test.rest) {
+			if got := attemptNumbers(q.TakeBatch(9)); !slices.Equal(got, test.rest) {
 				t.Errorf("rest %v, want %v", got, test.rest)
 			}
 			if !q.Empty() {
-				t.Error("queue is not empty in the end")
+				t.Error("queue is not empty after all commands were taken")
 			}
 		})
 	}
 }
 
-func TestTakeBatchIsACopy(t *testing.T) {
-	q := queued(1, 2)
+func TestTakeBatchReturnsCopy(t *testing.T) {
+	q := newQueue(1, 2)
 	batch := q.TakeBatch(2)
 	q.Add(start(3))
-	if got := numbers(batch); !slices.Equal(got, []uint64{1, 2}) {
-		t.Errorf("a command added later changed a batch in flight: %v", got)
+	if got := attemptNumbers(batch); !slices.Equal(got, []uint64{1, 2}) {
+		t.Errorf("adding a command changed a batch already taken: %v", got)
 	}
 }
 
 func TestReady(t *testing.T) {
 	tests := []struct {
-		name string
-		play func(*CommandQueue)
-		want bool
+		name  string
+		setup func(*CommandQueue)
+		want  bool
 	}{
-		{"commands wait", func(*CommandQueue) {}, true},
-		{"nothing waits", func(q *CommandQueue) { q.Clear() }, false},
+		{"commands queued", func(*CommandQueue) {}, true},
+		{"empty queue", func(q *CommandQueue) { q.Clear() }, false},
 		{"call in flight", func(q *CommandQueue) { q.CallStarted() }, false},
 		{"call ended", func(q *CommandQueue) { q.CallStarted(); q.CallEnded() }, true},
 		{"delayed", func(q *CommandQueue) { q.DelayUntil(10*micros.Second + 1) }, false},
-		{"delay is over", func(q *CommandQueue) { q.DelayUntil(10 * micros.Second) }, true},
-		{"delay was ended", func(q *CommandQueue) { q.DelayUntil(20 * micros.Second); q.EndDelay() }, true},
+		{"delay has passed", func(q *CommandQueue) { q.DelayUntil(10 * micros.Second) }, true},
+		{"delay was cancelled", func(q *CommandQueue) { q.DelayUntil(20 * micros.Second); q.EndDelay() }, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			q := queued(1)
-			test.play(q)
+			q := newQueue(1)
+			test.setup(q)
 			if got := q.Ready(10 * micros.Second); got != test.want {
 				t.Errorf("Ready = %v, want %v", got, test.want)
 			}
@@ -103,25 +103,25 @@
 }
 
 func TestContainsFunc(t *testing.T) {
-	q := queued(1)
+	q := newQueue(1)
 	isStop := func(c messages.Command) bool { return c.Operation == messages.Stop }
 	if q.ContainsFunc(isStop) {
-		t.Error("a stop is found in a queue of starts")
+		t.Error("found a stop command in a queue of start commands")
 	}
 	q.Add(messages.Command{Operation: messages.Stop})
 	if !q.ContainsFunc(isStop) {
-		t.Error("a stop that waits is not found")
+		t.Error("queued stop command not found")
 	}
 }
 
-func TestUnansweredStartsStay(t *testing.T) {
-	q := queued(1)
+func TestClearKeepsUnansweredStarts(t *testing.T) {
+	q := newQueue(1)
 	if q.HasUnansweredStarts() {
-		t.Error("a start that waits counts as unanswered")
+		t.Error("a queued start command counts as unanswered")
 	}
 	q.StartUnanswered()
 	q.Clear()
 	if !q.HasUnansweredStarts() {
-		t.Error("a start without a reply is forgotten: it may still be carried out")
+		t.Error("Clear reset HasUnansweredStarts, although the agent may still execute the start command")
 	}
 }
