--- a/internal/coordination/agents/contact_test.go
+++ b/internal/coordination/agents/contact_test.go
@@ -16,10 +16,10 @@
 		wantReceived    bool
 		wantLastContact micros.Time
 	}{
-		{"next heartbeat in time shows the reply as received", true, false, 2 * micros.Second, true, 22 * micros.Second},
-		{"just in time", true, false, 3500*micros.Millisecond - 1, true, 23500*micros.Millisecond - 1},
-		{"so late that the agent may have waited for the reply", true, false, 3500 * micros.Millisecond, false, 0},
-		{"broken exchange shows nothing, however soon", true, true, micros.Second, false, 0},
+		{"next heartbeat in time shows that the reply was received", true, false, 2 * micros.Second, true, 22 * micros.Second},
+		{"latest heartbeat that shows receipt", true, false, 3500*micros.Millisecond - 1, true, 23500*micros.Millisecond - 1},
+		{"late enough that the agent may have waited for the reply", true, false, 3500 * micros.Millisecond, false, 0},
+		{"broken exchange shows no receipt, however soon", true, true, micros.Second, false, 0},
 		{"no reply to acknowledge", false, false, 2 * micros.Second, false, 0},
 	}
 	for _, test := range tests {
@@ -34,14 +34,14 @@
 					received, contact.LastContact(), test.wantReceived, test.wantLastContact)
 			}
 			if contact.ObserveNextHeartbeat(false, repliedAt+test.after) {
-				t.Error("one reply is acknowledged by two heartbeats")
+				t.Error("two heartbeats acknowledge the same reply")
 			}
 		})
 	}
 }
 
-// lostReplies plays replies in a row that the next heartbeat shows as lost.
-func lostReplies(contact *Contact, n int) {
+// loseReplies simulates n consecutive replies that the next heartbeat shows to be lost.
+func loseReplies(contact *Contact, n int) {
 	for range n {
 		contact.Replied(micros.Second)
 		contact.ObserveNextHeartbeat(true, 2*micros.Second)
@@ -50,29 +50,29 @@
 
 func TestRepliesLost(t *testing.T) {
 	tests := []struct {
-		name string
-		play func(*Contact)
-		want bool
+		name  string
+		setup func(*Contact)
+		want  bool
 	}{
-		{"as many as may be lost by chance", func(c *Contact) { lostReplies(c, 2) }, false},
-		{"one more", func(c *Contact) { lostReplies(c, 3) }, true},
+		{"as many as are tolerated", func(c *Contact) { loseReplies(c, 2) }, false},
+		{"one more", func(c *Contact) { loseReplies(c, 3) }, true},
 		{"a received reply in between", func(c *Contact) {
-			lostReplies(c, 2)
+			loseReplies(c, 2)
 			c.Replied(micros.Second)
 			c.ObserveNextHeartbeat(false, 2*micros.Second)
-			lostReplies(c, 1)
+			loseReplies(c, 1)
 		}, false},
-		{"a late heartbeat in between counts neither way", func(c *Contact) {
-			lostReplies(c, 2)
+		{"a late heartbeat in between neither adds nor resets", func(c *Contact) {
+			loseReplies(c, 2)
 			c.Replied(micros.Second)
 			c.ObserveNextHeartbeat(false, 9*micros.Second)
-			lostReplies(c, 1)
+			loseReplies(c, 1)
 		}, true},
-		{"an answered call ends it", func(c *Contact) {
-			lostReplies(c, 3)
+		{"an answered call resets it", func(c *Contact) {
+			loseReplies(c, 3)
 			c.Reached(3 * micros.Second)
 		}, false},
-		{"heartbeats without replies lose none", func(c *Contact) {
+		{"heartbeats that were not replied to do not count", func(c *Contact) {
 			for range 5 {
 				c.ObserveNextHeartbeat(true, 2*micros.Second)
 			}
@@ -81,7 +81,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var contact Contact
-			test.play(&contact)
+			test.setup(&contact)
 			if got := contact.RepliesLost(); got != test.want {
 				t.Errorf("RepliesLost = %v, want %v", got, test.want)
 			}
@@ -89,12 +89,12 @@
 	}
 }
 
-func TestRepliedRenews(t *testing.T) {
+func TestLostReplyCountsAsRenewal(t *testing.T) {
 	var contact Contact
 	contact.Replied(7 * micros.Second)
 	contact.ObserveNextHeartbeat(true, 8*micros.Second)
 	if got := contact.LastRenewal(); got != 7*micros.Second {
-		t.Errorf("last renewal at %d: even a reply that seems lost may have renewed the lease at 7 s", got)
+		t.Errorf("last renewal at %d, want 7 s: even a reply that appears lost may have renewed the lease", got)
 	}
 }
 
@@ -108,7 +108,7 @@
 		}
 	}
 	if contact.FailedCalls() != len(wantBackoff) || contact.FirstFailedCallAt() != micros.Second {
-		t.Errorf("%d failed calls, the first at %d", contact.FailedCalls(), contact.FirstFailedCallAt())
+		t.Errorf("%d failed calls, first at %d", contact.FailedCalls(), contact.FirstFailedCallAt())
 	}
 	contact.Reached(10 * micros.Second)
 	if contact.FailedCalls() != 0 || contact.LastContact() != 10*micros.Second {
@@ -116,15 +116,15 @@
 	}
 	contact.CallFailed(11 * micros.Second)
 	if contact.FirstFailedCallAt() != 11*micros.Second {
-		t.Errorf("first failed call of the new row at %d, want 11 s", contact.FirstFailedCallAt())
+		t.Errorf("first failed call of the new run at %d, want 11 s", contact.FirstFailedCallAt())
 	}
 }
 
-func TestDiscountSilence(t *testing.T) {
+func TestAdvanceLastContact(t *testing.T) {
 	contact := NewContact(5 * micros.Second)
 	contact.AdvanceLastContact(3 * micros.Second)
 	if contact.LastContact() != 5*micros.Second {
-		t.Errorf("last contact went back to %d", contact.LastContact())
+		t.Errorf("last contact moved back to %d, want 5 s", contact.LastContact())
 	}
 	contact.AdvanceLastContact(8 * micros.Second)
 	if contact.LastContact() != 8*micros.Second {
@@ -140,6 +140,6 @@
 	}
 	contact.AllowProbe()
 	if contact.LastProbe() != 0 {
-		t.Errorf("last probe at %d, want none", contact.LastProbe())
+		t.Errorf("last probe at %d, want 0", contact.LastProbe())
 	}
 }
