--- a/internal/coordination/agents/images_test.go
+++ b/internal/coordination/agents/images_test.go
@@ -5,16 +5,16 @@
 func TestImageCache(t *testing.T) {
 	tests := []struct {
 		name       string
-		use        []string // each of 2 GB
+		use        []string // images of 2 GB each, in order of use
 		capacityGB float64
-		want       string // of images a to d, those that stay
+		want       string // the images that remain cached
 	}{
 		{"all fit", []string{"a", "b", "c"}, 6, "abc"},
 		{"least recently used is evicted", []string{"a", "b", "c"}, 5, "bc"},
-		{"using one again keeps it", []string{"a", "b", "a", "c"}, 5, "ac"},
-		{"one image counts once", []string{"a", "a", "b", "b"}, 4, "ab"},
+		{"repeated use protects from eviction", []string{"a", "b", "a", "c"}, 5, "ac"},
+		{"each image counts once", []string{"a", "a", "b", "b"}, 4, "ab"},
 		{"several are evicted", []string{"a", "b", "c", "d"}, 2, "d"},
-		{"last one stays, however large", []string{"a", "b"}, 1, "b"},
+		{"most recent one stays, even if it exceeds the capacity", []string{"a", "b"}, 1, "b"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
