--- a/internal/coordination/agents/contact_test.go
+++ b/internal/coordination/agents/contact_test.go
@@ -16,7 +16,7 @@
 		wantReceived    bool
 		wantLastContact micros.Time
 	}{
-		{"next heartbeat in time shows that the reply was received", true, false, 2 * micros.Second, true, 22 * micros.Second},
+		{"next heartbeat in time shows receipt", true, false, 2 * micros.Second, true, 22 * micros.Second},
 		{"latest heartbeat that shows receipt", true, false, 3500*micros.Millisecond - 1, true, 23500*micros.Millisecond - 1},
 		{"late enough that the agent may have waited for the reply", true, false, 3500 * micros.Millisecond, false, 0},
 		{"broken exchange shows no receipt, however soon", true, true, micros.Second, false, 0},
