--- a/internal/coordination/failuredetector/detector.go
+++ b/internal/coordination/failuredetector/detector.go
@@ -1,78 +1,80 @@
-// Package failuredetector judges from missed contacts whether machines of a partition have failed,
-// or whether the network near this controller is at fault. It only gives verdicts: what follows from
-// them, such as draining a machine, is decided by the partition leader.
+// Package failuredetector determines from missing contact whether machines of a partition have
+// failed or the network near this controller is at fault. It only provides verdicts: the partition
+// leader decides how to act on them, for example by draining a machine.
 //
-// Every method takes the time of the current step; the package has no clock of its own.
+// Methods that depend on the time take that of the current step; the package has no clock of its own.
 package failuredetector
 
 import "pipitlatch/internal/micros"
 
-// Machine is what the detector sees of one machine.
+// Machine is the detector's view of one machine.
 type Machine struct {
 	Zone         string
 	Spot         bool
-	InUse        bool        // its agent was heard from, or its record says that it may have tasks
-	MayHaveTasks bool        // by its record
+	InUse        bool        // its agent has sent a heartbeat, or MayHaveTasks is set
+	MayHaveTasks bool        // according to its stored record
 	Reconciled   bool        // its tasks are known
-	LastContact  micros.Time // when something last showed that our messages reach it
+	LastContact  micros.Time // last evidence that this controller's messages reach it
 	RenewedAt    micros.Time // when its agent lease was last renewed, or could first have been
 }
 
-// PeerVerdict is what this controller's peers found out about a zone that it does not hear.
+// PeerVerdict is what this controller's peers report about a zone that it cannot reach.
 type PeerVerdict struct {
-	Pending int  // peers that are heard, and have not told a result of their own probe yet
-	Reached bool // some peer reaches most of the machines that it probed
+	Pending int  // reachable peers that have not reported the result of their own probe yet
+	Reached bool // at least one peer reached most of the machines that it probed
 }
 
-// FleetView is what the detector may ask of the partition leader.
+// FleetView gives the detector access to the partition leader's view of machines and peers.
 type FleetView interface {
 	// Machines yields all machines of the partition.
 	Machines(yield func(Machine) bool)
-	// PeerVerdict is what the peers found out about a zone.
+	// PeerVerdict returns what the peers report about a zone.
 	PeerVerdict(zone string) PeerVerdict
 }
 
-// Timeouts are the settings that the verdicts depend on.
+// Timeouts holds the settings that the verdicts depend on.
 type Timeouts struct {
 	Suspicion        micros.Time // how long a machine may go without contact before it is suspected
 	AgentLease       micros.Time
-	AgentLeaseExpiry micros.Time // how long after its last renewal an agent lease surely has expired
+	AgentLeaseExpiry micros.Time // how long after its last renewal an agent lease is certain to have expired
 }
 
 // Detector is the failure detector of one partition leader.
 type Detector struct {
 	timeouts Timeouts
-	observer FleetView
+	fleet    FleetView
 
-	// silenceCountsFrom is when this process could first hear, or could hear again after it did
-	// not run: silence before that was its own.
-	silenceCountsFrom micros.Time
-	// networkSuspectUntil: until then silence is put down to the network near this controller.
-	networkSuspectUntil micros.Time
+	// observingSince is when this process started receiving messages, or resumed after a pause.
+	// Earlier silence is its own and does not count against machines.
+	observingSince micros.Time
+	// networkSuspectedUntil is the time until which silence is attributed to the network near this
+	// controller.
+	networkSuspectedUntil micros.Time
 
-	health         *fleetHealth     // of the last tick that needed it
-	zones          map[string]*zone // of machines in use
+	health         *fleetHealth     // cached from the last tick that needed it
+	zones          map[string]*zone // zones that have, or had, machines in use
 	zonesCheckedAt micros.Time
 }
 
-// New returns a detector that counts silence from now on.
-func New(timeouts Timeouts, observer FleetView, now micros.Time) *Detector {
+// New returns a detector that counts silence starting now.
+func New(timeouts Timeouts, fleet FleetView, now micros.Time) *Detector {
 	return &Detector{
-		timeouts:          timeouts,
-		observer:          observer,
-		silenceCountsFrom: now,
-		zones:             map[string]*zone{},
+		timeouts:       timeouts,
+		fleet:          fleet,
+		observingSince: now,
+		zones:          map[string]*zone{},
 	}
 }
 
-// AgentLeaseExpiry is how long after the last possible renewal an agent lease has surely expired.
+// AgentLeaseExpiry returns how long after its last possible renewal an agent lease is certain to have
+// expired.
 func (d *Detector) AgentLeaseExpiry() micros.Time { return d.timeouts.AgentLeaseExpiry }
 
-// SuspicionTimeout is how long a machine may go without contact before it is suspected.
+// SuspicionTimeout returns how long a machine may go without contact before it is suspected.
 func (d *Detector) SuspicionTimeout() micros.Time { return d.timeouts.Suspicion }
 
-// ProbeAfter is how long a machine may go without contact before it is probed: one with service
-// replicas earlier, since these are missed from the moment that the machine fails.
+// ProbeAfter returns how long a machine may go without contact before it is probed. A machine with
+// service replicas is probed earlier, since their users are affected as soon as the machine fails.
 func (d *Detector) ProbeAfter(hasReplicas bool) micros.Time {
 	after := d.timeouts.Suspicion * 2 / 3
 	if hasReplicas {
@@ -81,24 +83,26 @@
 	return after
 }
 
-// ResetSilence notes that this process did not run for a while: that nothing was heard until now was
-// its own fault.
-func (d *Detector) ResetSilence(now micros.Time) { d.silenceCountsFrom = now }
+// ResetSilence restarts the measurement of silence after a period in which this process did not run
+// and could not receive messages.
+func (d *Detector) ResetSilence(now micros.Time) { d.observingSince = now }
 
-// Silence is for how long nothing has shown that our messages reach a machine with this last contact,
-// while this process could have noticed: heartbeats alone do not show it.
+// Silence returns how long there has been no evidence that this controller's messages reach a machine
+// with this last contact, not counting time in which this process could not have received any.
+// Heartbeats alone are no such evidence.
 func (d *Detector) Silence(now, lastContact micros.Time) micros.Time {
-	return now - max(lastContact, d.silenceCountsFrom)
+	return now - max(lastContact, d.observingSince)
 }
 
-// SinceRenewal is for how long an agent lease that was last renewed at a time has not been renewed
-// while this process could renew it.
+// SinceRenewal returns how long ago an agent lease was last renewed, not counting time in which this
+// process could not have renewed it.
 func (d *Detector) SinceRenewal(now, renewedAt micros.Time) micros.Time {
-	return now - max(renewedAt, d.silenceCountsFrom)
+	return now - max(renewedAt, d.observingSince)
 }
 
-// CannotReport tells whether a machine that answers calls has reached no controller for an agent
-// lease, while most others do: it is empty by now, and would stay so.
+// CannotReport reports whether a machine that answers calls has not reached any controller with a
+// heartbeat for the duration of an agent lease, while most other machines have. Such a machine has
+// lost its tasks by now and would remain unusable.
 func (d *Detector) CannotReport(now, renewedAt micros.Time) bool {
 	if d.SinceRenewal(now, renewedAt) <= d.timeouts.AgentLeaseExpiry {
 		return false
@@ -107,13 +111,14 @@
 	return health.renewed*2 > health.inUse
 }
 
-// UpdateNetworkSuspicion suspects the network near this controller for another suspicion timeout
-// if silence is widespread: the last machine to be heard again must not be taken for failed meanwhile.
+// UpdateNetworkSuspicion extends the suspicion of the network near this controller by another
+// suspicion timeout if silence is widespread, so that the last machine to recover contact is not
+// declared failed in the meantime.
 func (d *Detector) UpdateNetworkSuspicion(now micros.Time) {
 	if d.widespreadSilence(now) {
-		d.networkSuspectUntil = now + d.timeouts.Suspicion
+		d.networkSuspectedUntil = now + d.timeouts.Suspicion
 	}
 }
 
-// NetworkSuspected tells whether silence is put down to the network near this controller.
-func (d *Detector) NetworkSuspected(now micros.Time) bool { return now < d.networkSuspectUntil }
+// NetworkSuspected reports whether silence is attributed to the network near this controller.
+func (d *Detector) NetworkSuspected(now micros.Time) bool { return now < d.networkSuspectedUntil }
--- a/internal/coordination/failuredetector/fleet.go
+++ b/internal/coordination/failuredetector/fleet.go
@@ -37,7 +37,7 @@
 		return d.health
 	}
 	health := &fleetHealth{takenAt: now}
-	for m := range d.observer.Machines {
+	for m := range d.fleet.Machines {
 		if m.MayHaveTasks {
 			health.mayHaveTasks++
 			if m.Reconciled {
@@ -93,7 +93,7 @@
 	overdueAfter := d.timeouts.Suspicion * 7 / 10
 	var all silenceCount
 	groups := map[group]silenceCount{}
-	for m := range d.observer.Machines {
+	for m := range d.fleet.Machines {
 		if !m.InUse {
 			continue
 		}
--- a/internal/coordination/failuredetector/zones.go
+++ b/internal/coordination/failuredetector/zones.go
@@ -49,7 +49,7 @@
 	}
 	d.zonesCheckedAt = now
 	contacts := map[string][]micros.Time{}
-	for m := range d.observer.Machines {
+	for m := range d.fleet.Machines {
 		if m.InUse {
 			contacts[m.Zone] = append(contacts[m.Zone], m.LastContact)
 		}
@@ -93,7 +93,7 @@
 
 // zoneSilence is for how long not even a quarter of a zone's machines has been heard.
 func (d *Detector) zoneSilence(z *zone, now micros.Time) micros.Time {
-	return now - max(z.lastQuorumContact, d.silenceCountsFrom)
+	return now - max(z.lastQuorumContact, d.observingSince)
 }
 
 // InheritUnreachableZone takes over that the last partition leader did not hear a zone.
@@ -129,7 +129,7 @@
 	if z.unreachableSince == 0 {
 		return true
 	}
-	verdict := d.observer.PeerVerdict(name)
+	verdict := d.fleet.PeerVerdict(name)
 	wait := now - z.unreachableSince
 	if verdict.Reached {
 		return wait < peerVerdictTimeout+d.timeouts.Suspicion
