--- a/internal/coordination/failuredetector/fleet.go
+++ b/internal/coordination/failuredetector/fleet.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// maxIsolatedSilences is how many machines may be silent at once, whatever their share of the
-	// fleet, without the network near this controller being suspected.
+	// maxIsolatedSilences is the number of machines that may be silent at the same time, regardless
+	// of their share of the fleet, without raising suspicion of the network near this controller.
 	maxIsolatedSilences = 2
-	// minGroupMachines is how many machines a group must have to show that the others' silence is
-	// not a fault near this controller.
+	// minGroupMachines is the number of machines that a group needs before contact with it can rule
+	// out a fault near this controller.
 	minGroupMachines = 3
-	// smallFleet is how many machines in use are too few to tell from the others whether this
-	// controller is heard.
-	smallFleet = 3
+	// smallFleetMachines is the largest number of machines in use that is too small to judge from
+	// the other machines whether this controller is reachable.
+	smallFleetMachines = 3
 )
 
-// fleetHealth is what the verdict on one machine needs of all the others. It is taken once a tick:
-// when a third of the fleet falls silent at once, every one of them is judged by the rest, and
-// counting anew for each would take the square of the fleet's size.
+// fleetHealth is the summary of all machines that the verdict on a single machine depends on. It is
+// computed once per tick: when a third of the fleet falls silent at once, each silent machine is
+// compared with the rest, and a separate count for each would be quadratic in the size of the fleet.
 type fleetHealth struct {
-	takenAt      micros.Time
+	computedAt   micros.Time
 	inUse        int           // machines in use
-	renewed      int           // of these, the agent lease was renewed within half a lease
-	mayHaveTasks int           // machines that may have tasks, by their records
-	reconciled   int           // of these, the tasks are known
-	lastContacts []micros.Time // of the machines in use, in order
+	renewed      int           // those whose agent lease was renewed within half a lease
+	mayHaveTasks int           // machines that may have tasks, according to their records
+	reconciled   int           // those of them whose tasks are known
+	lastContacts []micros.Time // of the machines in use, sorted
 }
 
-// fleetHealth returns the summary of this tick.
+// fleetHealth returns the summary for the current tick, computing it on first use.
 func (d *Detector) fleetHealth(now micros.Time) *fleetHealth {
-	if d.health != nil && d.health.takenAt == now {
+	if d.health != nil && d.health.computedAt == now {
 		return d.health
 	}
-	health := &fleetHealth{takenAt: now}
+	health := &fleetHealth{computedAt: now}
 	for m := range d.fleet.Machines {
 		if m.MayHaveTasks {
 			health.mayHaveTasks++
@@ -58,33 +58,37 @@
 	return health
 }
 
-// MostReconciled tells whether at least half of the machines that may have tasks are reconciled. A
-// third of them may have been lost with the last partition leader, and all older jobs wait for these.
+// MostReconciled reports whether at least half of the machines that may have tasks are reconciled. Up
+// to a third of them may have been lost along with the previous partition leader, and all older jobs
+// wait for those.
 func (d *Detector) MostReconciled(now micros.Time) bool {
 	health := d.fleetHealth(now)
 	return health.reconciled*2 >= health.mayHaveTasks
 }
 
-// RestOfFleetReachable tells whether a good part of the machines has been heard since a time: for a
-// machine that does not answer, when the first of its failed calls in a row was sent. Then it is
-// not this controller that nobody hears: a fault near it shows at once, long before many machines
-// are overdue. A small fleet is too little to tell, and counts as heard.
+// RestOfFleetReachable reports whether more than a quarter of the machines in use have been in contact
+// since the given time. For a machine that does not answer, this is when the first of its consecutive
+// failed calls was sent. If so, this controller itself is reachable: a fault near it shows
+// immediately, long before many machines are overdue. A small fleet does not allow this conclusion
+// and always counts as reachable.
 func (d *Detector) RestOfFleetReachable(now, since micros.Time) bool {
 	health := d.fleetHealth(now)
 	silent := sort.Search(len(health.lastContacts), func(i int) bool { return health.lastContacts[i] > since })
-	heard := len(health.lastContacts) - silent
-	return heard*4 > health.inUse || health.inUse <= smallFleet
+	reachable := len(health.lastContacts) - silent
+	return reachable*4 > health.inUse || health.inUse <= smallFleetMachines
 }
 
-// silenceCount counts machines in use, and those of them that are silent or overdue.
+// silenceCount holds the number of machines in use and of those among them that are silent or overdue.
 type silenceCount struct{ inUse, silent int }
 
-// widespreadSilence tells whether so many machines are silent, or overdue, at once that the fault
-// is more likely near this controller than at each of them: then none is terminated, and only the
-// expiry of its agent lease ends its tasks. Overdue ones count because in a network partition the
-// machines fall silent one after the other. A fault near here affects all alike: while those of
-// another zone, or the on-demand ones, are heard as ever, a zone was lost or spot instances were
-// taken, however many, and what ran there need not wait.
+// widespreadSilence reports whether so many machines are silent or overdue at the same time that a
+// fault near this controller is more likely than a fault of each machine. In that case no machine is
+// terminated, and the tasks of a machine end only when its agent lease expires. Overdue machines count
+// because machines fall silent one after another in a network partition.
+//
+// A fault near this controller affects all machines alike. If another zone, or the on-demand
+// instances, remain in contact, then a zone was lost or spot instances were preempted, no matter how
+// many, and the tasks that ran there need not wait.
 func (d *Detector) widespreadSilence(now micros.Time) bool {
 	type group struct {
 		zone string
