--- a/internal/coordination/failuredetector/zones.go
+++ b/internal/coordination/failuredetector/zones.go
@@ -11,38 +11,40 @@
 const (
 	// zoneCheckInterval is how often the zones are checked.
 	zoneCheckInterval = 100 * micros.Millisecond
-	// minZoneMachines are too few to tell a zone's silence from their own.
-	minZoneMachines = 3
-	// peerVerdictTimeout is how long a partition leader waits for its peers to say whether they
-	// reach a zone that it does not hear.
+	// smallZoneMachines is the largest number of machines in a zone that is too small to distinguish
+	// the loss of the zone from failures of the machines themselves.
+	smallZoneMachines = 3
+	// peerVerdictTimeout is how long a partition leader waits for its peers to report whether they
+	// reach a zone that it cannot reach.
 	peerVerdictTimeout = 2500 * micros.Millisecond
 )
 
-// zone is how the machines of one zone are heard.
+// zone tracks the contact with the machines in use of one zone.
 type zone struct {
 	machines          int
-	lastQuorumContact micros.Time // a quarter of them was heard since
-	unreachableSince  micros.Time // since when it counts as unreachable; 0: it does not
+	lastQuorumContact micros.Time // more than a quarter of them have been in contact since this time
+	unreachableSince  micros.Time // when the zone became unreachable; 0: it is reachable
 }
 
-// ZoneReport is what a check found out about a zone that has not been heard for a while.
+// ZoneReport is the result of a check for a zone that has been silent for a while.
 type ZoneReport struct {
 	Zone     string
 	Machines int
-	// BecameUnreachable says that the zone counts as unreachable from this check on.
+	// BecameUnreachable indicates that the zone is considered unreachable as of this check.
 	BecameUnreachable bool
 }
 
-// suspectZoneAfter is how long a zone may be silent before its machines are probed.
+// suspectZoneAfter returns how long a zone may be silent before its machines are probed.
 func (d *Detector) suspectZoneAfter() micros.Time { return d.timeouts.Suspicion * 3 / 10 }
 
-// unreachableZoneAfter is how long a zone may be silent before it counts as unreachable.
+// unreachableZoneAfter returns how long a zone may be silent before it is considered unreachable.
 func (d *Detector) unreachableZoneAfter() micros.Time { return d.timeouts.Suspicion * 3 / 5 }
 
-// CheckZones checks, now and then, how the zones are heard, and reports the silent ones in order:
-// their machines are to be probed, since agents that wait for the reply of a partition leader that
-// was cut off send no heartbeat for some seconds. Machines of a zone that fall silent all at once
-// may only be out of this controller's reach: its peers are asked about an unreachable zone.
+// CheckZones checks the contact with all zones, at most once per zoneCheckInterval, and returns the
+// silent ones sorted by name. Their machines should be probed, since agents that wait for the reply
+// of an isolated partition leader send no heartbeats for several seconds. If all machines of a zone
+// fall silent at the same time, possibly only this controller cannot reach them, so its peers should
+// be asked about a zone that became unreachable.
 func (d *Detector) CheckZones(now micros.Time) []ZoneReport {
 	if now-d.zonesCheckedAt < zoneCheckInterval {
 		return nil
@@ -56,8 +58,8 @@
 	}
 	for name, z := range d.zones {
 		if contacts[name] == nil {
-			// All its machines were given up. A zone that was lost stays so until one that was
-			// requested to try it is heard.
+			// No machines are left in the zone. If it was unreachable, it remains so until contact with
+			// a machine that was requested to test it.
 			z.machines = 0
 		}
 	}
@@ -74,7 +76,7 @@
 		switch {
 		case silence < d.unreachableZoneAfter():
 			z.unreachableSince = 0
-		case z.unreachableSince == 0 && z.machines > minZoneMachines:
+		case z.unreachableSince == 0 && z.machines > smallZoneMachines:
 			z.unreachableSince = now
 			becameUnreachable = true
 		}
@@ -85,28 +87,31 @@
 	return reports
 }
 
-// observe takes the last contacts of the zone's machines, which it sorts.
+// observe updates the zone from the last contacts of its machines, sorting the slice in place.
 func (z *zone) observe(contacts []micros.Time) {
 	slices.SortFunc(contacts, func(a, b micros.Time) int { return cmp.Compare(b, a) })
 	z.machines, z.lastQuorumContact = len(contacts), contacts[len(contacts)/4]
 }
 
-// zoneSilence is for how long not even a quarter of a zone's machines has been heard.
+// zoneSilence returns how long at most a quarter of a zone's machines have been in contact, not
+// counting time in which this process could not have received messages.
 func (d *Detector) zoneSilence(z *zone, now micros.Time) micros.Time {
 	return now - max(z.lastQuorumContact, d.observingSince)
 }
 
-// InheritUnreachableZone takes over that the last partition leader did not hear a zone.
+// InheritUnreachableZone marks a zone as unreachable because the previous partition leader reported
+// it as such.
 func (d *Detector) InheritUnreachableZone(name string, now micros.Time) {
 	d.zones[name] = &zone{unreachableSince: now}
 }
 
-// ZoneUnreachable tells whether a zone is not heard: what boots there cannot be counted on.
+// ZoneUnreachable reports whether a zone is unreachable. Machines booting in such a zone must not be
+// relied on.
 func (d *Detector) ZoneUnreachable(name string) bool {
 	return d.zones[name] != nil && d.zones[name].unreachableSince != 0
 }
 
-// UnreachableZones are the zones that are not heard, in order.
+// UnreachableZones returns the names of the unreachable zones in sorted order.
 func (d *Detector) UnreachableZones() []string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(d.zones)) {
@@ -117,13 +122,13 @@
 	return out
 }
 
-// ZoneVerdictPending tells whether it is open if machines of a zone that fell silent together have
-// failed, or are only out of this controller's reach. None of them is given up until the peers
-// that can be heard have said that they do not reach them either; while one does, it is given some
-// more time to take the partition over.
+// ZoneVerdictPending reports whether it is still undecided if the machines of a zone that fell silent
+// together have failed or are only unreachable from this controller. None of them is given up until
+// all reachable peers have reported that they cannot reach the zone either, or the wait for them has
+// timed out. If a peer does reach it, that peer is given additional time to take over the partition.
 func (d *Detector) ZoneVerdictPending(now micros.Time, name string) bool {
 	z := d.zones[name]
-	if z == nil || z.machines <= minZoneMachines || d.zoneSilence(z, now) < d.suspectZoneAfter() {
+	if z == nil || z.machines <= smallZoneMachines || d.zoneSilence(z, now) < d.suspectZoneAfter() {
 		return false
 	}
 	if z.unreachableSince == 0 {
