--- a/internal/coordination/failuredetector/detector_test.go
+++ b/internal/coordination/failuredetector/detector_test.go
@@ -6,7 +6,7 @@
 	"pipitlatch/internal/micros"
 )
 
-// now is the time of the verdicts, long after the detector began to count.
+// now is the time of the verdicts, long after the creation of the detector.
 const now = 1000 * micros.Second
 
 var timeouts = Timeouts{
@@ -15,12 +15,12 @@
 	AgentLeaseExpiry: 21 * micros.Second,
 }
 
-// fakeFleet is an observer that counts how often it is asked.
+// fakeFleet is a FleetView with fixed contents that records how it is used.
 type fakeFleet struct {
 	machines []Machine
 	verdict  PeerVerdict
-	listings int
-	asked    []string // zones that the peers' verdict was asked for
+	listings int      // number of iterations over the machines
+	asked    []string // zones for which the peer verdict was requested
 }
 
 func (f *fakeFleet) Machines(yield func(Machine) bool) {
@@ -37,7 +37,7 @@
 	return f.verdict
 }
 
-// add adds machines in use, last heard and renewed so long ago.
+// add adds machines in use whose last contact and lease renewal were the given time ago.
 func (f *fakeFleet) add(count int, zone string, spot bool, ago micros.Time) *fakeFleet {
 	for range count {
 		f.machines = append(f.machines, Machine{
@@ -48,7 +48,7 @@
 	return f
 }
 
-// addUnused adds machines that are booting.
+// addUnused adds booting machines, which are not in use yet.
 func (f *fakeFleet) addUnused(count int, zone string) *fakeFleet {
 	for range count {
 		f.machines = append(f.machines, Machine{Zone: zone})
@@ -62,17 +62,17 @@
 	const s = micros.Second
 	tests := []struct {
 		name            string
-		countsFrom      micros.Time
-		last, wantSince micros.Time
+		observingSince  micros.Time
+		last, wantSince micros.Time // last contact or renewal, and the time since then
 	}{
 		{"since the last contact", 0, now - 4*s, 4 * s},
-		{"not counted before this process could hear", now - s, now - 4*s, s},
-		{"never heard: since this process could hear", now - 3*s, 0, 3 * s},
+		{"not counted before this process received messages", now - s, now - 4*s, s},
+		{"no contact: since this process received messages", now - 3*s, 0, 3 * s},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			d := newDetector(&fakeFleet{})
-			d.ResetSilence(test.countsFrom)
+			d.ResetSilence(test.observingSince)
 			if got := d.Silence(now, test.last); got != test.wantSince {
 				t.Errorf("silence %d, want %d", got, test.wantSince)
 			}
@@ -82,7 +82,7 @@
 		})
 	}
 	if got := New(timeouts, &fakeFleet{}, now-s).Silence(now, 0); got != s {
-		t.Errorf("silence %d for a new detector, want %d", got, s)
+		t.Errorf("silence %d with a new detector, want %d", got, s)
 	}
 }
 
@@ -95,7 +95,7 @@
 	}{
 		{"two thirds of the suspicion timeout", 12 * micros.Second, false, 8 * micros.Second},
 		{"with replicas a quarter", 12 * micros.Second, true, 3 * micros.Second},
-		{"with replicas not below two seconds", 6 * micros.Second, true, 2 * micros.Second},
+		{"with replicas at least two seconds", 6 * micros.Second, true, 2 * micros.Second},
 		{"with replicas never later than without", 2400 * micros.Millisecond, true, 1600 * micros.Millisecond},
 	}
 	for _, test := range tests {
@@ -114,28 +114,28 @@
 func TestCannotReport(t *testing.T) {
 	expired := timeouts.AgentLeaseExpiry + 1
 	tests := []struct {
-		name        string
-		fleet       *fakeFleet
-		sinceLast   micros.Time
-		silenceFrom micros.Time
-		want        bool
+		name           string
+		fleet          *fakeFleet
+		sinceLast      micros.Time
+		observingSince micros.Time
+		want           bool
 	}{
 		{"expired while most others renew",
 			(&fakeFleet{}).add(3, "a", false, 0).add(2, "a", false, expired), expired, 0, true},
 		{"not expired yet", (&fakeFleet{}).add(3, "a", false, 0), timeouts.AgentLeaseExpiry, 0, false},
-		{"half of the others do not renew either",
+		{"only half of the machines renew",
 			(&fakeFleet{}).add(2, "a", false, 0).add(2, "a", false, expired), expired, 0, false},
 		{"renewals older than half a lease do not count",
 			(&fakeFleet{}).add(3, "a", false, timeouts.AgentLease/2).add(2, "a", false, expired), expired, 0, false},
 		{"unused machines do not count",
 			(&fakeFleet{}).add(3, "a", false, 0).addUnused(9, "a").add(2, "a", false, expired), expired, 0, true},
-		{"this process could not renew it for as long",
+		{"this process could not renew it for that long",
 			(&fakeFleet{}).add(3, "a", false, 0), expired, now - micros.Second, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			d := newDetector(test.fleet)
-			d.ResetSilence(test.silenceFrom)
+			d.ResetSilence(test.observingSince)
 			if got := d.CannotReport(now, now-test.sinceLast); got != test.want {
 				t.Errorf("cannot report: %v, want %v", got, test.want)
 			}
@@ -147,11 +147,11 @@
 	fleet := (&fakeFleet{}).add(6, "a", false, timeouts.Suspicion)
 	d := newDetector(fleet)
 	if d.NetworkSuspected(now) {
-		t.Fatal("suspected before any silence was seen")
+		t.Fatal("network suspected before any check")
 	}
 	d.UpdateNetworkSuspicion(now)
 	if !d.NetworkSuspected(now) {
-		t.Fatal("all machines are silent: not suspected")
+		t.Fatal("network not suspected although all machines are silent")
 	}
 	later := now + timeouts.Suspicion - 1
 	for i := range fleet.machines {
@@ -159,9 +159,9 @@
 	}
 	d.UpdateNetworkSuspicion(later)
 	if !d.NetworkSuspected(later) {
-		t.Error("the suspicion ended before its time")
+		t.Error("suspicion ended before its timeout")
 	}
 	if d.NetworkSuspected(now + timeouts.Suspicion) {
-		t.Error("the suspicion outlasts its time")
+		t.Error("suspicion continued after its timeout")
 	}
 }
