--- a/internal/coordination/failuredetector/fleet_test.go
+++ b/internal/coordination/failuredetector/fleet_test.go
@@ -17,20 +17,20 @@
 		{"most are silent", (&fakeFleet{}).add(3, "a", false, overdue).add(2, "a", false, 0), true},
 		{"just not overdue", (&fakeFleet{}).add(5, "a", false, overdue-1), false},
 		{"half are silent", (&fakeFleet{}).add(3, "a", false, overdue).add(3, "a", false, 0), false},
-		{"less than half are silent, though no other group is large enough to tell",
+		{"less than half are silent, no other group is large enough to tell",
 			(&fakeFleet{}).add(3, "a", false, overdue).add(2, "b", false, 0).add(2, "c", false, 0), false},
-		{"half are silent, though no other group is large enough to tell",
+		{"half are silent, no other group is large enough to tell",
 			(&fakeFleet{}).add(4, "a", false, overdue).add(2, "b", false, 0).add(2, "c", false, 0), false},
-		{"two are too few", (&fakeFleet{}).add(2, "a", false, overdue), false},
-		{"unused ones are not heard, and do not count",
+		{"two silent machines are too few", (&fakeFleet{}).add(2, "a", false, overdue), false},
+		{"unused machines do not count",
 			(&fakeFleet{}).add(2, "a", false, overdue).addUnused(9, "a"), false},
-		{"another zone is heard",
+		{"another zone is in contact",
 			(&fakeFleet{}).add(8, "a", false, overdue).add(3, "b", false, 0), false},
-		{"half of another zone is heard",
+		{"half of another zone is in contact",
 			(&fakeFleet{}).add(8, "a", false, overdue).add(2, "b", false, 0).add(2, "b", false, overdue), false},
-		{"less than half of another zone is heard",
+		{"less than half of another zone is in contact",
 			(&fakeFleet{}).add(8, "a", false, overdue).add(2, "b", false, 0).add(3, "b", false, overdue), true},
-		{"another zone is heard, but too small to tell",
+		{"another zone is in contact, but too small to tell",
 			(&fakeFleet{}).add(8, "a", false, overdue).add(2, "b", false, 0), true},
 		{"only the spot instances of the zone are silent",
 			(&fakeFleet{}).add(8, "a", true, overdue).add(3, "a", false, 0), false},
@@ -49,25 +49,25 @@
 	}
 }
 
-func TestRestOfFleetHeard(t *testing.T) {
+func TestRestOfFleetReachable(t *testing.T) {
 	const since = 3 * micros.Second // how long ago the first failed call was sent
 	tests := []struct {
 		name  string
 		fleet *fakeFleet
 		want  bool
 	}{
-		{"more than a quarter was heard since", (&fakeFleet{}).add(2, "a", false, since-1).add(5, "a", false, since+1), true},
-		{"a quarter is not enough", (&fakeFleet{}).add(2, "a", false, since-1).add(6, "a", false, since+1), false},
-		{"what was heard at that moment does not count", (&fakeFleet{}).add(8, "a", false, since), false},
-		{"unused machines are not missed",
+		{"contact with more than a quarter", (&fakeFleet{}).add(2, "a", false, since-1).add(5, "a", false, since+1), true},
+		{"contact with a quarter is not enough", (&fakeFleet{}).add(2, "a", false, since-1).add(6, "a", false, since+1), false},
+		{"contact at exactly that time does not count", (&fakeFleet{}).add(8, "a", false, since), false},
+		{"unused machines do not count",
 			(&fakeFleet{}).add(2, "a", false, 0).add(5, "a", false, since+1).addUnused(9, "a"), true},
-		{"four machines, none heard", (&fakeFleet{}).add(4, "a", false, since+1), false},
+		{"four machines, no contact", (&fakeFleet{}).add(4, "a", false, since+1), false},
 		{"three machines are too few to tell", (&fakeFleet{}).add(3, "a", false, since+1), true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := newDetector(test.fleet).RestOfFleetReachable(now, now-since); got != test.want {
-				t.Errorf("rest of the fleet heard: %v, want %v", got, test.want)
+				t.Errorf("rest of the fleet reachable: %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 		{"no machine may have tasks", freshlyBooted(&fakeFleet{}, 1), true},
 		{"half are reconciled", unreconciled((&fakeFleet{}).add(2, "a", false, 0), 2), true},
 		{"less than half are reconciled", unreconciled((&fakeFleet{}).add(2, "a", false, 0), 3), false},
-		{"machines that surely have no tasks do not count",
+		{"machines without tasks do not count",
 			freshlyBooted(unreconciled((&fakeFleet{}).add(2, "a", false, 0), 3), 9), false},
 	}
 	for _, test := range tests {
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestFleetHealthIsTakenOnceATick(t *testing.T) {
+func TestFleetHealthIsComputedOncePerTick(t *testing.T) {
 	fleet := (&fakeFleet{}).add(8, "a", false, timeouts.AgentLeaseExpiry+1)
 	d := newDetector(fleet)
 	verdicts := func(at micros.Time) {
@@ -118,10 +118,10 @@
 	}
 	verdicts(now)
 	if fleet.listings != 1 {
-		t.Errorf("the fleet was listed %d times in one tick, want once", fleet.listings)
+		t.Errorf("machines listed %d times in one tick, want once", fleet.listings)
 	}
 	if d.RestOfFleetReachable(now, now-micros.Second) {
-		t.Error("heard, although nothing was")
+		t.Error("rest of the fleet counts as reachable without any contact")
 	}
 	for i := range fleet.machines {
 		fleet.machines[i].LastContact = now + 1
@@ -132,10 +132,10 @@
 	next := now + 50*micros.Millisecond
 	verdicts(next)
 	if fleet.listings != 2 {
-		t.Errorf("the fleet was listed %d times in two ticks, want twice", fleet.listings)
+		t.Errorf("machines listed %d times in two ticks, want twice", fleet.listings)
 	}
 	if !d.RestOfFleetReachable(next, next-micros.Second) {
-		t.Error("the next tick does not see what was heard")
+		t.Error("next tick does not see the new contacts")
 	}
 }
 
@@ -149,7 +149,7 @@
 			d.MostReconciled(at)
 		})
 	}
-	// A slice of contacts that doubles as it grows takes some more for a larger fleet.
+	// The slice of contacts is reallocated a few more times as it grows for a larger fleet.
 	if small, large := allocations(10), allocations(1000); large > small+20 {
 		t.Errorf("%v allocations for 10 machines, %v for 1000", small, large)
 	}
