--- a/internal/coordination/failuredetector/zones_test.go
+++ b/internal/coordination/failuredetector/zones_test.go
@@ -7,7 +7,7 @@
 	"pipitlatch/internal/micros"
 )
 
-// The silences from which on a zone is suspected and unreachable.
+// The minimum silence of a zone that is suspected, and of one that is unreachable.
 var (
 	suspected   = timeouts.Suspicion * 3 / 10
 	unreachable = timeouts.Suspicion * 3 / 5
@@ -19,15 +19,15 @@
 		fleet *fakeFleet
 		want  []ZoneReport
 	}{
-		{"heard", (&fakeFleet{}).add(8, "a", false, suspected-1), nil},
-		{"silent for a while: probed", (&fakeFleet{}).add(8, "a", false, suspected), []ZoneReport{{"a", 8, false}}},
-		{"just not unreachable", (&fakeFleet{}).add(8, "a", false, unreachable-1), []ZoneReport{{"a", 8, false}}},
-		{"silent for longer: unreachable", (&fakeFleet{}).add(8, "a", false, unreachable), []ZoneReport{{"a", 8, true}}},
-		{"three machines are too few to be a zone's silence",
+		{"in contact", (&fakeFleet{}).add(8, "a", false, suspected-1), nil},
+		{"suspected", (&fakeFleet{}).add(8, "a", false, suspected), []ZoneReport{{"a", 8, false}}},
+		{"just short of unreachable", (&fakeFleet{}).add(8, "a", false, unreachable-1), []ZoneReport{{"a", 8, false}}},
+		{"unreachable", (&fakeFleet{}).add(8, "a", false, unreachable), []ZoneReport{{"a", 8, true}}},
+		{"three machines are too few for an unreachable zone",
 			(&fakeFleet{}).add(3, "a", false, unreachable), []ZoneReport{{"a", 3, false}}},
-		{"more than a quarter is heard",
+		{"contact with more than a quarter",
 			(&fakeFleet{}).add(3, "a", false, 0).add(5, "a", false, unreachable), nil},
-		{"a quarter is heard",
+		{"contact with a quarter",
 			(&fakeFleet{}).add(2, "a", false, 0).add(6, "a", false, unreachable), []ZoneReport{{"a", 8, true}}},
 		{"unused machines do not count",
 			(&fakeFleet{}).addUnused(9, "b").add(3, "a", false, unreachable).addUnused(9, "a"), []ZoneReport{{"a", 3, false}}},
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestCheckZonesIsPaced(t *testing.T) {
+func TestCheckZonesInterval(t *testing.T) {
 	fleet := (&fakeFleet{}).add(4, "a", false, unreachable)
 	d := newDetector(fleet)
 	d.CheckZones(now)
@@ -74,23 +74,23 @@
 	d := newDetector((&fakeFleet{}).add(4, "a", false, unreachable))
 	d.ResetSilence(now - suspected + 1)
 	if got := d.CheckZones(now); got != nil {
-		t.Errorf("reports %v for a silence of this process itself", got)
+		t.Errorf("reports %v for silence while this process was not running", got)
 	}
 }
 
-func TestUnreachableZoneEndsOnlyWhenHeard(t *testing.T) {
+func TestUnreachableZoneEndsOnlyOnContact(t *testing.T) {
 	fleet := (&fakeFleet{verdict: PeerVerdict{Pending: 1}}).add(4, "a", false, unreachable)
 	d := newDetector(fleet)
 	d.CheckZones(now)
 	if !d.ZoneVerdictPending(now, "a") {
-		t.Error("no verdict is pending on a silent zone that a peer has not told about")
+		t.Error("no verdict is pending on a silent zone that a peer has not reported on")
 	}
 
 	fleet.machines = nil
 	at := now + zoneCheckInterval
 	d.CheckZones(at)
 	if !d.ZoneUnreachable("a") {
-		t.Error("reachable again because its machines were given up")
+		t.Error("zone became reachable although no machine is left to contact")
 	}
 	if d.ZoneVerdictPending(at, "a") {
 		t.Error("a verdict is pending on a zone without machines")
@@ -100,11 +100,11 @@
 	fleet.machines = []Machine{{Zone: "a", InUse: true, LastContact: at}}
 	d.CheckZones(at)
 	if d.ZoneUnreachable("a") {
-		t.Error("unreachable, although a machine that was requested to try it is heard")
+		t.Error("unreachable, although a new machine in the zone is in contact")
 	}
 }
 
-func TestInheritedZoneIsUnreachableUntilHeard(t *testing.T) {
+func TestInheritedZoneIsUnreachableUntilContact(t *testing.T) {
 	fleet := (&fakeFleet{}).add(4, "a", false, unreachable)
 	d := newDetector(fleet)
 	d.InheritUnreachableZone("a", now-micros.Second)
@@ -112,17 +112,17 @@
 		t.Errorf("unreachable zones %v, want a", d.UnreachableZones())
 	}
 	if d.ZoneVerdictPending(now, "a") {
-		t.Error("a verdict is pending before the zone's machines were looked at")
+		t.Error("a verdict is pending before the first check of the zone")
 	}
 	if got := d.CheckZones(now); !slices.Equal(got, []ZoneReport{{"a", 4, false}}) {
-		t.Errorf("reports %v, want that an inherited zone does not become unreachable anew", got)
+		t.Errorf("reports %v, want zone a not to become unreachable a second time", got)
 	}
 	for i := range fleet.machines {
 		fleet.machines[i].LastContact = now + zoneCheckInterval
 	}
 	d.CheckZones(now + zoneCheckInterval)
 	if d.ZoneUnreachable("a") {
-		t.Error("unreachable, although it is heard")
+		t.Error("unreachable, although its machines are in contact")
 	}
 }
 
@@ -130,23 +130,23 @@
 	tests := []struct {
 		name     string
 		machines int
-		silence  micros.Time // when the zone is checked
+		silence  micros.Time // at the time of the check
 		verdict  PeerVerdict
 		wait     micros.Time // since the check
 		want     bool
 		wantAsk  bool
 	}{
-		{"heard", 8, suspected - 1, PeerVerdict{Pending: 1}, 0, false, false},
+		{"in contact", 8, suspected - 1, PeerVerdict{Pending: 1}, 0, false, false},
 		{"too few machines", 3, unreachable, PeerVerdict{Pending: 1}, 0, false, false},
-		{"suspected, not unreachable yet", 8, suspected, PeerVerdict{}, 0, true, false},
-		{"unreachable, no peer is heard", 8, unreachable, PeerVerdict{}, 0, false, true},
-		{"unreachable, a peer has not told", 8, unreachable, PeerVerdict{Pending: 1}, peerVerdictTimeout - 1, true, true},
-		{"a peer has not told in time", 8, unreachable, PeerVerdict{Pending: 1}, peerVerdictTimeout, false, true},
+		{"suspected, but not unreachable", 8, suspected, PeerVerdict{}, 0, true, false},
+		{"unreachable, no reachable peer", 8, unreachable, PeerVerdict{}, 0, false, true},
+		{"unreachable, a peer has not reported", 8, unreachable, PeerVerdict{Pending: 1}, peerVerdictTimeout - 1, true, true},
+		{"a peer has not reported in time", 8, unreachable, PeerVerdict{Pending: 1}, peerVerdictTimeout, false, true},
 		{"a peer reaches it", 8, unreachable, PeerVerdict{Reached: true},
 			peerVerdictTimeout + timeouts.Suspicion - 1, true, true},
 		{"a peer reaches it, but has not taken over", 8, unreachable, PeerVerdict{Reached: true},
 			peerVerdictTimeout + timeouts.Suspicion, false, true},
-		{"a peer reaches it, another has not told", 8, unreachable, PeerVerdict{Pending: 1, Reached: true},
+		{"a peer reaches it, another has not reported", 8, unreachable, PeerVerdict{Pending: 1, Reached: true},
 			peerVerdictTimeout, true, true},
 	}
 	for _, test := range tests {
@@ -158,7 +158,7 @@
 				t.Errorf("verdict pending: %v, want %v", got, test.want)
 			}
 			if asked := len(fleet.asked) > 0; asked != test.wantAsk {
-				t.Errorf("peers' verdict asked for: %v, want %v", asked, test.wantAsk)
+				t.Errorf("peer verdict requested: %v, want %v", asked, test.wantAsk)
 			}
 			if d.ZoneVerdictPending(now, "z") {
 				t.Error("a verdict is pending on a zone without machines")
