--- a/internal/coordination/failuredetector/fleet_test.go
+++ b/internal/coordination/failuredetector/fleet_test.go
@@ -57,7 +57,7 @@
 		want  bool
 	}{
 		{"contact with more than a quarter", (&fakeFleet{}).add(2, "a", false, since-1).add(5, "a", false, since+1), true},
-		{"contact with a quarter is not enough", (&fakeFleet{}).add(2, "a", false, since-1).add(6, "a", false, since+1), false},
+		{"contact with just a quarter", (&fakeFleet{}).add(2, "a", false, since-1).add(6, "a", false, since+1), false},
 		{"contact at exactly that time does not count", (&fakeFleet{}).add(8, "a", false, since), false},
 		{"unused machines do not count",
 			(&fakeFleet{}).add(2, "a", false, 0).add(5, "a", false, since+1).addUnused(9, "a"), true},
