--- a/internal/coordination/agents/heartbeat_state.go
+++ b/internal/coordination/agents/heartbeat_state.go
@@ -10,8 +10,8 @@
 // that has not sent a heartbeat yet.
 //
 // Heartbeats may be reordered, duplicated, or delayed by minutes. They are ordered by epoch and
-// sequence. The fencing token, which an agent keeps for as long as it runs, reveals an agent that
-// was restarted under the same name.
+// sequence. A running agent never forgets the highest fencing token it has seen, so a lower one
+// reveals an agent that was restarted under the same name.
 type HeartbeatState struct {
 	position Position
 	// bootedAt is when the first epoch was observed; no message can have reached the agent earlier.
@@ -24,7 +24,7 @@
 	// nextTimedOutSequence replaces it once it has been known for longer than ReplyTimeout.
 	timedOutSequence     uint64
 	nextTimedOutSequence uint64
-	timedOutSequenceAt   micros.Time
+	timedOutSequenceAt   micros.Time // when the two were last updated
 
 	reconciled   bool // its tasks are known, or it is certain to have none
 	leaseExpired bool // the agent lease expired or its epoch ended: no tasks until the next epoch
