--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -124,13 +124,13 @@
 	now := p.core.now
 	if now-p.lastTick > micros.Second {
 		// This process did not run for a while: that nothing was heard was its own fault.
-		p.detector.RestartSilence(now)
+		p.detector.ResetSilence(now)
 		for _, m := range p.machines {
-			m.contact.DiscountSilence(now - p.suspicionTimeout()/2)
+			m.contact.AdvanceLastContact(now - p.suspicionTimeout()/2)
 		}
 	}
 	for _, m := range p.machines {
-		if m.record.Spot && m.agent.HeardFrom() && m.drain.reason == notDraining {
+		if m.record.Spot && m.agent.HasHeartbeat() && m.drain.reason == notDraining {
 			p.core.spot.time += now - p.lastTick
 		}
 	}
@@ -203,7 +203,7 @@
 	if m == nil {
 		return
 	}
-	if m.record.Spot && m.agent.HeardFrom() && (m.drain.reason == drainUnresponsive || m.lifecycle.preemptAt != 0) {
+	if m.record.Spot && m.agent.HasHeartbeat() && (m.drain.reason == drainUnresponsive || m.lifecycle.preemptAt != 0) {
 		p.core.spot.losses++
 	}
 	p.clearAttempts(m)
