--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -112,15 +112,15 @@
 		return true
 	}
 	if h.FencingToken > p.lease.fencingToken {
-		p.supersededByToken()
+		p.invalidateTerm()
 		return true
 	}
 	return false
 }
 
-// supersededByToken notes that somebody has a higher token, so that this lease has ended, or is
+// invalidateTerm notes that somebody has a higher token, so that this lease has ended, or is
 // about to be renewed: nothing is done until the change stream shows which.
-func (p *partitionLeader) supersededByToken() { p.core.term.Invalidate() }
+func (p *partitionLeader) invalidateTerm() { p.core.term.Invalidate() }
 
 // acknowledgeHeartbeat replies to a heartbeat, which renews the agent lease. Commands go only with
 // the reply to a newer one: a copy shows no more what the agent has.
@@ -168,7 +168,7 @@
 	}
 	m.observeInstance(h, p.core.now)
 	if h.FencingToken > p.lease.fencingToken {
-		p.supersededByToken()
+		p.invalidateTerm()
 		return
 	}
 	m.agent.Acknowledge(h.FencingToken)
