--- a/internal/coordination/heartbeats_test.go
+++ b/internal/coordination/heartbeats_test.go
@@ -170,7 +170,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			a := &attempt{start: test.start}
-			if got := a.mayStillArrive(); got != test.want {
+			if got := a.startMayArrive(); got != test.want {
 				t.Errorf("mayStillArrive = %v, want %v", got, test.want)
 			}
 		})
--- a/internal/coordination/reconciliation.go
+++ b/internal/coordination/reconciliation.go
@@ -29,7 +29,7 @@
 func (p *partitionLeader) removeAbsentAttempts(m *machine, shown map[messages.AttemptID]bool) {
 	for _, id := range sortedAttempts(m) {
 		a := m.attempts[id]
-		if shown[id] || a.mayStillArrive() {
+		if shown[id] || a.startMayArrive() {
 			continue
 		}
 		delete(m.attempts, id)
@@ -38,10 +38,10 @@
 	}
 }
 
-// mayStillArrive tells whether the absence of an attempt in a heartbeat says nothing: its start
+// startMayArrive tells whether the absence of an attempt in a heartbeat says nothing: its start
 // command still waits to be sent, or got no reply. Taking it for not started would run the task
 // twice.
-func (a *attempt) mayStillArrive() bool {
+func (a *attempt) startMayArrive() bool {
 	return !a.start.sent || (!a.start.reported && a.start.inFlight+a.start.unanswered > 0)
 }
 
