--- a/internal/coordination/agent_calls_test.go
+++ b/internal/coordination/agent_calls_test.go
@@ -106,7 +106,7 @@
 	p := observedFleet(t)
 	m := p.machines[7]
 	a, call := startInFlight(t, p, m)
-	p.machineTerminated(m.id)
+	p.removeMachine(m.id)
 	p.core.calls.CompleteAgent(call.Call, &messages.AgentReply{})
 	if m.contact.FailedCalls() != 0 || a.start.unanswered != 0 {
 		t.Errorf("a terminated machine is still noted: %d failed calls, start %+v", m.contact.FailedCalls(), a.start)
--- a/internal/coordination/leader_view.go
+++ b/internal/coordination/leader_view.go
@@ -60,7 +60,7 @@
 // MachineTerminated lets the partitions led here know that a machine is gone.
 func (v clusterView) MachineTerminated(machine string) {
 	for _, partition := range sortedKeys(v.core.partitions) {
-		v.core.partitions[partition].machineTerminated(machine)
+		v.core.partitions[partition].removeMachine(machine)
 	}
 }
 
--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -164,7 +164,7 @@
 	case !ok || stored.Value.Partition != p.partition:
 		// The cluster leader removes a machine from its block only after the cloud confirmed that
 		// it is gone, and a machine is transferred only after its partition leader let go of it.
-		p.machineTerminated(id)
+		p.removeMachine(id)
 	case m == nil:
 		p.addMachine(id, stored)
 	default:
@@ -196,9 +196,9 @@
 	p.plan.stale = true
 }
 
-// machineTerminated forgets a machine that surely has no tasks any more: it is gone, or it is in
+// removeMachine forgets a machine that surely has no tasks any more: it is gone, or it is in
 // another partition.
-func (p *partitionLeader) machineTerminated(id string) {
+func (p *partitionLeader) removeMachine(id string) {
 	m := p.machine(id)
 	if m == nil {
 		return
--- a/internal/coordination/status_messages.go
+++ b/internal/coordination/status_messages.go
@@ -81,7 +81,7 @@
 	c.receiveDemand(status)
 	for _, machine := range status.TerminatedMachines {
 		for _, p := range c.partitions {
-			p.machineTerminated(machine)
+			p.removeMachine(machine)
 		}
 	}
 	if status.From != c.process {
