--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -241,7 +241,7 @@
 	}
 	switch {
 	case !active && j != nil:
-		p.jobTerminated(j)
+		p.removeJob(j)
 	case !active:
 	case j != nil:
 		j.record, j.modRevision = record, record.ModRevision
@@ -265,8 +265,8 @@
 		"estimate_ms", j.Estimate/micros.Millisecond, "due_ms", j.Deadline/micros.Millisecond)
 }
 
-// jobTerminated stops what is left of a job that is done or cancelled.
-func (p *partitionLeader) jobTerminated(j *job) {
+// removeJob stops what is left of a job that is done or cancelled.
+func (p *partitionLeader) removeJob(j *job) {
 	cancelled := p.core.isCancelled(j.ID)
 	delete(p.jobs, j.ID)
 	p.sortedJobs = slices.DeleteFunc(p.sortedJobs, func(other *job) bool { return other == j })
