--- a/internal/coordination/partition_status.go
+++ b/internal/coordination/partition_status.go
@@ -34,7 +34,7 @@
 	for _, m := range p.machines {
 		switch {
 		case p.unresponsivenessInDoubt(m):
-		case p.canBeTerminated(m):
+		case p.readyForTermination(m):
 			if len(s.Terminate) < maxTerminationsPerStatus {
 				s.Terminate = append(s.Terminate, m.id)
 			}
@@ -55,9 +55,9 @@
 		!m.agent.LeaseExpired()
 }
 
-// canBeTerminated tells whether the machine drains and need not be waited for: its tasks are
+// readyForTermination tells whether the machine drains and need not be waited for: its tasks are
 // lost, or it has none.
-func (p *partitionLeader) canBeTerminated(m *machine) bool {
+func (p *partitionLeader) readyForTermination(m *machine) bool {
 	reason := m.drain.reason
 	if reason == notDraining {
 		return false
--- a/internal/coordination/partition_status_test.go
+++ b/internal/coordination/partition_status_test.go
@@ -30,11 +30,11 @@
 		t.Run("reason "+test.reason.String(), func(t *testing.T) {
 			f := newAttemptFixture()
 			f.machine.drain.reason = test.reason
-			if got := f.leader.canBeTerminated(f.machine); got != test.wantWithout {
+			if got := f.leader.readyForTermination(f.machine); got != test.wantWithout {
 				t.Errorf("without tasks: %v, want %v", got, test.wantWithout)
 			}
 			f.startActive(0, true)
-			if got := f.leader.canBeTerminated(f.machine); got != test.wantBusy {
+			if got := f.leader.readyForTermination(f.machine); got != test.wantBusy {
 				t.Errorf("with tasks: %v, want %v", got, test.wantBusy)
 			}
 		})
