--- a/internal/coordination/fleet_log.go
+++ b/internal/coordination/fleet_log.go
@@ -8,8 +8,8 @@
 const (
 	// fleetLogInterval is how often the state of the fleet is logged.
 	fleetLogInterval = 10 * micros.Second
-	// milli is how many of the unit that CPUs are counted in make one.
-	milli = 1000
+	// milliCPUsPerCPU is how many of the unit that CPUs are counted in make one.
+	milliCPUsPerCPU = 1000
 )
 
 // fleetUsage is what a part of the fleet does. CPU is in thousandths.
@@ -71,11 +71,11 @@
 		"machines", u.machines,
 		"booting", u.booting,
 		"draining", u.draining,
-		"cpu", u.cpu/milli,
-		"cpu_booting", u.cpuBooting/milli,
-		"cpu_services", u.cpuForServices/milli,
-		"cpu_running", u.cpuForRunning/milli,
-		"cpu_starting", u.cpuStarting/milli,
+		"cpu", u.cpu/milliCPUsPerCPU,
+		"cpu_booting", u.cpuBooting/milliCPUsPerCPU,
+		"cpu_services", u.cpuForServices/milliCPUsPerCPU,
+		"cpu_running", u.cpuForRunning/milliCPUsPerCPU,
+		"cpu_starting", u.cpuStarting/milliCPUsPerCPU,
 		"tasks_waiting", waiting)
 }
 
