--- a/internal/coordination/partition_status_test.go
+++ b/internal/coordination/partition_status_test.go
@@ -50,7 +50,7 @@
 		"after":  {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newLeading(t)
+			c := newLeadingCore(t)
 			p := c.partitions[0]
 			c.cache.Machines["m"] = storage.Versioned[storage.Machine]{ModRevision: 31}
 			p.machineChanged("m")
--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -11,8 +11,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// newLeading is a core that leads partition 0, since mod revision 30, with no machines and no jobs.
-func newLeading(t *testing.T) *Core {
+// newLeadingCore is a core that leads partition 0, since mod revision 30, with no machines and no jobs.
+func newLeadingCore(t *testing.T) *Core {
 	t.Helper()
 	c := newServing(t)
 	c.partitions[0] = newPartitionLeader(c, 0, storage.Versioned[storage.PartitionRecord]{
@@ -40,7 +40,7 @@
 	for _, test := range tests {
 		for _, led := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, led before: %v", test.name, led), func(t *testing.T) {
-				c := newLeading(t)
+				c := newLeadingCore(t)
 				p := c.partitions[0]
 				if led {
 					changeJob(p, active())
@@ -88,7 +88,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c := newLeading(t)
+			c := newLeadingCore(t)
 			p, id := c.partitions[0], testJob(1).ID
 			c.cache.Jobs[id] = &storage.JobEntry{Job: testJob(1), ModRevision: 40}
 			p.jobChanged(id)
@@ -124,7 +124,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c := newLeading(t)
+			c := newLeadingCore(t)
 			p := c.partitions[0]
 			stored := storage.Versioned[storage.Machine]{ModRevision: test.modRevision}
 			stored.Value.Used = test.used
@@ -158,7 +158,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c := newLeading(t)
+			c := newLeadingCore(t)
 			p := c.partitions[0]
 			c.cache.Machines["m"] = storage.Versioned[storage.Machine]{ModRevision: 31}
 			p.machineChanged("m")
