--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -43,9 +43,9 @@
 				c := newLeadingCore(t)
 				p := c.partitions[0]
 				if led {
-					changeJob(p, active())
+					replaceJobRecord(p, active())
 				}
-				changeJob(p, test.record)
+				replaceJobRecord(p, test.record)
 				checkLed(t, p, test.record, test.wantLed)
 				if got := p.dependencies.cancelled[testJob(1).ID]; got != test.wantCancelled {
 					t.Errorf("cancelled with a dependency: %v, want %v", got, test.wantCancelled)
@@ -55,8 +55,8 @@
 	}
 }
 
-// changeJob makes the cache have another record of the test job, or none.
-func changeJob(p *partitionLeader, record *storage.JobEntry) {
+// replaceJobRecord makes the cache have another record of the test job, or none.
+func replaceJobRecord(p *partitionLeader, record *storage.JobEntry) {
 	id := testJob(1).ID
 	delete(p.core.cache.Jobs, id)
 	if record != nil {
