--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -46,7 +46,7 @@
 					replaceJobRecord(p, active())
 				}
 				replaceJobRecord(p, test.record)
-				checkLed(t, p, test.record, test.wantLed)
+				requireManaged(t, p, test.record, test.wantLed)
 				if got := p.dependencies.cancelled[testJob(1).ID]; got != test.wantCancelled {
 					t.Errorf("cancelled with a dependency: %v, want %v", got, test.wantCancelled)
 				}
@@ -65,8 +65,8 @@
 	p.jobChanged(id)
 }
 
-// checkLed fails the test unless the test job is led by this record, or is not led.
-func checkLed(t *testing.T, p *partitionLeader, record *storage.JobEntry, want bool) {
+// requireManaged fails the test unless the test job is led by this record, or is not led.
+func requireManaged(t *testing.T, p *partitionLeader, record *storage.JobEntry, want bool) {
 	t.Helper()
 	j := p.jobs[testJob(1).ID]
 	if got := j != nil; got != want || got != (len(p.sortedJobs) == 1) {
