--- a/internal/coordination/transfer_test.go
+++ b/internal/coordination/transfer_test.go
@@ -9,9 +9,9 @@
 	"pipitlatch/internal/storage"
 )
 
-// newTransferable is a core that leads partition 0 with one unused machine; partition 1 has another
+// newTransferCore is a core that leads partition 0 with one unused machine; partition 1 has another
 // leader.
-func newTransferable(t *testing.T) *Core {
+func newTransferCore(t *testing.T) *Core {
 	t.Helper()
 	c := newServing(t)
 	for key, value := range map[string]any{
@@ -34,7 +34,7 @@
 }
 
 func TestTransferIsOneTransactionUnderBothTokens(t *testing.T) {
-	c := newTransferable(t)
+	c := newTransferCore(t)
 	c.transferMachine(messages.MachineTransfer{Machine: "vm-000001", ToPartition: 1})
 	if len(c.output.StoreCalls) != 1 {
 		t.Fatalf("%d requests", len(c.output.StoreCalls))
@@ -73,7 +73,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c := newTransferable(t)
+			c := newTransferCore(t)
 			m := c.partitions[0].machine("vm-000001")
 			test.change(c, m)
 			before := m.drain
@@ -99,7 +99,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c := newTransferable(t)
+			c := newTransferCore(t)
 			m := c.partitions[0].machine("vm-000001")
 			c.transferMachine(messages.MachineTransfer{Machine: "vm-000001", ToPartition: 1})
 			if m.drain.reason != drainTransfer {
