--- a/internal/coordination/reconciliation_test.go
+++ b/internal/coordination/reconciliation_test.go
@@ -7,8 +7,8 @@
 	"pipitlatch/internal/micros"
 )
 
-// anyRunning returns an attempt of a machine whose first heartbeat showed it running.
-func anyRunning(t *testing.T, m *machine) *attempt {
+// anyRunningAttempt returns an attempt of a machine whose first heartbeat showed it running.
+func anyRunningAttempt(t *testing.T, m *machine) *attempt {
 	t.Helper()
 	for _, id := range sortedAttempts(m) {
 		if a := m.attempts[id]; a.state == messages.Running && a.job != nil {
@@ -55,7 +55,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			p := observedFleet(t)
 			m := p.machines[7]
-			status := test.status(p, anyRunning(t, m))
+			status := test.status(p, anyRunningAttempt(t, m))
 			a := p.adoptAttempt(m, &status)
 			active := a.job != nil && a.job.activeAttempts[status.Task] == a
 			if (a.job != nil) != test.wantJob || a.stop.ordered != test.wantStop || active != test.wantActive {
@@ -87,7 +87,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			p := observedFleet(t)
 			m := p.machines[7]
-			a := anyRunning(t, m)
+			a := anyRunningAttempt(t, m)
 			p.updateAttempt(a, &messages.TaskStatus{AttemptID: a.id, State: messages.Exited, ExitReason: test.reason})
 			if a.state != messages.Exited || a.job.pendingTasks.Has(a.id.Task) != test.wantPending {
 				t.Errorf("state %d, task pending %v", a.state, a.job.pendingTasks.Has(a.id.Task))
@@ -108,7 +108,7 @@
 func TestReconcileTasksRemovesAbsentAttempts(t *testing.T) {
 	p := observedFleet(t)
 	m := p.machines[7]
-	gone := anyRunning(t, m)
+	gone := anyRunningAttempt(t, m)
 	waiting := unresolvedStart(p, m, 0)
 	h := nextHeartbeat(p, m)
 	for id := range m.attempts {
