--- a/internal/coordination/block_records_test.go
+++ b/internal/coordination/block_records_test.go
@@ -50,8 +50,8 @@
 	return written, guarded
 }
 
-// requireFits fails the test if a value of the request is too large.
-func requireFits(t *testing.T, r *storage.Request, maxValue int) {
+// requireValuesFit fails the test if a value of the request is too large.
+func requireValuesFit(t *testing.T, r *storage.Request, maxValue int) {
 	t.Helper()
 	for _, put := range r.Puts {
 		if len(put.Value) > maxValue {
@@ -95,7 +95,7 @@
 			if want := blockKeys(test.guarded); !slices.Equal(guarded, want) {
 				t.Errorf("guarded %v, want %v", guarded, want)
 			}
-			requireFits(t, &r, cfg.Settings.MaxValue())
+			requireValuesFit(t, &r, cfg.Settings.MaxValue())
 		})
 	}
 }
