--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -8,19 +8,18 @@
 	"pipitlatch/internal/storage"
 )
 
-// ignoreReason is why a heartbeat is not believed, as it appears in the log.
+// ignoreReason is the reason for ignoring a heartbeat, as it appears in the log.
 type ignoreReason string
 
 const (
-	// ignoredStaleCopy: the agent does not wait for a reply to this heartbeat any more, or it began
-	// anew.
+	// ignoredStaleCopy: the agent no longer waits for a reply to this heartbeat, or it has restarted.
 	ignoredStaleCopy ignoreReason = "stale copy"
-	// ignoredEndedEpoch: the agent lease expired since the heartbeat was sent.
+	// ignoredEndedEpoch: the agent lease expired after the heartbeat was sent.
 	ignoredEndedEpoch ignoreReason = "ended agent epoch"
 )
 
-// routeHeartbeat has a heartbeat answered by the leader of its machine's partition, or sends the
-// agent to the controller that can.
+// routeHeartbeat passes a heartbeat to the leader of its machine's partition if that leader runs in
+// this process, and otherwise redirects the agent to the controller that leads the partition.
 func (c *Core) routeHeartbeat(in *messages.HeartbeatRequest) {
 	if !c.replica.Synced() {
 		c.respondUnavailable(in.Request, starting)
@@ -39,8 +38,8 @@
 	leader.handleHeartbeat(in)
 }
 
-// handleUnmanagedHeartbeat handles the heartbeat of a machine without a record: the cluster leader
-// may adopt it.
+// handleUnmanagedHeartbeat handles the heartbeat of a machine without a record, which the cluster
+// leader may adopt.
 func (c *Core) handleUnmanagedHeartbeat(in *messages.HeartbeatRequest) {
 	leader := c.cache.ClusterLeader
 	switch {
@@ -54,8 +53,8 @@
 	}
 }
 
-// redirectToPartitionLeader sends an agent to the leader of its machine's partition, if that runs
-// and is thought to hear the machine.
+// redirectToPartitionLeader redirects an agent to the leader of its machine's partition, if that
+// leader is alive and not known to be unreachable from the machine.
 func (c *Core) redirectToPartitionLeader(in *messages.HeartbeatRequest, machine storage.Machine) {
 	partition, ok := c.cache.Partitions[machine.Partition]
 	leader := partition.Value.Leader
@@ -67,12 +66,13 @@
 	c.respondUnavailable(in.Request, noPartitionLeader)
 }
 
-// redirectHeartbeat sends an agent to another controller, or, without a name, to whichever it finds.
+// redirectHeartbeat redirects an agent to another controller. With an empty member name the agent
+// chooses the controller itself.
 func (c *Core) redirectHeartbeat(request messages.RequestID, member string) {
 	c.respond(messages.Response{Request: request, Kind: messages.HeartbeatRedirected, RedirectTo: member})
 }
 
-// handleHeartbeat takes a heartbeat of a machine of the partition, and replies with commands.
+// handleHeartbeat processes a heartbeat of a machine of the partition and replies with commands.
 func (p *partitionLeader) handleHeartbeat(in *messages.HeartbeatRequest) {
 	h := in.Heartbeat
 	m := p.machine(h.Machine)
@@ -81,7 +81,8 @@
 		return
 	}
 	if p.fencedOff(h) {
-		// Nobody is named: what is known here of other leaders is as old as the term.
+		// No leader is named: what this process knows about other leaders may be as outdated as its
+		// own term.
 		p.core.redirectHeartbeat(in.Request, "")
 		return
 	}
@@ -96,17 +97,18 @@
 		p.observeHeartbeat(m, h)
 	}
 	if m.decommissioned() || m.contact.RepliesLost() {
-		// More replies would only put off the time from which its lease has surely expired.
+		// Another reply would only postpone the time at which its lease has certainly expired.
 		p.core.respondUnavailable(in.Request, machineDecommissioned)
 		return
 	}
 	p.acknowledgeHeartbeat(in.Request, m, newer)
 }
 
-// fencedOff tells whether this process may not reply to a heartbeat as partition leader. Past the
-// term somebody else may lead: a cancellation that is not seen here must end the machine's tasks
-// when its agent lease expires. An agent with a higher token would drop a reply under this one,
-// and stay here until its tasks are killed.
+// fencedOff reports whether this process must not reply to a heartbeat as partition leader. After
+// the term another process may lead the partition. A cancellation that this process has not seen
+// then relies on the expiry of the agent lease to end the machine's tasks, so the lease must not be
+// renewed here. An agent with a higher token would drop a reply that carries this leader's token,
+// and would keep sending its heartbeats here until its tasks are killed.
 func (p *partitionLeader) fencedOff(h *messages.Heartbeat) bool {
 	if !p.core.term.Valid(p.core.now) {
 		return true
@@ -118,12 +120,13 @@
 	return false
 }
 
-// invalidateTerm notes that somebody has a higher token, so that this lease has ended, or is
-// about to be renewed: nothing is done until the change stream shows which.
+// invalidateTerm ends the term because an agent has seen a higher fencing token: this lease has
+// ended or is about to be renewed with a new token. The process does not act as leader until the
+// change stream shows which.
 func (p *partitionLeader) invalidateTerm() { p.core.term.Invalidate() }
 
-// acknowledgeHeartbeat replies to a heartbeat, which renews the agent lease. Commands go only with
-// the reply to a newer one: a copy shows no more what the agent has.
+// acknowledgeHeartbeat replies to a heartbeat, which renews the agent lease. Only the reply to a
+// newer heartbeat carries commands: a copy does not show the agent's current tasks.
 func (p *partitionLeader) acknowledgeHeartbeat(request messages.RequestID, m *machine, newer bool) {
 	m.contact.Replied(p.core.now)
 	var commands []messages.Command
@@ -138,8 +141,9 @@
 	})
 }
 
-// observeReplyReceipt notes what a newer heartbeat says of the reply to the one before. The reply
-// was lost if the heartbeat shows no exchange under this lease, or if the epoch ended.
+// observeReplyReceipt records whether a newer heartbeat shows that the reply to the previous one was
+// received. The reply was lost if the heartbeat carries no fencing token of this lease, or if the
+// agent's epoch ended.
 func (p *partitionLeader) observeReplyReceipt(m *machine, h *messages.Heartbeat) {
 	exchangeBroken := h.FencingToken < p.lease.acquiredToken || h.AgentEpoch > m.agent.Epoch()
 	if m.contact.ObserveNextHeartbeat(exchangeBroken, p.core.now) {
@@ -147,8 +151,8 @@
 	}
 }
 
-// observeHeartbeat notes what a heartbeat shows, whether the agent sent it by itself or in reply to
-// a call.
+// observeHeartbeat updates the state of a machine from a heartbeat, whether the agent sent it on its
+// own or in reply to a call.
 func (p *partitionLeader) observeHeartbeat(m *machine, h *messages.Heartbeat) {
 	if !m.agent.IsNewer(h) {
 		return
@@ -162,7 +166,7 @@
 	}
 	m.agent.Observe(h, p.core.now)
 	if m.agent.LeaseExpired() {
-		// Sent before the lease expired, and late: the tasks that it shows have ended.
+		// The heartbeat was sent before the lease expired and arrived late. Its tasks have ended.
 		p.logIgnoredHeartbeat(ignoredEndedEpoch, m, h)
 		return
 	}
@@ -173,8 +177,9 @@
 	}
 	m.agent.Acknowledge(h.FencingToken)
 	if h.FencingToken < p.lease.acquiredToken {
-		// Not an exchange under this lease: perhaps a copy of an old heartbeat, perhaps overtaken by
-		// what the former leader still orders. It says nothing of tasks.
+		// The heartbeat does not acknowledge a token of this lease. It may be a copy of an old
+		// heartbeat, or commands of the former leader may still take effect after it, so its task
+		// list is not used.
 		return
 	}
 	p.reconcileTasks(m, h)
@@ -185,7 +190,7 @@
 	p.handlePreemptionNotice(m)
 }
 
-// observeInstance notes what a heartbeat says of the instance itself.
+// observeInstance records the machine's address and preemption notice from a heartbeat.
 func (m *machine) observeInstance(h *messages.Heartbeat, now micros.Time) {
 	if h.Address != "" {
 		m.address = h.Address
@@ -196,7 +201,8 @@
 	}
 }
 
-// beginEpoch notes that the machine's agent lease ended: the agent killed and forgot all its tasks.
+// beginEpoch handles a new agent epoch: the machine's agent lease ended, and the agent killed and
+// forgot all its tasks.
 func (p *partitionLeader) beginEpoch(m *machine, epoch uint64) {
 	if m.agent.HeardFrom() {
 		p.clearAttempts(m)
@@ -205,19 +211,19 @@
 	p.plan.stale = true
 }
 
-// drainRestarted gives up a machine whose agent began anew within its lease: its epoch and sequence
-// may be below what was seen, so that its heartbeats can't be put in order any more. Its
-// termination settles what ran there.
+// drainRestarted drains a machine whose agent restarted within its lease. Its epoch and sequence may
+// be lower than those seen before, so its heartbeats can no longer be ordered. Only the machine's
+// termination makes certain that its tasks have ended.
 func (p *partitionLeader) drainRestarted(m *machine) {
 	if !m.decommissioned() {
 		p.startDrain(m, drainAgentRestarted)
 	}
 }
 
-// ignoredLogInterval bounds what stale and contradictory heartbeats add to the log.
+// ignoredLogInterval is the minimum time between log records of ignored heartbeats.
 const ignoredLogInterval = 5 * micros.Second
 
-// logIgnoredHeartbeat tells the operator of a heartbeat that is not believed.
+// logIgnoredHeartbeat logs an ignored heartbeat, at most once per ignoredLogInterval.
 func (p *partitionLeader) logIgnoredHeartbeat(reason ignoreReason, m *machine, h *messages.Heartbeat) {
 	now := p.core.now
 	if p.ignoredHeartbeatLoggedAt != 0 && now-p.ignoredHeartbeatLoggedAt < ignoredLogInterval {
@@ -230,11 +236,11 @@
 		"known_agent_epoch", m.agent.Epoch(), "known_sequence", m.agent.Position().Sequence)
 }
 
-// maxCommandsPerMessage bounds the commands in one reply or call to an agent.
+// maxCommandsPerMessage limits the number of commands in one reply or call to an agent.
 const maxCommandsPerMessage = 200
 
-// commandsFor returns the commands in the reply to a heartbeat. They are not carried out late,
-// since the agent drops late replies.
+// commandsFor returns the commands for the reply to a heartbeat. The agent drops late replies, so
+// these commands are never executed late.
 func (p *partitionLeader) commandsFor(m *machine) []messages.Command {
 	if !m.agent.Acknowledged(p.lease.fencingToken) {
 		return nil
@@ -256,8 +262,8 @@
 	return commands[:min(len(commands), maxCommandsPerMessage)]
 }
 
-// forgettable tells whether the agent may forget an attempt: it exited, nothing of it is left to be
-// stored, and no start command may still arrive, which would begin a forgotten attempt anew.
+// forgettable reports whether the agent may forget an attempt: it exited, its result is stored, and
+// no start command for it may still arrive, which would start the forgotten attempt again.
 func (a *attempt) forgettable() bool {
 	return a.state == messages.Exited &&
 		a.start.reported &&
@@ -266,8 +272,8 @@
 		a.start.unanswered == 0
 }
 
-// remainingGrace returns the grace period of a repeated stop: none once the time to save a
-// checkpoint is over.
+// remainingGrace returns the grace period of a repeated stop: zero once the time to save a
+// checkpoint has passed.
 func (p *partitionLeader) remainingGrace(a *attempt) micros.Time {
 	if a.stop.gracePeriod == 0 || p.core.now-a.stop.orderedAt > 2*a.stop.gracePeriod+2*micros.Second {
 		return 0
