--- a/internal/coordination/heartbeats_test.go
+++ b/internal/coordination/heartbeats_test.go
@@ -27,14 +27,14 @@
 		text   unavailableReason
 	}{
 		{"newer", func(*partitionLeader, *machine, *messages.Heartbeat) {}, messages.HeartbeatAcknowledged, ""},
-		{"copy that may still wait", func(_ *partitionLeader, _ *machine, h *messages.Heartbeat) {
+		{"copy with the agent still waiting", func(_ *partitionLeader, _ *machine, h *messages.Heartbeat) {
 			h.Sequence--
 		}, messages.HeartbeatAcknowledged, ""},
-		{"copy that waits no more", func(p *partitionLeader, _ *machine, h *messages.Heartbeat) {
+		{"copy after the reply time-out", func(p *partitionLeader, _ *machine, h *messages.Heartbeat) {
 			h.Sequence--
 			p.core.now += agents.ReplyTimeout
 		}, messages.ServiceUnavailable, staleHeartbeat},
-		{"agent began anew", func(_ *partitionLeader, _ *machine, h *messages.Heartbeat) {
+		{"agent restarted", func(_ *partitionLeader, _ *machine, h *messages.Heartbeat) {
 			h.FencingToken--
 		}, messages.ServiceUnavailable, machineDecommissioned},
 		{"term is over", func(p *partitionLeader, _ *machine, _ *messages.Heartbeat) {
@@ -43,10 +43,10 @@
 		{"higher token", func(_ *partitionLeader, _ *machine, h *messages.Heartbeat) {
 			h.FencingToken++
 		}, messages.HeartbeatRedirected, ""},
-		{"machine is given up", func(_ *partitionLeader, m *machine, _ *messages.Heartbeat) {
+		{"machine is decommissioned", func(_ *partitionLeader, m *machine, _ *messages.Heartbeat) {
 			m.drain.reason = drainKillTimeout
 		}, messages.ServiceUnavailable, machineDecommissioned},
-		{"replies never arrive", func(p *partitionLeader, m *machine, h *messages.Heartbeat) {
+		{"replies are lost", func(p *partitionLeader, m *machine, h *messages.Heartbeat) {
 			loseReplies(p, m, 3)
 			h.Sequence--
 		}, messages.ServiceUnavailable, machineDecommissioned},
@@ -58,14 +58,15 @@
 			m.agent.Observe(nextHeartbeat(p, m), p.core.now)
 			h := nextHeartbeat(p, m)
 			test.change(p, m, h)
-			renewed := m.contact.LastRenewal()
+			renewedBefore := m.contact.LastRenewal()
 			p.core.now++
 			got := respondTo(t, p, h)
 			if got.Kind != test.want || got.Text != test.text.String() {
 				t.Errorf("response %+v, want kind %d, text %q", got, test.want, test.text)
 			}
-			if answered := test.want == messages.HeartbeatAcknowledged; (m.contact.LastRenewal() != renewed) != answered {
-				t.Errorf("lease renewed at %d, before at %d", m.contact.LastRenewal(), renewed)
+			wantRenewed := test.want == messages.HeartbeatAcknowledged
+			if renewed := m.contact.LastRenewal() != renewedBefore; renewed != wantRenewed {
+				t.Errorf("lease renewed: %v, want %v", renewed, wantRenewed)
 			}
 		})
 	}
@@ -80,13 +81,13 @@
 	}
 }
 
-func TestHeartbeatWithHigherTokenEndsTheTerm(t *testing.T) {
+func TestHeartbeatWithHigherTokenInvalidatesTerm(t *testing.T) {
 	p := observedFleet(t)
 	h := nextHeartbeat(p, p.machines[7])
 	h.FencingToken++
 	respondTo(t, p, h)
 	if p.core.term.Valid(p.core.now) {
-		t.Error("somebody has a higher token, and the term is still valid")
+		t.Error("term is still valid after a heartbeat with a higher token")
 	}
 }
 
@@ -104,7 +105,7 @@
 	}
 	for i := 1; i < len(first.Commands); i++ {
 		if first.Commands[i-1].Compare(first.Commands[i].AttemptID) >= 0 {
-			t.Errorf("commands are not in order: %+v", first.Commands)
+			t.Errorf("commands are not sorted: %+v", first.Commands)
 		}
 	}
 	if again := respondTo(t, p, h); again.Kind != messages.HeartbeatAcknowledged || len(again.Commands) != 0 {
@@ -121,13 +122,13 @@
 	h.Tasks = []messages.TaskStatus{{AttemptID: messages.AttemptID{Job: "x", Number: 99}, State: messages.Running}}
 	respondTo(t, p, h)
 	if len(m.attempts) != 0 || m.agent.Acknowledged(p.lease.fencingToken) {
-		t.Errorf("a heartbeat from before the expiry is believed: %d attempts", len(m.attempts))
+		t.Errorf("heartbeat sent before the lease expired was not ignored: %d attempts", len(m.attempts))
 	}
 	h = nextHeartbeat(p, m)
 	h.AgentEpoch++
 	respondTo(t, p, h)
 	if !m.agent.Usable(p.lease.fencingToken) {
-		t.Error("the next epoch does not make the machine usable")
+		t.Error("machine is not usable after a heartbeat of the next epoch")
 	}
 }
 
@@ -138,11 +139,11 @@
 		want   bool
 	}{
 		{"exited and stored", func(*attempt) {}, true},
-		{"still runs", func(a *attempt) { a.state = messages.Running }, false},
-		{"its result is not stored yet", func(a *attempt) { a.persisted = false }, false},
-		{"never shown", func(a *attempt) { a.start.reported = false }, false},
-		{"a start is in flight", func(a *attempt) { a.start.inFlight = 1 }, false},
-		{"a start may still arrive", func(a *attempt) { a.start.unanswered = 1 }, false},
+		{"still running", func(a *attempt) { a.state = messages.Running }, false},
+		{"result not stored yet", func(a *attempt) { a.persisted = false }, false},
+		{"never reported by a heartbeat", func(a *attempt) { a.start.reported = false }, false},
+		{"start command in flight", func(a *attempt) { a.start.inFlight = 1 }, false},
+		{"start command without a reply", func(a *attempt) { a.start.unanswered = 1 }, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -155,23 +156,23 @@
 	}
 }
 
-func TestMayStillArrive(t *testing.T) {
+func TestStartMayArrive(t *testing.T) {
 	tests := []struct {
 		name  string
 		start startState
 		want  bool
 	}{
-		{"waits to be sent", startState{}, true},
+		{"not sent yet", startState{}, true},
 		{"in flight", startState{sent: true, inFlight: 1}, true},
 		{"no reply", startState{sent: true, unanswered: 1}, true},
-		{"answered, and not shown", startState{sent: true}, false},
-		{"shown before, and forgotten", startState{sent: true, reported: true, unanswered: 1}, false},
+		{"answered, but not reported", startState{sent: true}, false},
+		{"reported before, and forgotten since", startState{sent: true, reported: true, unanswered: 1}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			a := &attempt{start: test.start}
 			if got := a.startMayArrive(); got != test.want {
-				t.Errorf("mayStillArrive = %v, want %v", got, test.want)
+				t.Errorf("startMayArrive = %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -188,7 +189,7 @@
 		p.core.output = &messages.Output{}
 		p.logIgnoredHeartbeat(ignoredStaleCopy, m, nextHeartbeat(p, m))
 		if got := len(p.core.output.LogRecords); got != step.want {
-			t.Errorf("%d log records %d after the last look, want %d", got, step.after, step.want)
+			t.Errorf("%d log records %d µs after the previous heartbeat, want %d", got, step.after, step.want)
 		}
 	}
 }
