--- a/internal/coordination/reconciliation.go
+++ b/internal/coordination/reconciliation.go
@@ -6,12 +6,12 @@
 	"pipitlatch/internal/workload"
 )
 
-// reconcileTasks takes the tasks that a heartbeat shows for the truth about its machine.
+// reconcileTasks makes the attempts known for a machine match the tasks that its heartbeat reports.
 func (p *partitionLeader) reconcileTasks(m *machine, h *messages.Heartbeat) {
-	shown := make(map[messages.AttemptID]bool, len(h.Tasks))
+	reported := make(map[messages.AttemptID]bool, len(h.Tasks))
 	for i := range h.Tasks {
 		status := &h.Tasks[i]
-		shown[status.AttemptID] = true
+		reported[status.AttemptID] = true
 		a := m.attempts[status.AttemptID]
 		if a == nil {
 			a = p.adoptAttempt(m, status)
@@ -19,17 +19,18 @@
 		a.start.reported = true
 		p.updateAttempt(a, status)
 	}
-	if len(m.attempts) > len(shown) {
-		p.removeAbsentAttempts(m, shown)
+	if len(m.attempts) > len(reported) {
+		p.removeAbsentAttempts(m, reported)
 	}
 }
 
-// removeAbsentAttempts removes the attempts that a heartbeat does not show: the agent forgot them as
-// ordered, or, if they were never shown, surely did not start them.
-func (p *partitionLeader) removeAbsentAttempts(m *machine, shown map[messages.AttemptID]bool) {
+// removeAbsentAttempts removes the attempts that a heartbeat does not report, unless a start command
+// may still arrive. The agent was told to forget them, or, if they were never reported, did not
+// start them.
+func (p *partitionLeader) removeAbsentAttempts(m *machine, reported map[messages.AttemptID]bool) {
 	for _, id := range sortedAttempts(m) {
 		a := m.attempts[id]
-		if shown[id] || a.startMayArrive() {
+		if reported[id] || a.startMayArrive() {
 			continue
 		}
 		delete(m.attempts, id)
@@ -38,9 +39,9 @@
 	}
 }
 
-// startMayArrive tells whether the absence of an attempt in a heartbeat says nothing: its start
-// command still waits to be sent, or got no reply. Taking it for not started would run the task
-// twice.
+// startMayArrive reports whether the agent may still receive the start command of an attempt that
+// its heartbeat does not report: the command is not sent yet, or got no reply. Treating such an
+// attempt as not started could run the task twice.
 func (a *attempt) startMayArrive() bool {
 	return !a.start.sent || (!a.start.reported && a.start.inFlight+a.start.unanswered > 0)
 }
@@ -54,7 +55,7 @@
 	case a.job == nil:
 		p.endAdoptedWithoutJob(a, status)
 	case status.State == messages.Exited:
-		// The update that follows notes the exit.
+		// reconcileTasks records the exit afterwards, with updateAttempt.
 	case a.job.activeAttempts[status.Task] != nil:
 		p.stopDuplicate(a)
 	default:
@@ -63,8 +64,8 @@
 	return a
 }
 
-// newAdoptedAttempt returns the attempt that a heartbeat shows. Its job is nil if that has ended, or
-// has no such task.
+// newAdoptedAttempt returns an attempt for a task that a heartbeat reports. Its job is nil if the
+// job has ended or has no such task.
 func (p *partitionLeader) newAdoptedAttempt(m *machine, status *messages.TaskStatus) *attempt {
 	a := &attempt{
 		id:        status.AttemptID,
@@ -74,7 +75,7 @@
 		start:     startState{sent: true},
 	}
 	if status.State == messages.Exited {
-		a.state = messages.Fetching // so that the update that follows notes the exit
+		a.state = messages.Fetching // so that the updateAttempt that follows records the exit
 	}
 	a.job = p.jobs[status.Job]
 	if entry := p.core.cache.Jobs[status.Job]; entry != nil {
@@ -86,7 +87,7 @@
 	return a
 }
 
-// endAdoptedWithoutJob ends an adopted attempt whose job is not active here.
+// endAdoptedWithoutJob stops an adopted attempt whose job is not active in this partition.
 func (p *partitionLeader) endAdoptedWithoutJob(a *attempt, status *messages.TaskStatus) {
 	a.persisted = true
 	switch {
@@ -98,8 +99,8 @@
 	}
 }
 
-// stopDuplicate stops a second attempt at an active task, which must never happen. The task is not
-// pending again before both attempts have ended.
+// stopDuplicate stops a second attempt at an active task. Duplicates indicate a fault: a task must
+// never have two active attempts. The task is pending again only after both attempts have ended.
 func (p *partitionLeader) stopDuplicate(a *attempt) {
 	active := a.job.activeAttempts[a.id.Task]
 	p.core.log(messages.LevelWarn, "duplicate task attempt",
@@ -109,14 +110,15 @@
 	p.stopAttempt(a, 0)
 }
 
-// adoptActiveAttempt makes an adopted attempt the active one of its task, and ends it if the task is
-// not wanted any more.
+// adoptActiveAttempt makes an adopted attempt the active one of its task, and stops it if its job is
+// cancelled or the task is already completed.
 func (p *partitionLeader) adoptActiveAttempt(a *attempt, status *messages.TaskStatus) {
 	a.job.activeAttempts[status.Task] = a
 	a.job.pendingTasks.Remove(status.Task)
 	if status.State == messages.Running {
-		// The image is there, and the task has run for at least as long as this lease: without
-		// that, every failover forgot where images are and when machines will be free.
+		// The image is cached on the machine, and the time since now is a lower bound of the task's
+		// run time. Without this, every failover would lose the locations of images and the estimates
+		// of when machines become free.
 		a.runningSince = p.core.now
 		a.machine.useImage(a.job.Image, a.job.ImageGB)
 	}
@@ -129,7 +131,7 @@
 	p.plan.stale = true
 }
 
-// updateAttempt notes the state of an attempt that a heartbeat shows.
+// updateAttempt updates the state of an attempt from a heartbeat.
 func (p *partitionLeader) updateAttempt(a *attempt, status *messages.TaskStatus) {
 	switch {
 	case a.state == messages.Exited:
@@ -143,7 +145,7 @@
 	}
 }
 
-// observeRunning notes that an attempt has begun to run.
+// observeRunning records that an attempt has started running.
 func (p *partitionLeader) observeRunning(a *attempt) {
 	a.runningSince = p.core.now
 	if a.job == nil {
@@ -158,7 +160,7 @@
 	}
 }
 
-// observeExit notes that an attempt has exited.
+// observeExit handles the exit of an attempt.
 func (p *partitionLeader) observeExit(a *attempt, reason messages.ExitReason) {
 	p.release(a)
 	p.plan.stale = true
@@ -176,11 +178,11 @@
 	}
 }
 
-// minRatioSamples is how many tasks of a job must have completed before another is compared with
-// them: the estimate of the job's owner says little.
+// minRatioSamples is the number of completed tasks of a job from which the run time of a further one
+// is compared with their mean. The job owner's estimate is too unreliable to compare with.
 const minRatioSamples = 2
 
-// observeRuntime counts the run time of a completed task that was started under this lease.
+// observeRuntime records the run time of a completed task that was started under this lease.
 func (p *partitionLeader) observeRuntime(a *attempt) {
 	if !a.startedHere || a.runningSince <= 0 {
 		return
@@ -196,17 +198,18 @@
 }
 
 const (
-	// refusedStartPause is for how long a machine that refused a start gets no more.
+	// refusedStartPause is how long a machine that refused a start gets no further ones.
 	refusedStartPause = micros.Second
-	// unknownTaskPause is for how long a job is not started that an agent did not know.
+	// unknownTaskPause is how long no task of a job is started after an agent did not know its task.
 	unknownTaskPause = 2 * micros.Second
-	// maxFailurePause bounds how long a job that fails everywhere waits for its next start.
+	// maxFailurePause limits the pause between starts of a job that fails on every machine.
 	maxFailurePause = 60 * micros.Second
-	// maxFailureDoublings bounds how often the pause after failures is doubled.
+	// maxFailureDoublings limits how often the pause after failures is doubled.
 	maxFailureDoublings = 6
 )
 
-// observeIncompleteExit notes what an exit without completion says of the machine and the job.
+// observeIncompleteExit applies the consequences of an exit without completion to the machine and the
+// job.
 func (p *partitionLeader) observeIncompleteExit(a *attempt, reason messages.ExitReason) {
 	j, m := a.job, a.machine
 	switch reason {
@@ -219,12 +222,12 @@
 	case messages.ExitUnknownTask:
 		j.startsPausedUntil = p.core.now + unknownTaskPause
 	case messages.NotExited, messages.ExitCompleted, messages.ExitStopped:
-		// Nothing that speaks against the machine or the job.
+		// Neither the machine nor the job is at fault.
 	}
 }
 
-// observeFailure notes that a task failed. A job that fails everywhere is started less and less
-// often, until its user cancels it.
+// observeFailure records a failed task. A job that fails on every machine is started at increasing
+// intervals until its user cancels it.
 func (p *partitionLeader) observeFailure(a *attempt) {
 	j := a.job
 	p.core.faults.Failed(a.machine.id, j.ID)
