--- a/internal/coordination/reconciliation_test.go
+++ b/internal/coordination/reconciliation_test.go
@@ -7,7 +7,7 @@
 	"pipitlatch/internal/micros"
 )
 
-// anyRunningAttempt returns an attempt of a machine whose first heartbeat showed it running.
+// anyRunningAttempt returns an attempt that the machine's first heartbeat reported as running.
 func anyRunningAttempt(t *testing.T, m *machine) *attempt {
 	t.Helper()
 	for _, id := range sortedAttempts(m) {
@@ -62,7 +62,7 @@
 				t.Errorf("job known %v, stop ordered %v, active %v", a.job != nil, a.stop.ordered, active)
 			}
 			if m.attempts[status.AttemptID] != a || !a.start.sent {
-				t.Errorf("attempt is not recorded as started: %+v", a)
+				t.Errorf("attempt is not indexed as started: %+v", a)
 			}
 		})
 	}
@@ -108,22 +108,22 @@
 func TestReconcileTasksRemovesAbsentAttempts(t *testing.T) {
 	p := observedFleet(t)
 	m := p.machines[7]
-	gone := anyRunningAttempt(t, m)
-	waiting := unresolvedStart(p, m, 0)
+	absent := anyRunningAttempt(t, m)
+	unresolved := unresolvedStart(p, m, 0)
 	h := nextHeartbeat(p, m)
 	for id := range m.attempts {
-		if id != gone.id && id != waiting.id {
+		if id != absent.id && id != unresolved.id {
 			h.Tasks = append(h.Tasks, messages.TaskStatus{AttemptID: id, State: messages.Running})
 		}
 	}
 	p.reconcileTasks(m, h)
-	if m.attempts[gone.id] != nil || !gone.job.pendingTasks.Has(gone.id.Task) {
-		t.Error("a task that the heartbeat does not show any more is not pending again")
+	if m.attempts[absent.id] != nil || !absent.job.pendingTasks.Has(absent.id.Task) {
+		t.Error("task that the heartbeat no longer reports is not pending again")
 	}
-	if m.attempts[waiting.id] == nil {
-		t.Error("a start that may still arrive is taken for not started: the task would run twice")
+	if m.attempts[unresolved.id] == nil {
+		t.Error("attempt whose start may still arrive was removed: the task could run twice")
 	}
 	if len(m.attempts) != len(h.Tasks)+1 {
-		t.Errorf("%d attempts, want the %d that are shown and one that may still arrive", len(m.attempts), len(h.Tasks))
+		t.Errorf("%d attempts, want the %d reported and one whose start may still arrive", len(m.attempts), len(h.Tasks))
 	}
 }
