--- a/internal/coordination/attempt.go
+++ b/internal/coordination/attempt.go
@@ -8,7 +8,7 @@
 	"pipitlatch/internal/workload"
 )
 
-// attempt is one attempt at a task, on its machine.
+// attempt is one attempt to run a task on a machine.
 type attempt struct {
 	id              messages.AttemptID
 	machine         *machine
@@ -16,7 +16,7 @@
 	team            string
 	resources       workload.Resources
 	state           messages.TaskState
-	persisted       bool // nothing of it is left to be stored
+	persisted       bool // its result is stored, or there is none to store
 	startedHere     bool // started by this partition leader
 	createdAt       micros.Time
 	runningSince    micros.Time
@@ -25,24 +25,24 @@
 	stop            stopState
 }
 
-// startState is what became of the commands to start an attempt.
+// startState tracks the commands to start an attempt.
 type startState struct {
-	sent       bool // a start command went out, or a heartbeat showed the attempt
-	reported   bool // a heartbeat showed the attempt
-	inFlight   int  // start commands without a reply yet
-	unanswered int  // start commands that got no reply: they may still arrive late
+	sent       bool // a start command was sent, or a heartbeat reported the attempt
+	reported   bool // a heartbeat reported the attempt
+	inFlight   int  // start commands that wait for a reply
+	unanswered int  // start commands that got no reply and may still arrive late
 }
 
-// stopState is what was ordered to end an attempt.
+// stopState tracks the orders to stop an attempt.
 type stopState struct {
 	ordered      bool
 	gracePeriod  micros.Time
 	orderedAt    micros.Time // when the stop was first ordered
-	killDeadline micros.Time // of a cancelled job: when it must be shown as gone; 0: not cancelled
+	killDeadline micros.Time // by when an attempt of a cancelled job must be confirmed as gone; 0: none
 }
 
-// index records an attempt under its machine and its job: whatever concerns one job must not
-// go through every machine of the fleet.
+// index adds an attempt to the indexes of its machine and its job. The index by job avoids a scan of
+// all machines of the fleet for operations on one job.
 func (a *attempt) index() {
 	a.machine.attempts[a.id] = a
 	if a.job != nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// unindex undoes index.
+// unindex removes an attempt from the indexes of its machine and its job.
 func (a *attempt) unindex() {
 	delete(a.machine.attempts, a.id)
 	if a.job != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// sortedAttempts are the ids of a machine's attempts in order, so that a run can be repeated.
+// sortedAttempts returns the ids of a machine's attempts in order, which makes runs reproducible.
 func sortedAttempts(m *machine) []messages.AttemptID {
 	ids := make([]messages.AttemptID, 0, len(m.attempts))
 	for id := range m.attempts {
@@ -74,7 +74,7 @@
 	a.machine.lifecycle.idleSince = 0
 }
 
-// release marks an attempt as exited and frees its resources. Without effect if it had exited.
+// release marks an attempt as exited and frees its resources. It has no effect on an exited attempt.
 func (p *partitionLeader) release(a *attempt) {
 	if a.state == messages.Exited {
 		return
@@ -89,8 +89,8 @@
 	a.machine.lifecycle.idleSince = p.core.now
 }
 
-// requeue makes the task of an exited attempt pending again, unless it is completed or a
-// duplicate attempt at it is still there.
+// requeue makes the task of an exited attempt pending again, unless the task is completed. A duplicate
+// attempt that has not exited becomes the active one instead.
 func (p *partitionLeader) requeue(a *attempt) {
 	if a.job == nil || a.job.activeAttempts[a.id.Task] != a {
 		return
@@ -109,8 +109,8 @@
 	}
 }
 
-// stopAttempt orders an attempt to stop within a grace period. A stop that was ordered already
-// is repeated only to shorten its grace period.
+// stopAttempt orders an attempt to stop within a grace period. Repeated calls only ever shorten the
+// grace period. An attempt whose start command was not sent yet is revoked.
 func (p *partitionLeader) stopAttempt(a *attempt, gracePeriod micros.Time) {
 	if a.state == messages.Exited || (a.stop.ordered && a.stop.gracePeriod <= gracePeriod) {
 		return
@@ -126,7 +126,7 @@
 	a.machine.commands.Add(messages.Command{Operation: messages.Stop, AttemptID: a.id, GracePeriod: gracePeriod})
 }
 
-// revoke takes back an attempt whose start command was not sent yet.
+// revoke cancels an attempt whose start command was not sent yet.
 func (p *partitionLeader) revoke(a *attempt) {
 	p.release(a)
 	p.requeue(a)
