--- a/internal/coordination/attempt_test.go
+++ b/internal/coordination/attempt_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// start is an active attempt at a task; its start command was sent, or waits.
+// start adds an attempt at a task, whose start command was sent or is still queued.
 func (f *attemptFixture) start(task int, number uint64, sent bool) *attempt {
 	a := &attempt{
 		id:        messages.AttemptID{Job: f.job.ID, Task: task, Number: number},
@@ -46,26 +46,26 @@
 	return a
 }
 
-// startActive is start of the attempt that counts for its task.
+// startActive adds the active attempt at a task.
 func (f *attemptFixture) startActive(task int, sent bool) *attempt {
 	a := f.start(task, 1, sent)
 	f.job.activeAttempts[task] = a
 	return a
 }
 
-// takeCommands removes the commands that wait.
+// takeCommands removes and returns the machine's queued commands.
 func (f *attemptFixture) takeCommands() []messages.Command { return f.machine.commands.TakeBatch(100) }
 
-func TestStopIsOrderedOnceAndRepeatedOnlyToShortenIt(t *testing.T) {
+func TestRepeatedStopOnlyShortensGracePeriod(t *testing.T) {
 	tests := []struct {
 		name         string
 		gracePeriods []micros.Time
 		want         []micros.Time // of the commands
 	}{
 		{name: "once", gracePeriods: []micros.Time{5}, want: []micros.Time{5}},
-		{name: "the same again", gracePeriods: []micros.Time{5, 5}, want: []micros.Time{5}},
-		{name: "with more time", gracePeriods: []micros.Time{5, 9}, want: []micros.Time{5}},
-		{name: "with less time", gracePeriods: []micros.Time{5, 0}, want: []micros.Time{5, 0}},
+		{name: "repeated", gracePeriods: []micros.Time{5, 5}, want: []micros.Time{5}},
+		{name: "with a longer grace period", gracePeriods: []micros.Time{5, 9}, want: []micros.Time{5}},
+		{name: "with a shorter grace period", gracePeriods: []micros.Time{5, 0}, want: []micros.Time{5, 0}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -87,42 +87,42 @@
 				t.Errorf("ordered at %d, want %d", a.stop.orderedAt, first)
 			}
 			if f.job.activeAttempts[1] != a || f.job.pendingTasks.Has(1) {
-				t.Error("the task is pending before its attempt has exited")
+				t.Error("task is pending before its attempt has exited")
 			}
 		})
 	}
 }
 
-func TestStopOfAnExitedAttemptIsNotOrdered(t *testing.T) {
+func TestStopOfExitedAttemptIsIgnored(t *testing.T) {
 	f := newAttemptFixture()
 	a := f.startActive(1, true)
 	f.leader.release(a)
 	f.leader.stopAttempt(a, 0)
 	if commands := f.takeCommands(); len(commands) > 0 || a.stop.ordered {
-		t.Errorf("%+v", commands)
+		t.Errorf("commands %+v, stop ordered %v, want none", commands, a.stop.ordered)
 	}
 }
 
-func TestStopOfAnUnsentStartRevokesIt(t *testing.T) {
+func TestStopOfUnsentStartRevokesAttempt(t *testing.T) {
 	f := newAttemptFixture()
 	kept := f.startActive(0, false)
 	a := f.startActive(1, false)
 	f.leader.stopAttempt(a, 0)
 	if commands := f.takeCommands(); len(commands) != 1 || commands[0].AttemptID != kept.id {
-		t.Errorf("%+v", commands)
+		t.Errorf("commands %+v, want only the start of %+v", commands, kept.id)
 	}
 	if !f.job.pendingTasks.Has(1) || f.job.activeAttempts[1] != nil {
-		t.Error("the task is not pending again")
+		t.Error("task is not pending again")
 	}
 	if f.machine.attempts[a.id] != nil || len(f.job.attempts) != 1 {
-		t.Error("the attempt is not forgotten")
+		t.Error("revoked attempt is still indexed")
 	}
 	if got := f.leader.teamUsage["alpha"]; got != kept.resources {
-		t.Errorf("usage %+v", got)
+		t.Errorf("usage %+v, want %+v", got, kept.resources)
 	}
 }
 
-func TestReleaseFreesResourcesOnceAndTheMachineWithTheLast(t *testing.T) {
+func TestReleaseFreesResourcesOnceAndLastMakesMachineIdle(t *testing.T) {
 	f := newAttemptFixture()
 	first, last := f.startActive(0, true), f.startActive(1, true)
 	steps := []struct {
@@ -146,24 +146,24 @@
 	}
 }
 
-func TestRequeueOfAnExitedAttempt(t *testing.T) {
+func TestRequeueOfExitedAttempt(t *testing.T) {
 	tests := []struct {
 		name        string
 		change      func(f *attemptFixture)
 		wantPending bool
 		wantActive  uint64 // number of the attempt that is active now; 0: none
 	}{
-		{name: "pending again", change: func(*attemptFixture) {}, wantPending: true},
-		{name: "not if it is completed", change: func(f *attemptFixture) { f.job.completion.observe(1, false) }},
-		{name: "a duplicate becomes the active attempt", change: func(f *attemptFixture) {
+		{name: "task becomes pending", change: func(*attemptFixture) {}, wantPending: true},
+		{name: "completed task does not", change: func(f *attemptFixture) { f.job.completion.observe(1, false) }},
+		{name: "duplicate becomes the active attempt", change: func(f *attemptFixture) {
 			f.job.duplicateAttempts = append(f.job.duplicateAttempts, f.start(1, 2, true))
 		}, wantActive: 2},
-		{name: "an exited duplicate does not", change: func(f *attemptFixture) {
+		{name: "exited duplicate does not become active", change: func(f *attemptFixture) {
 			duplicate := f.start(1, 2, true)
 			f.job.duplicateAttempts = append(f.job.duplicateAttempts, duplicate)
 			f.leader.release(duplicate)
 		}, wantPending: true},
-		{name: "not if another attempt is active", change: func(f *attemptFixture) {
+		{name: "another attempt is active", change: func(f *attemptFixture) {
 			f.job.activeAttempts[1] = f.start(1, 3, true)
 		}, wantActive: 3},
 	}
