--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -11,12 +11,12 @@
 	"pipitlatch/internal/workload"
 )
 
-// machine is one machine of a partition as its leader knows it: its record in the store, what its
-// agent showed, and the attempts at tasks that it has or may have.
+// machine is the partition leader's state of one machine: its record in the store, what its agent
+// reported, and the attempts that it runs or may run.
 type machine struct {
 	id           string
 	record       storage.Machine
-	modRevision  uint64 // of the key of the machine's block
+	modRevision  uint64 // of the machine's block in the store
 	instanceType *workload.InstanceType
 	address      string
 
@@ -31,13 +31,13 @@
 	commands agents.CommandQueue
 }
 
-// machineLifecycle is when the machine came, was last used, and will be taken.
+// machineLifecycle holds the times at which a machine was added, last used and will be preempted.
 type machineLifecycle struct {
 	addedAt           micros.Time
-	idleSince         micros.Time // 0: it has tasks
+	idleSince         micros.Time // 0: it has active attempts
 	startsPausedUntil micros.Time
-	preemptAt         micros.Time // when the cloud takes the spot instance; 0: no preemption notice
-	preemptionHandled bool        // the tasks that will not end before preemptAt were stopped
+	preemptAt         micros.Time // when the cloud preempts the spot instance; 0: no preemption notice
+	preemptionHandled bool        // tasks that will not end before preemptAt were stopped
 }
 
 // machine returns the machine with this id, or nil.
@@ -51,8 +51,8 @@
 	return p.machines[i]
 }
 
-// useImage notes that a task with this image was started on the machine. What its cache holds
-// is not known before its instance type is.
+// useImage records that a task with this image was started on the machine. The size of the machine's
+// image cache is unknown until its instance type is known, so nothing is evicted before that.
 func (m *machine) useImage(name string, gb float64) {
 	if name == "" {
 		return
@@ -63,8 +63,9 @@
 	}
 }
 
-// schedulable tells whether tasks may be started on the machine: its tasks are known, it obeys this
-// partition leader, it stays, and messages have reached it and renewed its lease lately.
+// schedulable reports whether tasks may be started on the machine: its tasks are known, its agent
+// accepts commands of this partition leader, it is neither draining nor about to be preempted, and
+// messages have recently reached it and renewed its lease.
 func (p *partitionLeader) schedulable(m *machine) bool {
 	return m.agent.Usable(p.lease.fencingToken) &&
 		m.record.Used &&
@@ -76,10 +77,9 @@
 		p.sinceLastRenewal(m) < p.core.config.AgentLease()/2
 }
 
-// terminable tells whether the machine can be terminated without loss: nothing runs there, and no
-// result is kept there alone. A start command without a reply may still be carried out late, but
-// not after the termination; and until then the agent knows the attempt, so that the command has no
-// effect.
+// terminable reports whether the machine can be terminated without loss: nothing runs there, and no
+// result is kept only there. An unanswered start command may still arrive late, but not after the
+// termination, and until then the agent remembers the attempt, so the command has no effect.
 func (p *partitionLeader) terminable(m *machine) bool {
 	if m.commands.CallInFlight() || !m.commands.Empty() {
 		return false
@@ -92,8 +92,8 @@
 	return true
 }
 
-// transferable tells whether the machine could serve another partition: nothing on it matters any
-// more, and no start command may be carried out late, of which nobody would know there.
+// transferable reports whether the machine can be moved to another partition: it is terminable, and no
+// start command may still arrive late, since the leader of the other partition would not know of it.
 func (p *partitionLeader) transferable(m *machine) bool {
 	for _, a := range m.attempts {
 		if a.start.unanswered > 0 {
