--- a/internal/coordination/fleet_log.go
+++ b/internal/coordination/fleet_log.go
@@ -8,18 +8,18 @@
 const (
 	// fleetLogInterval is how often the state of the fleet is logged.
 	fleetLogInterval = 10 * micros.Second
-	// milliCPUsPerCPU is how many of the unit that CPUs are counted in make one.
+	// milliCPUsPerCPU converts from thousandths, in which CPU is counted, to whole CPUs.
 	milliCPUsPerCPU = 1000
 )
 
-// fleetUsage is what a part of the fleet does. CPU is in thousandths.
+// fleetUsage sums up the machines and the CPU usage of a part of the fleet. CPU is in thousandths.
 type fleetUsage struct {
 	machines, booting, draining                int
 	cpu, cpuBooting                            int64
 	cpuForServices, cpuForRunning, cpuStarting int64
 }
 
-// add counts a machine.
+// add adds a machine to the sums.
 func (u *fleetUsage) add(m *machine) {
 	u.machines++
 	u.cpu += m.instanceType.Capacity.CPU
@@ -43,24 +43,24 @@
 	}
 }
 
-// logFleet logs what the partition's machines do, ordinary and spot ones apart.
+// logFleet logs the usage of the partition's machines, separately for on-demand and spot machines.
 func (p *partitionLeader) logFleet(services, arrays []rankedJob) {
 	if p.core.now-p.plan.fleetLoggedAt < fleetLogInterval {
 		return
 	}
 	p.plan.fleetLoggedAt = p.core.now
 	waiting := waitingTasks(services) + waitingTasks(arrays)
-	var ordinary, spot fleetUsage
+	var onDemand, spot fleetUsage
 	for _, m := range p.machines {
 		switch {
 		case m.instanceType == nil:
 		case m.record.Spot:
 			spot.add(m)
 		default:
-			ordinary.add(m)
+			onDemand.add(m)
 		}
 	}
-	p.logFleetUsage(false, &ordinary, waiting)
+	p.logFleetUsage(false, &onDemand, waiting)
 	p.logFleetUsage(true, &spot, waiting)
 }
 
@@ -79,7 +79,7 @@
 		"tasks_waiting", waiting)
 }
 
-// waitingTasks is how many tasks of the jobs still wait.
+// waitingTasks returns the number of pending tasks of the jobs.
 func waitingTasks(jobs []rankedJob) int {
 	n := 0
 	for _, r := range jobs {
