--- a/internal/coordination/transfer.go
+++ b/internal/coordination/transfer.go
@@ -7,10 +7,10 @@
 	"pipitlatch/internal/storage"
 )
 
-// transferMachine moves an empty machine to another partition. This leader of the old partition
-// has let go of it, and both partitions get new fencing tokens in the same transaction, so that
-// the machine's agent obeys the leader of the new partition only, and that leader uses the
-// machine only after the agent acknowledged the new token.
+// transferMachine moves an empty machine to another partition. The leader of the old partition, in
+// this process, drains the machine first. The same transaction gives both partitions new fencing
+// tokens, so that the machine's agent obeys only the leader of the new partition, which uses the
+// machine only after the agent has acknowledged the new token.
 func (c *Core) transferMachine(transfer messages.MachineTransfer) {
 	record, ok := c.cache.Machines[transfer.Machine]
 	p := c.partitions[record.Value.Partition]
@@ -25,12 +25,13 @@
 	p.startDrain(m, drainTransfer)
 	request := p.transferRequest(m, record.Value, transfer.ToPartition, to)
 	if len(request.Puts) > c.config.Settings.StateLimits().TxnOps {
-		m.drain.reason = notDraining // a record of an older version, too large: the next change splits it
+		// The block was written by an older version and is too large. Its next change splits it.
+		m.drain.reason = notDraining
 		return
 	}
 	if !c.callStore(request, storage.Deferrable, storeTimeout, func(r *storage.Reply) {
-		// Unless the store surely refused it, the transfer may still happen: the machine stays
-		// drained here until the change stream shows it.
+		// Unless the store certainly rejected the transaction, it may still be applied, so the machine
+		// keeps draining here until the change stream shows the transfer.
 		if r.Outcome == storage.Conflict || r.Outcome == storage.Unavailable || r.Outcome == storage.Invalid {
 			m.drain.reason = notDraining
 		}
@@ -39,7 +40,7 @@
 	}
 }
 
-// transferRequest is the transaction that moves the machine from its block to a new one of
+// transferRequest returns the transaction that moves the machine from its block to a new block of
 // another partition.
 func (p *partitionLeader) transferRequest(
 	m *machine, record storage.Machine, toPartition int, to storage.Versioned[storage.PartitionRecord],
