--- a/internal/coordination/transfer_test.go
+++ b/internal/coordination/transfer_test.go
@@ -9,8 +9,8 @@
 	"pipitlatch/internal/storage"
 )
 
-// newTransferCore is a core that leads partition 0 with one unused machine; partition 1 has another
-// leader.
+// newTransferCore returns a core that leads partition 0, which has one unused machine. Partition 1 has
+// another leader.
 func newTransferCore(t *testing.T) *Core {
 	t.Helper()
 	c := newServing(t)
@@ -33,11 +33,11 @@
 	return c
 }
 
-func TestTransferIsOneTransactionUnderBothTokens(t *testing.T) {
+func TestTransferIsOneTransactionGuardedByBothTokens(t *testing.T) {
 	c := newTransferCore(t)
 	c.transferMachine(messages.MachineTransfer{Machine: "vm-000001", ToPartition: 1})
 	if len(c.output.StoreCalls) != 1 {
-		t.Fatalf("%d requests", len(c.output.StoreCalls))
+		t.Fatalf("%d store requests, want 1", len(c.output.StoreCalls))
 	}
 	r := c.output.StoreCalls[0].Request
 	newBlock := c.keys.Block("m30-vm-000001")
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestTransferIsNotBegun(t *testing.T) {
+func TestTransferIsNotStarted(t *testing.T) {
 	tests := []struct {
 		name   string
 		to     int
@@ -69,7 +69,7 @@
 		{name: "to a partition without a record", to: 2, change: func(*Core, *machine) {}},
 		{name: "of a draining machine", to: 1, change: func(_ *Core, m *machine) { m.drain.reason = drainIdle }},
 		{name: "of a machine with commands", to: 1, change: func(_ *Core, m *machine) { m.commands.Add(messages.Command{}) }},
-		{name: "after the term", to: 1, change: func(c *Core, _ *machine) { c.now += 1000 * micros.Second }},
+		{name: "after the end of the term", to: 1, change: func(c *Core, _ *machine) { c.now += 1000 * micros.Second }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -79,22 +79,22 @@
 			before := m.drain
 			c.transferMachine(messages.MachineTransfer{Machine: "vm-000001", ToPartition: test.to})
 			if len(c.output.StoreCalls) > 0 || m.drain != before {
-				t.Errorf("%d requests, drain %+v", len(c.output.StoreCalls), m.drain)
+				t.Errorf("%d store requests, drain %+v, want none and %+v", len(c.output.StoreCalls), m.drain, before)
 			}
 		})
 	}
 }
 
-func TestMachineStaysDrainedWhileItsTransferMayHappen(t *testing.T) {
+func TestMachineKeepsDrainingWhileTransferMayBeApplied(t *testing.T) {
 	tests := []struct {
 		name    string
 		outcome storage.Outcome
 		want    drainReason
 	}{
-		{name: "done", outcome: storage.OK, want: drainTransfer},
+		{name: "applied", outcome: storage.OK, want: drainTransfer},
 		{name: "unknown", outcome: storage.OutcomeUnknown, want: drainTransfer},
 		{name: "conflict", outcome: storage.Conflict, want: notDraining},
-		{name: "refused", outcome: storage.Unavailable, want: notDraining},
+		{name: "unavailable", outcome: storage.Unavailable, want: notDraining},
 		{name: "invalid", outcome: storage.Invalid, want: notDraining},
 	}
 	for _, test := range tests {
