--- a/internal/coordination/block_records.go
+++ b/internal/coordination/block_records.go
@@ -6,22 +6,22 @@
 	"pipitlatch/internal/storage"
 )
 
-// Every write fits the smaller of the store's limits in force and to come: the change comes
-// unannounced, and a record that could not be written any more would stop its job, block or
-// partition.
+// Every write fits both the store's current limits and the announced next ones, because the store
+// switches to the next ones at an unknown time. A record that no longer fitted could not be written,
+// and its job, block or partition would be stuck.
 
-// blockRecordReserve is left of a block's record for all but its machines.
+// blockRecordReserve is the number of bytes of a block's record reserved for everything but its machines.
 const blockRecordReserve = 200
 
-// maxBlockMachines is how many machines a block is given.
+// maxBlockMachines returns the maximum number of machines that are placed in one block.
 func (c *Core) maxBlockMachines() int {
 	fitting := (c.config.Settings.MaxValue() - blockRecordReserve) / storage.MachineRecordBytes
 	return max(1, min(storage.MaxBlockMachines, fitting))
 }
 
-// putBlock adds the write of a block's record to a request: in several blocks where it is
-// too large for one, as what an older version wrote may be, or with long names. The names
-// of the others are new, and guarded as such, so that they overwrite nothing.
+// putBlock adds the write of a block's record to a request. A record that is too large, because it
+// was written by an older version or has long names, is split into several blocks. The additional
+// blocks get unused names, and compares guard against overwriting an existing block.
 func (c *Core) putBlock(r *storage.Request, name string, record storage.BlockRecord) {
 	suffix := 0
 	for i, part := range record.Split(c.config.Settings.MaxValue()) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// unusedBlockKey is the key of a block that does not exist, named after another and the first
-// unused suffix from one on, and the suffix after it.
+// unusedBlockKey returns the key of a block that does not exist, whose name is the given one with the
+// first unused suffix that is not below the given one. It also returns the suffix to continue from.
 func (c *Core) unusedBlockKey(name string, suffix int) (key string, next int) {
 	for ; ; suffix++ {
 		candidate := fmt.Sprintf("%s+%d", name, suffix)
