--- a/internal/coordination/block_records_test.go
+++ b/internal/coordination/block_records_test.go
@@ -8,15 +8,15 @@
 	"pipitlatch/internal/storage"
 )
 
-func TestMaxBlockMachinesFitsTheLimitOfValues(t *testing.T) {
+func TestMaxBlockMachinesFitsValueLimit(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		valueKB float64
 		want    int
 	}{
-		{"as many as the cloud grants at once", 16, storage.MaxBlockMachines},
-		{"as many as a record takes", 1, (972 - blockRecordReserve) / storage.MachineRecordBytes},
-		{"one at least", 0.1, 1},
+		{"limited by what the cloud grants at once", 16, storage.MaxBlockMachines},
+		{"limited by the record size", 1, (972 - blockRecordReserve) / storage.MachineRecordBytes},
+		{"at least one", 0.1, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			cfg := testConfig(t)
@@ -28,7 +28,7 @@
 	}
 }
 
-// blockKeys are the keys of blocks.
+// blockKeys returns the keys of the named blocks.
 func blockKeys(names []string) []string {
 	var keys []string
 	for _, name := range names {
@@ -37,7 +37,7 @@
 	return keys
 }
 
-// writtenKeys are the keys that a request sets, and those that must not exist for it.
+// writtenKeys returns the keys that a request writes, and those that it requires not to exist.
 func writtenKeys(r *storage.Request) (written, guarded []string) {
 	for _, put := range r.Puts {
 		written = append(written, put.Key)
@@ -50,17 +50,17 @@
 	return written, guarded
 }
 
-// requireValuesFit fails the test if a value of the request is too large.
+// requireValuesFit fails the test if a value of the request exceeds the maximum size.
 func requireValuesFit(t *testing.T, r *storage.Request, maxValue int) {
 	t.Helper()
 	for _, put := range r.Puts {
 		if len(put.Value) > maxValue {
-			t.Errorf("%s has %d bytes, want %d at most", put.Key, len(put.Value), maxValue)
+			t.Errorf("%s has %d bytes, want at most %d", put.Key, len(put.Value), maxValue)
 		}
 	}
 }
 
-func TestPutBlockSplitsWhatIsTooLarge(t *testing.T) {
+func TestPutBlockSplitsOversizedRecords(t *testing.T) {
 	record := storage.BlockRecord{InstanceType: "m", Zone: "a", Machines: map[string]storage.MachineRecord{}}
 	for i := range 40 {
 		record.Machines[fmt.Sprintf("vm-%06d", i)] = storage.MachineRecord{}
@@ -70,11 +70,11 @@
 		valueKB float64
 		exists  []string
 		want    []string
-		guarded []string // as keys that do not exist
+		guarded []string // names of blocks that must not exist
 	}{
-		{"nothing that fits", 16, nil, []string{"b"}, nil},
-		{"under new names", 0.3, nil, []string{"b", "b+0", "b+1", "b+2"}, []string{"b+0", "b+1", "b+2"}},
-		{"under names that are unused", 0.3, []string{"b+0", "b+2"},
+		{"record that fits is not split", 16, nil, []string{"b"}, nil},
+		{"parts get new names", 0.3, nil, []string{"b", "b+0", "b+1", "b+2"}, []string{"b+0", "b+1", "b+2"}},
+		{"parts skip names in use", 0.3, []string{"b+0", "b+2"},
 			[]string{"b", "b+1", "b+3", "b+4"}, []string{"b+1", "b+3", "b+4"}},
 	}
 	for _, test := range tests {
