--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -12,47 +12,47 @@
 	"pipitlatch/internal/workload"
 )
 
-// partitionLeader plans the jobs of one partition and directs its machines, for as long as this
-// process holds the partition's lease. It is made when the lease is acquired and dropped when the
-// lease is lost; all that it knows is found out anew from the cache and from heartbeats.
+// partitionLeader schedules the jobs of one partition and manages its machines while this process
+// holds the partition's lease. It is created when the lease is acquired and discarded when the lease
+// is lost. Its state is rebuilt from the cache and from heartbeats.
 type partitionLeader struct {
 	core      *Core
 	partition int
 	lease     partitionLease
 
-	machines       []*machine // by name
-	sortedJobs     []*job     // by id
+	machines       []*machine // sorted by id
+	sortedJobs     []*job     // sorted by id
 	jobs           map[string]*job
 	teamUsage      map[string]workload.Resources // by team
 	attemptCounter uint64
 
 	plan          planState
-	fairShares    *fairShares // nil: off
+	fairShares    *fairShares // nil: disabled
 	consolidation consolidationState
 	detector      *failuredetector.Detector
 	dependencies  dependencyState
 
 	lastTick      micros.Time
-	sendRound     int                    // counts rounds of sending commands
+	sendRound     int                    // number of rounds of sending commands
 	probeQueue    []*machine             // to be probed in this tick
-	useWriteAfter map[string]micros.Time // by block: when its machines in use may be written again
-	pendingKills  []*attempt             // attempts of cancelled jobs that are not shown as gone
+	useWriteAfter map[string]micros.Time // by block: when the use of its machines may be written again
+	pendingKills  []*attempt             // attempts of cancelled jobs not confirmed as gone yet
 
-	progressCursor           string      // the job with which the next message on progress begins
+	progressCursor           string      // id of the first job in the next progress message
 	ignoredHeartbeatLoggedAt micros.Time // when an ignored heartbeat was last logged
 }
 
 // partitionLease is the lease under which a process leads a partition.
 type partitionLease struct {
-	// acquiredToken is the mod revision at which leadership was acquired: jobs older than that
-	// may run on machines that are not reconciled yet.
+	// acquiredToken is the mod revision at which leadership was acquired. Jobs older than that may
+	// run on machines that are not reconciled yet.
 	acquiredToken uint64
-	fencingToken  uint64 // mod revision of the partition's key now
+	fencingToken  uint64 // current mod revision of the partition's key
 	formerLeaders []storage.Process
 	acquiredAt    micros.Time
 }
 
-// newPartitionLeader takes a partition over whose lease this process just acquired.
+// newPartitionLeader returns the leader of a partition whose lease this process has just acquired.
 func newPartitionLeader(
 	c *Core, partition int, stored storage.Versioned[storage.PartitionRecord],
 ) *partitionLeader {
@@ -84,7 +84,7 @@
 	return p
 }
 
-// partitionOfJob is the partition that plans a job: its team's.
+// partitionOfJob returns the partition that schedules a job, which is that of its team.
 func (c *Core) partitionOfJob(j *workload.Job) int {
 	if team := c.teams[j.Team]; team != nil {
 		return team.Partition
@@ -92,8 +92,8 @@
 	return 0
 }
 
-// renewToken takes a new fencing token under the same lease: every agent has to acknowledge it
-// before it is sent commands again.
+// renewToken sets a new fencing token under the same lease. An agent gets commands again only after
+// it has acknowledged the new token.
 func (p *partitionLeader) renewToken(token uint64) {
 	if token != p.lease.fencingToken {
 		p.lease.fencingToken = token
@@ -101,8 +101,8 @@
 	}
 }
 
-// reconcileSnapshot compares everything with a new snapshot of the store: also what the cache
-// before it had, and the snapshot has no more.
+// reconcileSnapshot applies a new snapshot of the store to all jobs and machines, including those of
+// the old cache that the snapshot no longer contains.
 func (p *partitionLeader) reconcileSnapshot(old *storage.Cache) {
 	for _, id := range sortedKeys(old.Jobs) {
 		p.jobChanged(id)
@@ -118,12 +118,12 @@
 	}
 }
 
-// tick does what is due. Health comes first, then what is to be stored, then the plan, and last
-// the commands that all of these produced.
+// tick runs the periodic work: first the health checks, then the writes to the store, then
+// scheduling, and last the sending of the commands that these produced.
 func (p *partitionLeader) tick() {
 	now := p.core.now
 	if now-p.lastTick > micros.Second {
-		// This process did not run for a while: that nothing was heard was its own fault.
+		// This process was paused, so the silence of machines in that time does not count against them.
 		p.detector.RestartSilence(now)
 		for _, m := range p.machines {
 			m.contact.DiscountSilence(now - p.suspicionTimeout()/2)
@@ -155,15 +155,15 @@
 	p.sendCommands()
 }
 
-// machineChanged brings a machine up to its record in the cache, which may be gone or in another
-// partition.
+// machineChanged updates a machine from its record in the cache. The record may have been deleted or
+// have moved to another partition.
 func (p *partitionLeader) machineChanged(id string) {
 	stored, ok := p.core.cache.Machines[id]
 	m := p.machine(id)
 	switch {
 	case !ok || stored.Value.Partition != p.partition:
 		// The cluster leader removes a machine from its block only after the cloud confirmed that
-		// it is gone, and a machine is transferred only after its partition leader let go of it.
+		// it is gone, and a machine is transferred only after its partition leader has drained it.
 		p.removeMachine(id)
 	case m == nil:
 		p.addMachine(id, stored)
@@ -173,7 +173,7 @@
 	}
 }
 
-// addMachine takes on a machine that came into the partition.
+// addMachine adds a machine that is new in the partition.
 func (p *partitionLeader) addMachine(id string, stored storage.Versioned[storage.Machine]) {
 	m := &machine{
 		id:          id,
@@ -184,8 +184,9 @@
 		lifecycle:   machineLifecycle{addedAt: p.core.now, idleSince: p.core.now},
 		attempts:    map[messages.AttemptID]*attempt{},
 	}
-	// Nobody starts tasks on a machine before its record says so, and a block that is newer than
-	// the lease never belonged to a former leader.
+	// The machine certainly has no tasks in these cases: tasks are started on a machine only after
+	// its record says that it is used, and a block that is newer than the lease never belonged to a
+	// former leader.
 	if !stored.Value.Used || stored.ModRevision > p.lease.acquiredToken {
 		m.agent.Reconcile()
 	}
@@ -196,8 +197,8 @@
 	p.plan.stale = true
 }
 
-// removeMachine forgets a machine that surely has no tasks any more: it is gone, or it is in
-// another partition.
+// removeMachine removes a machine that certainly has no tasks of this partition any more, because it
+// was terminated or moved to another partition.
 func (p *partitionLeader) removeMachine(id string) {
 	m := p.machine(id)
 	if m == nil {
@@ -213,8 +214,7 @@
 	p.core.log(messages.LevelInfo, "machine terminated", "machine", id, "reason", m.drain.reason)
 }
 
-// clearAttempts records that the machine surely has none of the tasks known so far: their attempts
-// have ended.
+// clearAttempts ends all known attempts of a machine that certainly no longer runs any of them.
 func (p *partitionLeader) clearAttempts(m *machine) {
 	for _, id := range sortedAttempts(m) {
 		a := m.attempts[id]
@@ -229,8 +229,8 @@
 	p.plan.stale = true
 }
 
-// jobChanged brings a job up to its record in the cache: one that became active is queued, one
-// that is active no more, or in another partition, ends.
+// jobChanged updates a job from its record in the cache. A job that became active is queued, and one
+// that is no longer active, or belongs to another partition, is removed.
 func (p *partitionLeader) jobChanged(id string) {
 	record := p.core.cache.Jobs[id]
 	j := p.jobs[id]
@@ -251,7 +251,7 @@
 	}
 }
 
-// addJob queues a job that became active.
+// addJob adds a job that became active to the queue.
 func (p *partitionLeader) addJob(record *storage.JobEntry) {
 	j := newJob(record)
 	p.jobs[j.ID] = j
@@ -265,7 +265,7 @@
 		"estimate_ms", j.Estimate/micros.Millisecond, "due_ms", j.Deadline/micros.Millisecond)
 }
 
-// removeJob stops what is left of a job that is done or cancelled.
+// removeJob removes a job that is no longer active in this partition and stops its remaining attempts.
 func (p *partitionLeader) removeJob(j *job) {
 	cancelled := p.core.isCancelled(j.ID)
 	delete(p.jobs, j.ID)
