--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -11,7 +11,7 @@
 	"pipitlatch/internal/workload"
 )
 
-// newLeadingCore is a core that leads partition 0, since mod revision 30, with no machines and no jobs.
+// newLeadingCore returns a core that has led partition 0 since mod revision 30, without machines or jobs.
 func newLeadingCore(t *testing.T) *Core {
 	t.Helper()
 	c := newServing(t)
@@ -22,40 +22,40 @@
 	return c
 }
 
-func TestJobsFollowTheirRecords(t *testing.T) {
+func TestJobChanged(t *testing.T) {
 	active := func() *storage.JobEntry { return &storage.JobEntry{Job: testJob(1), ModRevision: 40} }
 	tests := []struct {
 		name          string
 		record        *storage.JobEntry
-		wantLed       bool
-		wantCancelled bool // with a dependency, which is to be written
+		wantManaged   bool
+		wantCancelled bool // cancelled by a dependency, which is still to be stored
 	}{
-		{name: "active", record: active(), wantLed: true},
+		{name: "active", record: active(), wantManaged: true},
 		{name: "removed"},
 		{name: "done", record: &storage.JobEntry{Job: testJob(1).Tombstone(workload.Done)}},
 		{name: "cancelled", record: &storage.JobEntry{Job: testJob(1).Tombstone(workload.Cancelled)}},
-		{name: "cancelled with a dependency", wantCancelled: true,
+		{name: "cancelled by a dependency", wantCancelled: true,
 			record: &storage.JobEntry{Job: testJob(1), CancelledByDependency: true}},
 	}
 	for _, test := range tests {
-		for _, led := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, led before: %v", test.name, led), func(t *testing.T) {
+		for _, managed := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, managed before: %v", test.name, managed), func(t *testing.T) {
 				c := newLeadingCore(t)
 				p := c.partitions[0]
-				if led {
+				if managed {
 					replaceJobRecord(p, active())
 				}
 				replaceJobRecord(p, test.record)
-				requireManaged(t, p, test.record, test.wantLed)
+				requireManaged(t, p, test.record, test.wantManaged)
 				if got := p.dependencies.cancelled[testJob(1).ID]; got != test.wantCancelled {
-					t.Errorf("cancelled with a dependency: %v, want %v", got, test.wantCancelled)
+					t.Errorf("cancelled by a dependency: %v, want %v", got, test.wantCancelled)
 				}
 			})
 		}
 	}
 }
 
-// replaceJobRecord makes the cache have another record of the test job, or none.
+// replaceJobRecord replaces the record of the test job in the cache, or deletes it if record is nil.
 func replaceJobRecord(p *partitionLeader, record *storage.JobEntry) {
 	id := testJob(1).ID
 	delete(p.core.cache.Jobs, id)
@@ -65,19 +65,20 @@
 	p.jobChanged(id)
 }
 
-// requireManaged fails the test unless the test job is led by this record, or is not led.
+// requireManaged fails the test unless the leader manages the test job with this record, or, if want is
+// false, does not manage it.
 func requireManaged(t *testing.T, p *partitionLeader, record *storage.JobEntry, want bool) {
 	t.Helper()
 	j := p.jobs[testJob(1).ID]
 	if got := j != nil; got != want || got != (len(p.sortedJobs) == 1) {
-		t.Fatalf("led %v (%d), want %v", got, len(p.sortedJobs), want)
+		t.Fatalf("managed %v (%d sorted jobs), want %v", got, len(p.sortedJobs), want)
 	}
 	if want && j.record != record {
-		t.Error("not by its newest record")
+		t.Error("job does not have its newest record")
 	}
 }
 
-func TestEndOfAJobStopsItsAttempts(t *testing.T) {
+func TestRemovedJobStopsItsAttempts(t *testing.T) {
 	tests := []struct {
 		name       string
 		phase      workload.Phase
@@ -99,10 +100,10 @@
 			p.jobChanged(id)
 			commands := f.takeCommands()
 			if len(commands) != 1 || commands[0].Operation != messages.Stop || commands[0].AttemptID != a.id {
-				t.Errorf("%+v", commands)
+				t.Errorf("commands %+v, want one stop of %+v", commands, a.id)
 			}
 			if a.job != nil || !a.persisted {
-				t.Error("the attempt still belongs to the job")
+				t.Error("attempt still belongs to the removed job")
 			}
 			if got := slices.Contains(p.pendingKills, a); got != test.wantKilled {
 				t.Errorf("killed %v, want %v", got, test.wantKilled)
@@ -111,7 +112,7 @@
 	}
 }
 
-func TestMachinesFollowTheirRecords(t *testing.T) {
+func TestMachineChanged(t *testing.T) {
 	tests := []struct {
 		name           string
 		used           bool
@@ -132,7 +133,7 @@
 			p.machineChanged("m")
 			m := p.machine("m")
 			if m == nil {
-				t.Fatal("not in the partition")
+				t.Fatal("machine is not in the partition")
 			}
 			if got := m.agent.Reconciled(); got != test.wantReconciled {
 				t.Errorf("reconciled %v, want %v", got, test.wantReconciled)
@@ -141,20 +142,20 @@
 			c.cache.Machines["m"] = stored
 			p.machineChanged("m")
 			if p.machine("m") != nil {
-				t.Error("still in the partition after its transfer")
+				t.Error("machine is still in the partition after its transfer")
 			}
 		})
 	}
 }
 
-func TestSilenceWhileTheProcessDidNotRunIsItsOwn(t *testing.T) {
+func TestTickDiscountsSilenceAfterProcessPause(t *testing.T) {
 	tests := []struct {
 		name  string
 		pause micros.Time
 		want  bool
 	}{
-		{name: "a late tick", pause: micros.Second},
-		{name: "a standstill", pause: micros.Second + 1, want: true},
+		{name: "late tick", pause: micros.Second},
+		{name: "process was paused", pause: micros.Second + 1, want: true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
