--- a/internal/coordination/partition_status.go
+++ b/internal/coordination/partition_status.go
@@ -7,17 +7,18 @@
 	"pipitlatch/internal/coordination/messages"
 )
 
-// What one status message to the peers has room for, with the longest names, whatever the size
-// of the fleet. The next message has what is left then: the cluster leader terminates a hundred
-// machines at a time, and transfers one idle machine at a time.
+// Limits on the entries of one status message to the peers, so that it fits into one message with the
+// longest names and any fleet size. Entries that do not fit go into a later message. That is soon
+// enough, because the cluster leader terminates 100 machines at a time and transfers one idle machine
+// at a time.
 const (
 	maxTerminationsPerStatus = 1000
-	maxIdlePerStatus         = 100 // spot machines, and as many others
+	maxIdlePerStatus         = 100 // spot machines, and as many on-demand ones
 	maxProgressPerMessage    = 500 // jobs
 )
 
-// status is what the cluster leader learns of the partition: the capacity that it requests, and
-// the machines that can be terminated or transferred.
+// status returns the report on the partition to the cluster leader: the capacity that the partition
+// requests, and the machines that can be terminated or transferred.
 func (p *partitionLeader) status() messages.PartitionStatus {
 	s := messages.PartitionStatus{
 		Partition:        p.partition,
@@ -29,8 +30,8 @@
 		return s
 	}
 	s.Lags = p.fairShares.lags()
-	severalPartitions := p.core.partitionCount() > 1
-	idle := map[bool]int{} // of spot machines, and of the others
+	multiplePartitions := p.core.partitionCount() > 1
+	idle := map[bool]int{} // number of idle machines listed, by whether they are spot machines
 	for _, m := range p.machines {
 		switch {
 		case p.unresponsivenessInDoubt(m):
@@ -38,7 +39,7 @@
 			if len(s.Terminate) < maxTerminationsPerStatus {
 				s.Terminate = append(s.Terminate, m.id)
 			}
-		case severalPartitions && idle[m.record.Spot] < maxIdlePerStatus && p.schedulable(m) && p.transferable(m):
+		case multiplePartitions && idle[m.record.Spot] < maxIdlePerStatus && p.schedulable(m) && p.transferable(m):
 			idle[m.record.Spot]++
 			s.Idle = append(s.Idle, m.id)
 		}
@@ -46,17 +47,17 @@
 	return s
 }
 
-// unresponsivenessInDoubt tells whether the machine drains as unresponsive although the network
-// near this controller or to its zone may be at fault: it is not terminated for that, unless its
-// agent lease expired.
+// unresponsivenessInDoubt reports whether the machine drains as unresponsive although the network of
+// this controller or of the machine's zone may be at fault. Such a machine is not terminated unless
+// its agent lease expired.
 func (p *partitionLeader) unresponsivenessInDoubt(m *machine) bool {
 	return m.drain.reason == drainUnresponsive &&
 		(p.detector.NetworkSuspected(p.core.now) || p.detector.ZoneVerdictPending(p.core.now, m.record.Zone)) &&
 		!m.agent.LeaseExpired()
 }
 
-// readyForTermination tells whether the machine drains and need not be waited for: its tasks are
-// lost, or it has none.
+// readyForTermination reports whether the machine drains and can be terminated now, because its tasks
+// are lost or it has none.
 func (p *partitionLeader) readyForTermination(m *machine) bool {
 	reason := m.drain.reason
 	if reason == notDraining {
@@ -66,8 +67,8 @@
 	return lost || m.decommissioned() || p.terminable(m)
 }
 
-// jobProgress is how far jobs are, for display by the peers. With more jobs than one message
-// takes, the next goes on where the last ended, so that none is left out.
+// jobProgress returns the progress of jobs, which the peers show to users. If there are more jobs than
+// fit in one message, the next message continues where this one ended.
 func (p *partitionLeader) jobProgress() []messages.JobProgress {
 	first, _ := slices.BinarySearchFunc(p.sortedJobs, p.progressCursor, compareJobID)
 	var progress []messages.JobProgress
@@ -85,5 +86,5 @@
 	return progress
 }
 
-// compareJobID orders a job against an id, for searches in sortedJobs.
+// compareJobID compares a job with an id, for binary searches in sortedJobs.
 func compareJobID(j *job, id string) int { return cmp.Compare(j.ID, id) }
