--- a/internal/coordination/partition_status_test.go
+++ b/internal/coordination/partition_status_test.go
@@ -7,47 +7,47 @@
 	"pipitlatch/internal/storage"
 )
 
-func TestDrainingMachinesAreTerminatedOnceNothingIsLost(t *testing.T) {
+func TestReadyForTermination(t *testing.T) {
 	tests := []struct {
-		reason                drainReason
-		wantBusy, wantWithout bool // with tasks, and without
+		reason             drainReason
+		wantBusy, wantIdle bool // with and without tasks
 	}{
 		{reason: notDraining},
-		{reason: drainUnresponsive, wantBusy: true, wantWithout: true},
-		{reason: drainBootTimeout, wantBusy: true, wantWithout: true},
-		{reason: drainUnresolvedStart, wantBusy: true, wantWithout: true},
-		{reason: drainAgentRestarted, wantBusy: true, wantWithout: true},
-		{reason: drainUnreachable, wantBusy: true, wantWithout: true},
-		{reason: drainKillTimeout, wantBusy: true, wantWithout: true},
-		{reason: drainQuarantined, wantWithout: true},
-		{reason: drainSlow, wantWithout: true},
-		{reason: drainCannotReport, wantWithout: true},
-		{reason: drainIdle, wantWithout: true},
-		{reason: drainConsolidation, wantWithout: true},
-		{reason: drainTransfer, wantWithout: true},
+		{reason: drainUnresponsive, wantBusy: true, wantIdle: true},
+		{reason: drainBootTimeout, wantBusy: true, wantIdle: true},
+		{reason: drainUnresolvedStart, wantBusy: true, wantIdle: true},
+		{reason: drainAgentRestarted, wantBusy: true, wantIdle: true},
+		{reason: drainUnreachable, wantBusy: true, wantIdle: true},
+		{reason: drainKillTimeout, wantBusy: true, wantIdle: true},
+		{reason: drainQuarantined, wantIdle: true},
+		{reason: drainSlow, wantIdle: true},
+		{reason: drainCannotReport, wantIdle: true},
+		{reason: drainIdle, wantIdle: true},
+		{reason: drainConsolidation, wantIdle: true},
+		{reason: drainTransfer, wantIdle: true},
 	}
 	for _, test := range tests {
 		t.Run("reason "+test.reason.String(), func(t *testing.T) {
 			f := newAttemptFixture()
 			f.machine.drain.reason = test.reason
-			if got := f.leader.readyForTermination(f.machine); got != test.wantWithout {
-				t.Errorf("without tasks: %v, want %v", got, test.wantWithout)
+			if got := f.leader.readyForTermination(f.machine); got != test.wantIdle {
+				t.Errorf("ready without tasks: %v, want %v", got, test.wantIdle)
 			}
 			f.startActive(0, true)
 			if got := f.leader.readyForTermination(f.machine); got != test.wantBusy {
-				t.Errorf("with tasks: %v, want %v", got, test.wantBusy)
+				t.Errorf("ready with tasks: %v, want %v", got, test.wantBusy)
 			}
 		})
 	}
 }
 
-func TestStatusSaysNothingOfMachinesAfterTheTerm(t *testing.T) {
+func TestStatusOmitsMachinesAfterTerm(t *testing.T) {
 	for name, test := range map[string]struct {
 		valid bool
 		want  []string
 	}{
-		"within": {valid: true, want: []string{"m"}},
-		"after":  {},
+		"within the term": {valid: true, want: []string{"m"}},
+		"after the term":  {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newLeadingCore(t)
@@ -59,7 +59,7 @@
 				c.now += c.config.LeadershipTerm()
 			}
 			if got := p.status().Terminate; !slices.Equal(got, test.want) {
-				t.Errorf("to be terminated %v, want %v", got, test.want)
+				t.Errorf("machines to terminate %v, want %v", got, test.want)
 			}
 		})
 	}
