--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -186,7 +186,7 @@
 // leaves time for everything else is measured outside.
 func (c *Core) ObserveStepDuration(d micros.Time) {
 	if c.lastPlanned != nil {
-		c.lastPlanned.plan.took(d)
+		c.lastPlanned.plan.recordDuration(d)
 	}
 	c.lastPlanned = nil
 }
--- a/internal/coordination/plan_state.go
+++ b/internal/coordination/plan_state.go
@@ -58,7 +58,7 @@
 	s.inheritedUrgency = nil
 }
 
-// took sets the time of the next plan by how long the last one took.
-func (s *planState) took(duration micros.Time) {
+// recordDuration sets the time of the next plan by how long the last one recordDuration.
+func (s *planState) recordDuration(duration micros.Time) {
 	s.interval = min(maxPlanInterval, max(minPlanInterval, planTimeDivisor*duration))
 }
--- a/internal/coordination/plan_state_test.go
+++ b/internal/coordination/plan_state_test.go
@@ -30,7 +30,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := newPlanState()
 			s.begin(lastRunAt)
-			s.took(c.lastTook)
+			s.recordDuration(c.lastTook)
 			s.stale = c.staleSince
 			if got := s.due(lastRunAt + c.age); got != c.want {
 				t.Errorf("due %v, want %v", got, c.want)
