--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -13,8 +13,8 @@
 const (
 	// minPreemptionGain is how much earlier a task has to start for work to be stopped for it.
 	minPreemptionGain = micros.Second
-	// costOfAStop is what stopping an attempt costs besides the work lost, in seconds.
-	costOfAStop = 1
+	// stopOverheadSeconds is what stopping an attempt costs besides the work lost, in seconds.
+	stopOverheadSeconds = 1
 	// imageFetchWeight is how many times the time that an image takes to arrive counts among
 	// the costs: the service is down for that time.
 	imageFetchWeight = 20
@@ -106,7 +106,7 @@
 			break
 		}
 		free = free.Add(a.resources)
-		on.cost += micros.Seconds(p.lostWork(a)) + costOfAStop
+		on.cost += micros.Seconds(p.lostWork(a)) + stopOverheadSeconds
 		on.victims = append(on.victims, a)
 	}
 	if !m.images.Has(j.Image) && m.instanceType.FetchGBps > 0 {
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -45,26 +45,26 @@
 	{name: "the least work lost", on: func(m *machine) {
 		runningOn(m, lowPriority("1"), 4, ranFor(9))
 		runningOn(m, lowPriority("2"), 4, ranFor(5))
-	}, want: []string{"2"}, cost: 5 + costOfAStop, enough: true},
+	}, want: []string{"2"}, cost: 5 + stopOverheadSeconds, enough: true},
 	{name: "what does not run yet loses none", on: func(m *machine) {
 		runningOn(m, lowPriority("1"), 4, ranFor(1))
 		runningOn(m, lowPriority("2"), 4, 0)
-	}, want: []string{"2"}, cost: costOfAStop, enough: true},
+	}, want: []string{"2"}, cost: stopOverheadSeconds, enough: true},
 	{name: "what checkpoints loses the time of that", on: func(m *machine) {
 		runningOn(m, lowPriority("1"), 4, ranFor(9))
 		j := lowPriority("2")
 		j.CheckpointInterval, j.CheckpointDuration = 60*micros.Second, 2*micros.Second
 		runningOn(m, j, 4, ranFor(500))
-	}, want: []string{"2"}, cost: 2 + costOfAStop, enough: true},
+	}, want: []string{"2"}, cost: 2 + stopOverheadSeconds, enough: true},
 	{name: "as many as are needed", on: func(m *machine) {
 		runningOn(m, lowPriority("1"), 2, ranFor(1))
 		runningOn(m, lowPriority("2"), 2, ranFor(2))
 		runningOn(m, lowPriority("3"), 4, ranFor(3))
-	}, want: []string{"1", "2"}, cost: 3 + 2*costOfAStop, enough: true},
+	}, want: []string{"1", "2"}, cost: 3 + 2*stopOverheadSeconds, enough: true},
 	{name: "not of the same priority", on: func(m *machine) {
 		runningOn(m, &workload.Job{ID: "1", Priority: workload.High}, 6, ranFor(1))
 		runningOn(m, lowPriority("2"), 1, ranFor(1))
-	}, want: []string{"2"}, cost: 1 + costOfAStop},
+	}, want: []string{"2"}, cost: 1 + stopOverheadSeconds},
 	{name: "not what is being stopped already", on: func(m *machine) {
 		runningOn(m, lowPriority("1"), 8, ranFor(1)).stop.ordered = true
 	}},
