--- a/internal/coordination/plan_state.go
+++ b/internal/coordination/plan_state.go
@@ -30,7 +30,7 @@
 
 	serviceReplicas   int                         // tasks of services, running or not
 	unreconciledUsage workload.Resources          // what unreconciled machines may be running
-	preemptionFailed  map[preemptionShape]bool    // found no machine to preempt on
+	preemptionFailed  map[preemptionKey]bool      // found no machine to preempt on
 	inheritedUrgency  map[string]inheritedUrgency // by job, of the jobs that depend on it
 }
 
@@ -39,7 +39,7 @@
 	return planState{
 		stale:            true,
 		interval:         minPlanInterval,
-		preemptionFailed: map[preemptionShape]bool{},
+		preemptionFailed: map[preemptionKey]bool{},
 	}
 }
 
--- a/internal/coordination/plan_state_test.go
+++ b/internal/coordination/plan_state_test.go
@@ -44,7 +44,7 @@
 	s := newPlanState()
 	s.serviceReplicas = 3
 	s.unreconciledUsage = workload.Resources{CPU: 1}
-	s.preemptionFailed[preemptionShape{priority: workload.High}] = true
+	s.preemptionFailed[preemptionKey{priority: workload.High}] = true
 	s.inheritedUrgency = map[string]inheritedUrgency{"job": {}}
 	s.begin(micros.Second)
 	if s.stale || s.lastRunAt != micros.Second {
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -20,9 +20,9 @@
 	imageFetchWeight = 20
 )
 
-// preemptionShape is what decides where preemption can help a task that has no further
+// preemptionKey is what decides where preemption can help a task that has no further
 // conditions.
-type preemptionShape struct {
+type preemptionKey struct {
 	resources workload.Resources
 	priority  workload.Priority
 	zone      string
@@ -44,7 +44,7 @@
 		return
 	}
 	// What found no machine in this plan finds none again: many services alike wait.
-	shape := preemptionShape{j.Resources, j.Priority, j.Zone, j.Spot}
+	shape := preemptionKey{j.Resources, j.Priority, j.Zone, j.Spot}
 	decidedByShape := len(j.InstanceTypes) == 0 && !j.OneZone && !j.Spread
 	if decidedByShape && p.plan.preemptionFailed[shape] {
 		return
