--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -45,13 +45,13 @@
 	}
 	// What found no machine in this plan finds none again: many services alike wait.
 	shape := preemptionKey{j.Resources, j.Priority, j.Zone, j.Spot}
-	decidedByShape := len(j.InstanceTypes) == 0 && !j.OneZone && !j.Spread
-	if decidedByShape && p.plan.preemptionFailed[shape] {
+	cacheable := len(j.InstanceTypes) == 0 && !j.OneZone && !j.Spread
+	if cacheable && p.plan.preemptionFailed[shape] {
 		return
 	}
 	best, found := p.cheapestPreemption(j)
 	if !found {
-		if decidedByShape {
+		if cacheable {
 			p.plan.preemptionFailed[shape] = true
 		}
 		return
