--- a/internal/coordination/objective_preemption.go
+++ b/internal/coordination/objective_preemption.go
@@ -108,7 +108,7 @@
 	j := o.ranked.job
 	var found []victim
 	for _, m := range o.machines {
-		if !o.acceptsStarts(m) || !j.mayRunOn(m) || !j.Resources.Fits(m.instanceType.Capacity) || !o.inTime(m) {
+		if !o.acceptsStarts(m) || !j.mayRunOn(m) || !j.Resources.Fits(m.instanceType.Capacity) || !o.imageReadyInTime(m) {
 			continue
 		}
 		found = append(found, o.candidatesOn(m)...)
@@ -117,8 +117,8 @@
 	return found
 }
 
-// inTime tells whether the job's image is on a machine by the time its tasks are to start.
-func (o *objectivePreemption) inTime(m *machine) bool {
+// imageReadyInTime tells whether the job's image is on a machine by the time its tasks are to start.
+func (o *objectivePreemption) imageReadyInTime(m *machine) bool {
 	j := o.ranked.job
 	if m.images.Has(j.Image) {
 		return true
