--- a/internal/coordination/objective_preemption.go
+++ b/internal/coordination/objective_preemption.go
@@ -132,7 +132,7 @@
 	need := o.ranked.job.Resources
 	var preemptible []*attempt
 	for _, a := range m.attempts {
-		if o.mayStop(a) {
+		if o.isPreemptible(a) {
 			preemptible = append(preemptible, a)
 		}
 	}
@@ -164,8 +164,8 @@
 	return victim{attempt: a, machine: a.machine, slots: slots, cost: lost / float64(slots)}
 }
 
-// mayStop tells whether an attempt may be stopped for the job.
-func (o *objectivePreemption) mayStop(a *attempt) bool {
+// isPreemptible tells whether an attempt may be stopped for the job.
+func (o *objectivePreemption) isPreemptible(a *attempt) bool {
 	if !a.knownToRun() || a.job == o.ranked.job || a.job.plannedWithinGuarantee || a.job.preemptedOnce.Has(a.id.Task) {
 		return false
 	}
