--- a/internal/coordination/objective_preemption.go
+++ b/internal/coordination/objective_preemption.go
@@ -69,7 +69,7 @@
 		borrowed[name] = p.teamUsage[name].CPU - t.GuaranteeCPU
 	}
 	o := objectivePreemption{p, r, startBy, scope, borrowed}
-	for _, v := range o.choose(o.candidates(), missing) {
+	for _, v := range o.selectVictims(o.candidates(), missing) {
 		v.attempt.job.preemptedOnce.Add(v.attempt.id.Task)
 		p.stopAttempt(v.attempt, 0)
 		for range v.slots {
@@ -80,9 +80,9 @@
 	}
 }
 
-// choose takes candidates in their order until they make place for all missing tasks; none if
+// selectVictims takes candidates in their order until they make place for all missing tasks; none if
 // they do not.
-func (o *objectivePreemption) choose(candidates []victim, missing int) []victim {
+func (o *objectivePreemption) selectVictims(candidates []victim, missing int) []victim {
 	chosen := candidates[:0]
 	for _, v := range candidates {
 		if missing <= 0 {
--- a/internal/coordination/objective_preemption_test.go
+++ b/internal/coordination/objective_preemption_test.go
@@ -48,7 +48,7 @@
 				borrowed: borrowed,
 			}
 			var got []string
-			for _, v := range o.choose(c.candidates, c.missing) {
+			for _, v := range o.selectVictims(c.candidates, c.missing) {
 				got = append(got, v.attempt.id.Job)
 			}
 			if !slices.Equal(got, c.want) {
