--- a/internal/coordination/machine_use.go
+++ b/internal/coordination/machine_use.go
@@ -30,7 +30,7 @@
 	var blocks map[string]storage.BlockRecord
 	var order []string
 	for _, m := range p.machines {
-		if !p.useToBeRecorded(m) {
+		if !p.needsUseRecord(m) {
 			continue
 		}
 		name := m.record.Block
@@ -51,9 +51,9 @@
 	return blocks, order
 }
 
-// useToBeRecorded tells whether the machine is to be recorded as in use now: its agent obeys this
+// needsUseRecord tells whether the machine is to be recorded as in use now: its agent obeys this
 // partition leader, and its block is not being written.
-func (p *partitionLeader) useToBeRecorded(m *machine) bool {
+func (p *partitionLeader) needsUseRecord(m *machine) bool {
 	return !m.record.Used &&
 		m.agent.HeardFrom() &&
 		m.agent.Acknowledged(p.lease.fencingToken) &&
