--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -13,8 +13,8 @@
 	// minMachineAge is how long a machine is kept before it can be drained: it costs a
 	// minute anyway.
 	minMachineAge = 60 * micros.Second
-	// settlingTime is how long a new partition leader waits with its first consolidation.
-	settlingTime = 10 * micros.Second
+	// consolidationDelay is how long a new partition leader waits with its first consolidation.
+	consolidationDelay = 10 * micros.Second
 	// replicaMoveInterval bounds how often a replica is moved: each is away for a moment.
 	replicaMoveInterval = 3 * micros.Second
 	// minConcurrentDrains is how many machines are drained at a time, or a part of a large fleet.
@@ -55,7 +55,7 @@
 	draining := p.evictFromDraining()
 	limit := max(minConcurrentDrains, len(p.machines)/drainFleetDivisor)
 	if draining >= limit || now-p.consolidation.lastPassAt < replicaMoveInterval ||
-		now-p.lease.acquiredAt < settlingTime || p.core.replica.Stale() {
+		now-p.lease.acquiredAt < consolidationDelay || p.core.replica.Stale() {
 		return
 	}
 	p.consolidation.lastPassAt = now
