--- a/internal/coordination/job_progress.go
+++ b/internal/coordination/job_progress.go
@@ -16,8 +16,8 @@
 	return &progressTable{entries: map[string]messages.JobProgress{}}
 }
 
-// of is how far a job is; zero if nobody said.
-func (t *progressTable) of(id string) messages.JobProgress { return t.entries[id] }
+// get is how far a job is; zero if nobody said.
+func (t *progressTable) get(id string) messages.JobProgress { return t.entries[id] }
 
 // observe takes what a partition leader said.
 func (t *progressTable) observe(progress []messages.JobProgress) {
--- a/internal/coordination/job_progress_test.go
+++ b/internal/coordination/job_progress_test.go
@@ -14,7 +14,7 @@
 	for id, want := range map[string]messages.JobProgress{
 		"a": {ID: "a", Done: 3, Running: 4}, "b": {ID: "b", Done: 2}, "c": {},
 	} {
-		if got := table.of(id); got != want {
+		if got := table.get(id); got != want {
 			t.Errorf("progress of %s is %+v, want %+v", id, got, want)
 		}
 	}
--- a/internal/coordination/lookup.go
+++ b/internal/coordination/lookup.go
@@ -84,7 +84,7 @@
 	case workload.Done:
 		status.Done = entry.Job.Tasks
 	case workload.Active:
-		progress := c.progress.of(status.ID)
+		progress := c.progress.get(status.ID)
 		status.Done, status.Running = progress.Done, progress.Running
 		if entry.Completed != nil {
 			status.Done = max(status.Done, entry.Completed.Len())
--- a/internal/coordination/partition_status.go
+++ b/internal/coordination/partition_status.go
@@ -78,7 +78,7 @@
 			break
 		}
 		entry := messages.JobProgress{ID: j.ID, Done: j.completedCount(), Running: j.runningCount()}
-		if entry.Running > 0 || entry.Done > 0 || p.core.progress.of(j.ID) != (messages.JobProgress{}) {
+		if entry.Running > 0 || entry.Done > 0 || p.core.progress.get(j.ID) != (messages.JobProgress{}) {
 			progress = append(progress, entry)
 		}
 	}
