--- a/internal/coordination/job_progress.go
+++ b/internal/coordination/job_progress.go
@@ -19,8 +19,8 @@
 // get is how far a job is; zero if nobody said.
 func (t *progressTable) get(id string) messages.JobProgress { return t.entries[id] }
 
-// observe takes what a partition leader said.
-func (t *progressTable) observe(progress []messages.JobProgress) {
+// update takes what a partition leader said.
+func (t *progressTable) update(progress []messages.JobProgress) {
 	for _, p := range progress {
 		t.entries[p.ID] = p
 	}
--- a/internal/coordination/job_progress_test.go
+++ b/internal/coordination/job_progress_test.go
@@ -9,8 +9,8 @@
 
 func TestLastProgressOfAJobIsKept(t *testing.T) {
 	table := newProgressTable()
-	table.observe([]messages.JobProgress{{ID: "a", Done: 1}, {ID: "b", Done: 2}})
-	table.observe([]messages.JobProgress{{ID: "a", Done: 3, Running: 4}})
+	table.update([]messages.JobProgress{{ID: "a", Done: 1}, {ID: "b", Done: 2}})
+	table.update([]messages.JobProgress{{ID: "a", Done: 3, Running: 4}})
 	for id, want := range map[string]messages.JobProgress{
 		"a": {ID: "a", Done: 3, Running: 4}, "b": {ID: "b", Done: 2}, "c": {},
 	} {
@@ -23,7 +23,7 @@
 func TestProgressIsPruned(t *testing.T) {
 	observe := func(table *progressTable, prefix string, count int) {
 		for i := range count {
-			table.observe([]messages.JobProgress{{ID: fmt.Sprint(prefix, i), Done: 1}})
+			table.update([]messages.JobProgress{{ID: fmt.Sprint(prefix, i), Done: 1}})
 		}
 	}
 	const least = minProgressEntries
--- a/internal/coordination/status_messages.go
+++ b/internal/coordination/status_messages.go
@@ -90,7 +90,7 @@
 		}
 	}
 	c.progress.prune(c.jobActive)
-	c.progress.observe(status.Progress)
+	c.progress.update(status.Progress)
 }
 
 // jobActive tells whether a job is active as far as the cache tells.
