--- a/internal/coordination/partition.go
+++ b/internal/coordination/partition.go
@@ -131,7 +131,7 @@
 	}
 	for _, m := range p.machines {
 		if m.record.Spot && m.agent.HeardFrom() && m.drain.reason == notDraining {
-			p.core.spot.time += now - p.lastTick
+			p.core.spot.machineTime += now - p.lastTick
 		}
 	}
 	p.lastTick = now
--- a/internal/coordination/spot_losses.go
+++ b/internal/coordination/spot_losses.go
@@ -4,8 +4,8 @@
 
 // spotLosses counts how often spot machines are preempted.
 type spotLosses struct {
-	losses int
-	time   micros.Time // machines times time
+	losses      int
+	machineTime micros.Time // machines times time
 }
 
 // spotPriorSeconds is for how many machine seconds one loss is assumed before there is anything
@@ -14,5 +14,5 @@
 
 // rate is how often a spot machine is preempted, a second.
 func (s *spotLosses) rate() float64 {
-	return float64(s.losses+1) / (micros.Seconds(s.time) + spotPriorSeconds)
+	return float64(s.losses+1) / (micros.Seconds(s.machineTime) + spotPriorSeconds)
 }
--- a/internal/coordination/spot_losses_test.go
+++ b/internal/coordination/spot_losses_test.go
@@ -12,8 +12,8 @@
 		want   float64
 	}{
 		"one in half an hour before anything is known": {spotLosses{}, 1.0 / 1800},
-		"less often after hours without a loss":        {spotLosses{time: 16200 * micros.Second}, 1.0 / 18000},
-		"more often after losses":                      {spotLosses{losses: 9, time: 200 * micros.Second}, 10.0 / 2000},
+		"less often after hours without a loss":        {spotLosses{machineTime: 16200 * micros.Second}, 1.0 / 18000},
+		"more often after losses":                      {spotLosses{losses: 9, machineTime: 200 * micros.Second}, 10.0 / 2000},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := test.losses.rate(); got != test.want {
