--- a/internal/coordination/headroom.go
+++ b/internal/coordination/headroom.go
@@ -46,15 +46,15 @@
 // rank keeps the two machines with replicas whose loss takes most headroom.
 func (s *headroomSurvey) rank(m *machine) {
 	switch {
-	case s.worst == nil || s.weight(m) > s.weight(s.worst):
+	case s.worst == nil || s.lossImpact(m) > s.lossImpact(s.worst):
 		s.worst, s.second = m, s.worst
-	case s.second == nil || s.weight(m) > s.weight(s.second):
+	case s.second == nil || s.lossImpact(m) > s.lossImpact(s.second):
 		s.second = m
 	}
 }
 
-// weight is the headroom that the loss of a machine takes: for its replicas, and what it has.
-func (s *headroomSurvey) weight(m *machine) int { return s.replicas[m] + s.fitting[m] }
+// lossImpact is the headroom that the loss of a machine takes: for its replicas, and what it has.
+func (s *headroomSurvey) lossImpact(m *machine) int { return s.replicas[m] + s.fitting[m] }
 
 // missing is how much headroom is missing: if a machine is given, after its replicas have moved
 // elsewhere. What any one machine has must fit on the others, and growth must.
@@ -69,7 +69,7 @@
 	}
 	missing := s.growth + moving - headroom
 	if worst != nil {
-		missing = max(missing, s.weight(worst)+moving-headroom)
+		missing = max(missing, s.lossImpact(worst)+moving-headroom)
 	}
 	return missing
 }
