--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -27,8 +27,8 @@
 // preemptionNow is when the cases are looked at.
 const preemptionNow = 1000 * micros.Second
 
-// ranFor is since when an attempt runs that has run for a number of seconds.
-func ranFor(seconds micros.Time) micros.Time { return preemptionNow - seconds*micros.Second }
+// startedSecondsAgo is since when an attempt runs that has run for a number of seconds.
+func startedSecondsAgo(seconds micros.Time) micros.Time { return preemptionNow - seconds*micros.Second }
 
 func lowPriority(id string) *workload.Job { return &workload.Job{ID: id, Priority: workload.Low} }
 
@@ -40,36 +40,36 @@
 	cost   float64
 	enough bool
 }{
-	{name: "nothing where it fits", on: func(m *machine) { runningOn(m, lowPriority("1"), 4, ranFor(9)) },
+	{name: "nothing where it fits", on: func(m *machine) { runningOn(m, lowPriority("1"), 4, startedSecondsAgo(9)) },
 		enough: true},
 	{name: "the least work lost", on: func(m *machine) {
-		runningOn(m, lowPriority("1"), 4, ranFor(9))
-		runningOn(m, lowPriority("2"), 4, ranFor(5))
+		runningOn(m, lowPriority("1"), 4, startedSecondsAgo(9))
+		runningOn(m, lowPriority("2"), 4, startedSecondsAgo(5))
 	}, want: []string{"2"}, cost: 5 + stopOverheadSeconds, enough: true},
 	{name: "what does not run yet loses none", on: func(m *machine) {
-		runningOn(m, lowPriority("1"), 4, ranFor(1))
+		runningOn(m, lowPriority("1"), 4, startedSecondsAgo(1))
 		runningOn(m, lowPriority("2"), 4, 0)
 	}, want: []string{"2"}, cost: stopOverheadSeconds, enough: true},
 	{name: "what checkpoints loses the time of that", on: func(m *machine) {
-		runningOn(m, lowPriority("1"), 4, ranFor(9))
+		runningOn(m, lowPriority("1"), 4, startedSecondsAgo(9))
 		j := lowPriority("2")
 		j.CheckpointInterval, j.CheckpointDuration = 60*micros.Second, 2*micros.Second
-		runningOn(m, j, 4, ranFor(500))
+		runningOn(m, j, 4, startedSecondsAgo(500))
 	}, want: []string{"2"}, cost: 2 + stopOverheadSeconds, enough: true},
 	{name: "as many as are needed", on: func(m *machine) {
-		runningOn(m, lowPriority("1"), 2, ranFor(1))
-		runningOn(m, lowPriority("2"), 2, ranFor(2))
-		runningOn(m, lowPriority("3"), 4, ranFor(3))
+		runningOn(m, lowPriority("1"), 2, startedSecondsAgo(1))
+		runningOn(m, lowPriority("2"), 2, startedSecondsAgo(2))
+		runningOn(m, lowPriority("3"), 4, startedSecondsAgo(3))
 	}, want: []string{"1", "2"}, cost: 3 + 2*stopOverheadSeconds, enough: true},
 	{name: "not of the same priority", on: func(m *machine) {
-		runningOn(m, &workload.Job{ID: "1", Priority: workload.High}, 6, ranFor(1))
-		runningOn(m, lowPriority("2"), 1, ranFor(1))
+		runningOn(m, &workload.Job{ID: "1", Priority: workload.High}, 6, startedSecondsAgo(1))
+		runningOn(m, lowPriority("2"), 1, startedSecondsAgo(1))
 	}, want: []string{"2"}, cost: 1 + stopOverheadSeconds},
 	{name: "not what is being stopped already", on: func(m *machine) {
-		runningOn(m, lowPriority("1"), 8, ranFor(1)).stop.ordered = true
+		runningOn(m, lowPriority("1"), 8, startedSecondsAgo(1)).stop.ordered = true
 	}},
 	{name: "what exited takes nothing", on: func(m *machine) {
-		runningOn(m, lowPriority("1"), 8, ranFor(1)).state = messages.Exited
+		runningOn(m, lowPriority("1"), 8, startedSecondsAgo(1)).state = messages.Exited
 	}, enough: true},
 }
 
