--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -35,40 +35,40 @@
 // preemptionCases are machines of eight CPUs on which a replica is to run that needs four.
 var preemptionCases = []struct {
 	name   string
-	on     func(m *machine)
+	setup  func(m *machine)
 	want   []string
 	cost   float64
 	enough bool
 }{
-	{name: "nothing where it fits", on: func(m *machine) { runningOn(m, lowPriority("1"), 4, startedSecondsAgo(9)) },
+	{name: "nothing where it fits", setup: func(m *machine) { runningOn(m, lowPriority("1"), 4, startedSecondsAgo(9)) },
 		enough: true},
-	{name: "the least work lost", on: func(m *machine) {
+	{name: "the least work lost", setup: func(m *machine) {
 		runningOn(m, lowPriority("1"), 4, startedSecondsAgo(9))
 		runningOn(m, lowPriority("2"), 4, startedSecondsAgo(5))
 	}, want: []string{"2"}, cost: 5 + stopOverheadSeconds, enough: true},
-	{name: "what does not run yet loses none", on: func(m *machine) {
+	{name: "what does not run yet loses none", setup: func(m *machine) {
 		runningOn(m, lowPriority("1"), 4, startedSecondsAgo(1))
 		runningOn(m, lowPriority("2"), 4, 0)
 	}, want: []string{"2"}, cost: stopOverheadSeconds, enough: true},
-	{name: "what checkpoints loses the time of that", on: func(m *machine) {
+	{name: "what checkpoints loses the time of that", setup: func(m *machine) {
 		runningOn(m, lowPriority("1"), 4, startedSecondsAgo(9))
 		j := lowPriority("2")
 		j.CheckpointInterval, j.CheckpointDuration = 60*micros.Second, 2*micros.Second
 		runningOn(m, j, 4, startedSecondsAgo(500))
 	}, want: []string{"2"}, cost: 2 + stopOverheadSeconds, enough: true},
-	{name: "as many as are needed", on: func(m *machine) {
+	{name: "as many as are needed", setup: func(m *machine) {
 		runningOn(m, lowPriority("1"), 2, startedSecondsAgo(1))
 		runningOn(m, lowPriority("2"), 2, startedSecondsAgo(2))
 		runningOn(m, lowPriority("3"), 4, startedSecondsAgo(3))
 	}, want: []string{"1", "2"}, cost: 3 + 2*stopOverheadSeconds, enough: true},
-	{name: "not of the same priority", on: func(m *machine) {
+	{name: "not of the same priority", setup: func(m *machine) {
 		runningOn(m, &workload.Job{ID: "1", Priority: workload.High}, 6, startedSecondsAgo(1))
 		runningOn(m, lowPriority("2"), 1, startedSecondsAgo(1))
 	}, want: []string{"2"}, cost: 1 + stopOverheadSeconds},
-	{name: "not what is being stopped already", on: func(m *machine) {
+	{name: "not what is being stopped already", setup: func(m *machine) {
 		runningOn(m, lowPriority("1"), 8, startedSecondsAgo(1)).stop.ordered = true
 	}},
-	{name: "what exited takes nothing", on: func(m *machine) {
+	{name: "what exited takes nothing", setup: func(m *machine) {
 		runningOn(m, lowPriority("1"), 8, startedSecondsAgo(1)).state = messages.Exited
 	}, enough: true},
 }
@@ -86,7 +86,7 @@
 				instanceType: &workload.InstanceType{Capacity: workload.Resources{CPU: 8}},
 				attempts:     map[messages.AttemptID]*attempt{},
 			}
-			c.on(m)
+			c.setup(m)
 			on, enough := p.preemptionOn(m, service)
 			var victims []string
 			for _, a := range on.victims {
