--- a/internal/coordination/capacity_requests.go
+++ b/internal/coordination/capacity_requests.go
@@ -55,8 +55,8 @@
 	if missing <= 0 {
 		return request, false
 	}
-	inTime := (r.queued.Due - p.core.now - boot) / max(1, r.queued.Estimate)
-	waves := int(max(1, min(maxWaves, inTime)))
+	wavesBeforeDue := (r.queued.Due - p.core.now - boot) / max(1, r.queued.Estimate)
+	waves := int(max(1, min(maxWaves, wavesBeforeDue)))
 	return p.capacityRequest(r.job, (missing+waves-1)/waves), true
 }
 
