--- a/internal/coordination/plan_state_test.go
+++ b/internal/coordination/plan_state_test.go
@@ -10,20 +10,20 @@
 func TestPlanIsDue(t *testing.T) {
 	const lastRunAt = 100 * micros.Second
 	for _, c := range []struct {
-		name       string
-		age        micros.Time
-		lastTook   micros.Time
-		staleSince bool
-		want       bool
+		name     string
+		age      micros.Time
+		lastTook micros.Time
+		stale    bool
+		want     bool
 	}{
-		{name: "not before the shortest interval", age: minPlanInterval - 1, staleSince: true, want: false},
-		{name: "after the shortest interval", age: minPlanInterval, staleSince: true, want: true},
+		{name: "not before the shortest interval", age: minPlanInterval - 1, stale: true, want: false},
+		{name: "after the shortest interval", age: minPlanInterval, stale: true, want: true},
 		{name: "not without a change", age: minPlanInterval, want: false},
 		{name: "without a change after the longest interval", age: maxPlanInterval, want: true},
 		{name: "not before a twentieth of the time was spent", age: 20*6*micros.Millisecond - 1,
-			lastTook: 6 * micros.Millisecond, staleSince: true, want: false},
+			lastTook: 6 * micros.Millisecond, stale: true, want: false},
 		{name: "once a twentieth of the time was spent", age: 20 * 6 * micros.Millisecond,
-			lastTook: 6 * micros.Millisecond, staleSince: true, want: true},
+			lastTook: 6 * micros.Millisecond, stale: true, want: true},
 		{name: "after the longest interval, however long the last plan took", age: maxPlanInterval,
 			lastTook: 10 * micros.Second, want: true},
 	} {
@@ -31,7 +31,7 @@
 			s := newPlanState()
 			s.begin(lastRunAt)
 			s.recordDuration(c.lastTook)
-			s.stale = c.staleSince
+			s.stale = c.stale
 			if got := s.due(lastRunAt + c.age); got != c.want {
 				t.Errorf("due %v, want %v", got, c.want)
 			}
