--- a/internal/coordination/plan_state_test.go
+++ b/internal/coordination/plan_state_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestPlanBeginsAnew: what one plan found out does not hold for the next.
-func TestPlanBeginsAnew(t *testing.T) {
+// TestBeginResetsPlanState: what one plan found out does not hold for the next.
+func TestBeginResetsPlanState(t *testing.T) {
 	s := newPlanState()
 	s.serviceReplicas = 3
 	s.unreconciledUsage = workload.Resources{CPU: 1}
