--- a/internal/coordination/planning.go
+++ b/internal/coordination/planning.go
@@ -11,18 +11,20 @@
 	"pipitlatch/internal/workload"
 )
 
-// maxTasksPerPlan bounds the tasks placed in one plan; the rest wait in index order.
+// maxTasksPerPlan limits how many array tasks one planning pass places. The remaining tasks wait
+// in index order for the next pass.
 const maxTasksPerPlan = 2000
 
-// rankedJob is a job with its place in the order.
+// rankedJob is a job together with the data that determines its position in the queue.
 type rankedJob struct {
 	job    *job
 	queued *scheduling.QueuedJob
 	scheduling.Precedence
 }
 
-// schedule plans the waiting tasks and starts those whose slot is now. What stays without a
-// place in time becomes requests for capacity, and what is not needed is given up.
+// schedule runs one planning pass if one is due: it places pending tasks on machine timelines and
+// starts those whose slot begins now. Tasks that cannot be placed in time become capacity
+// requests; machines that are not needed are drained.
 func (p *partitionLeader) schedule() {
 	if p.core.catalog.Types() == nil || !p.plan.due(p.core.now) {
 		return
@@ -36,14 +38,16 @@
 	services, arrays := p.rankJobs(!reconciled)
 	p.setCapacityRequests(p.place(services, arrays))
 	if reconciled {
-		// Jobs that wait for the last unreconciled machine have no requests yet, and will.
+		// Until all machines are reconciled, some jobs are held back and have no capacity
+		// requests yet, so machines that they need would look unused.
 		p.scaleIn()
 		p.consolidate()
 	}
 	p.logFleet(services, arrays)
 }
 
-// countServiceReplicas counts the tasks of services, running or not.
+// countServiceReplicas counts the tasks of all services that are not blocked by dependencies,
+// whether they run or not.
 func (p *partitionLeader) countServiceReplicas() {
 	for _, j := range p.jobs {
 		if j.Kind == workload.Service && !j.blockedByDependencies {
@@ -52,8 +56,8 @@
 	}
 }
 
-// checkReconciled tells whether all machines are reconciled, and counts what may run on those
-// that are not.
+// checkReconciled reports whether all machines are reconciled. It adds the full capacity of each
+// unreconciled machine to plan.unreconciledUsage, as an upper bound of what may run there.
 func (p *partitionLeader) checkReconciled() bool {
 	reconciled := true
 	for _, m := range p.machines {
@@ -73,8 +77,8 @@
 	return reconciled
 }
 
-// place places the tasks of ranked jobs, and starts those whose slot is now. It returns what
-// capacity is missing.
+// place places the tasks of the ranked jobs and starts those whose slot begins now. It returns
+// requests for the missing capacity.
 func (p *partitionLeader) place(services, arrays []rankedJob) []provisioning.CapacityRequest {
 	machines := p.buildTimelines()
 	var requests []provisioning.CapacityRequest
@@ -95,8 +99,8 @@
 	return requests
 }
 
-// rankJobs are the jobs with tasks that may start, in the order in which they are placed:
-// services by priority and age, arrays by the index and the exceptions from it.
+// rankJobs returns the jobs that have startable tasks, in the order in which they are placed:
+// services by priority and age, arrays by scheduling.Precedence.
 func (p *partitionLeader) rankJobs(unreconciled bool) (services, arrays []rankedJob) {
 	var queue []*scheduling.QueuedJob
 	for _, j := range p.sortedJobs {
@@ -121,17 +125,18 @@
 	return services, arrays
 }
 
-// startable tells whether a job has tasks that may start once there is capacity.
+// startable reports whether the job has tasks that can start as soon as there is capacity.
 func (p *partitionLeader) startable(j *job, unreconciled bool) bool {
 	if j.pendingTasks.Len() == 0 || j.startsPausedUntil > p.core.now || j.cancelRequested || j.blockedByDependencies {
 		return false
 	}
-	// Tasks of a job older than the lease may run on any unreconciled machine; nothing of it
-	// starts until there is none.
+	// Tasks of a job that was accepted before this leader's lease may still run on an unreconciled
+	// machine. None of its tasks starts until all machines are reconciled.
 	return !unreconciled || j.modRevision >= p.lease.acquiredToken
 }
 
-// rank is what places a job among the others, but for the index.
+// rank returns the job with everything that determines its position except for the index, which
+// scheduling.Rank computes over all queued jobs.
 func (p *partitionLeader) rank(j *job) rankedJob {
 	queued := p.queuedJob(j)
 	return rankedJob{job: j, queued: queued, Precedence: scheduling.Precedence{
@@ -143,8 +148,8 @@
 	}}
 }
 
-// placeService places the waiting replicas of a service, and preempts for those that would
-// wait. Missing capacity is urgent.
+// placeService places the pending replicas of a service and preempts work of lower priority for
+// replicas that cannot start now. The request for capacity that is still missing is urgent.
 func (p *partitionLeader) placeService(
 	r rankedJob, machines []*scheduling.Machine,
 ) (missing provisioning.CapacityRequest, needed bool) {
@@ -168,13 +173,14 @@
 	return missing, true
 }
 
-// maxFirstTaskWait is how long a job waits for the start of its first task before
-// that task goes ahead of the index.
+// maxFirstTaskWait is how long a job may wait for its first task to start before that task is
+// placed ahead of the index order.
 const maxFirstTaskWait = 120 * micros.Second
 
-// placeLongWaiting places the first task of the jobs that have waited long for it,
-// before all others. Exception to the design: the index ranks what is long and
-// late behind all that is short, under load for ever, and every job is to begin.
+// placeLongWaiting places one task of each job that has waited longer than maxFirstTaskWait for
+// its first task to start, ahead of all other array tasks. This deviates from the scheduling
+// model: the index ranks long overdue tasks behind all short ones, so that under sustained load
+// such a job would never start.
 func (p *partitionLeader) placeLongWaiting(arrays []rankedJob, machines []*scheduling.Machine) {
 	var late []rankedJob
 	for _, r := range arrays {
@@ -186,13 +192,13 @@
 	slices.SortStableFunc(late, func(a, b rankedJob) int { return cmp.Compare(a.job.readySince, b.job.readySince) })
 	for _, r := range late {
 		budget := 1
-		p.placeArray(r, machines, &budget) // what it lacks is asked for with the job's other tasks
+		p.placeArray(r, machines, &budget) // missing capacity is requested with the job's other tasks
 	}
 }
 
-// placeArray places as many of an array's waiting tasks as the budget of this plan allows, and
-// preempts for an objective that would be missed. It returns the capacity missing for its due
-// date.
+// placeArray places as many of an array's pending tasks as the budget of this planning pass
+// allows, and preempts other work if the job would miss a service-level objective. It returns a
+// request for the capacity that is missing to meet the job's due date.
 func (p *partitionLeader) placeArray(
 	r rankedJob, machines []*scheduling.Machine, budget *int,
 ) (missing provisioning.CapacityRequest, needed bool) {
@@ -203,8 +209,8 @@
 	count := min(waiting, allowed, *budget)
 	startBy, hasObjective := p.startDeadline(r)
 	boot := p.shortestBoot(j)
-	missObjective := 0 // tasks that would start later than an objective wants
-	tardy := 0         // tasks that would end late, and for which a new machine is there in time
+	missObjective := 0 // tasks that would start after the objective's deadline
+	tardy := 0         // tasks that may end late and that a new machine could start earlier
 	placed := scheduling.Place(p.placementRequest(r, count), machines, func(s scheduling.Slot) {
 		if s.Machine.Up && s.Start <= now {
 			p.startTask(j, p.machines[s.Machine.Index], s.Length)
@@ -213,10 +219,10 @@
 		if s.Start > startBy {
 			missObjective++
 		}
-		// A machine requested now helps only tasks that would start after its boot.
-		// It is requested before a slot is surely too late: the slots are reckoned with
-		// estimates, and a fleet that is requested when these have shown to be too low
-		// comes a boot and a backlog too late.
+		// A machine requested now helps only tasks that would start after its boot. The
+		// factor of 1.5 requests it before the slot is certain to be late: slots are based on
+		// estimates, and machines requested only once these have proved too low arrive late by
+		// a boot time and the backlog that has built up.
 		if s.Start+s.Length*3/2 > r.queued.Due && s.Start > now+boot {
 			tardy++
 		}
@@ -229,7 +235,8 @@
 	return p.arrayCapacityRequest(r, min(waiting, allowed)-placed+tardy, boot)
 }
 
-// shortestBoot is how long the quickest instance type that takes the job's tasks takes to boot.
+// shortestBoot returns the shortest boot time of the instance types that can run the job's tasks;
+// micros.Max if there is none.
 func (p *partitionLeader) shortestBoot(j *job) micros.Time {
 	shortest := micros.Max
 	for _, t := range p.core.catalog.Types() {
@@ -240,7 +247,7 @@
 	return shortest
 }
 
-// placementRequest is the request to place a number of a job's tasks.
+// placementRequest returns a request to place count tasks of a job.
 func (p *partitionLeader) placementRequest(r rankedJob, count int) *scheduling.Request {
 	j := r.job
 	request := &scheduling.Request{
@@ -262,19 +269,20 @@
 	return request
 }
 
-// packDivisor is the part of all replicas that may be lost with one machine: below
-// it they are packed, so that machines become free when the arrays end; above it
-// they are spread. Exception to the design, whose gaps know no machines that end.
+// packDivisor determines the share of all service replicas that may be lost with one machine
+// (1/16). Up to it replicas are packed, so that other machines become free when their arrays end;
+// beyond it they are spread. This deviates from the scheduling model, whose machines are never
+// terminated.
 const packDivisor = 16
 
-// packLimit is how many replicas a machine takes before others are preferred.
+// packLimit returns how many replicas are placed on a machine before others are preferred.
 func (p *partitionLeader) packLimit() int { return p.plan.serviceReplicas / packDivisor }
 
-// unlimited is more of each resource than there is anywhere.
+// unlimited exceeds what any machine or fleet has of a resource.
 const unlimited = 1 << 50
 
-// quotaAllowance is how many more tasks of the job its team's quota limit allows at once:
-// a machine that is not reconciled counts at its worst.
+// quotaAllowance returns how many more tasks of the job its team's quota limit allows to run at
+// once. Unreconciled machines count as fully used by the team.
 func (p *partitionLeader) quotaAllowance(j *job) int {
 	t := p.core.teams[j.Team]
 	if t == nil {
@@ -294,7 +302,8 @@
 	return int(j.Resources.Count(free))
 }
 
-// startTask starts the job's next waiting task on a machine, if it may be started there.
+// startTask starts the job's next pending task on a machine. It reports whether it did: the task may
+// already have an active attempt, or the machine may not be schedulable.
 func (p *partitionLeader) startTask(j *job, m *machine, length micros.Time) bool {
 	task := j.pendingTasks.Next(0)
 	if task < 0 || j.activeAttempts[task] != nil || !p.schedulable(m) {
@@ -317,7 +326,7 @@
 	j.pendingTasks.Remove(task)
 	p.reserve(a)
 	m.commands.Add(messages.Command{Operation: messages.Start, AttemptID: a.id})
-	// Other tasks of the image need not wait for it as long.
+	// The start makes the agent fetch the image, so later tasks with the same image wait less.
 	m.useImage(j.Image, j.ImageGB)
 	return true
 }
