--- a/internal/coordination/plan_state_test.go
+++ b/internal/coordination/plan_state_test.go
@@ -20,9 +20,9 @@
 		{name: "after the shortest interval", age: minPlanInterval, stale: true, want: true},
 		{name: "not without a change", age: minPlanInterval, want: false},
 		{name: "without a change after the longest interval", age: maxPlanInterval, want: true},
-		{name: "not before a twentieth of the time was spent", age: 20*6*micros.Millisecond - 1,
+		{name: "not while planning would exceed a twentieth of the time", age: 20*6*micros.Millisecond - 1,
 			lastTook: 6 * micros.Millisecond, stale: true, want: false},
-		{name: "once a twentieth of the time was spent", age: 20 * 6 * micros.Millisecond,
+		{name: "once planning takes a twentieth of the time", age: 20 * 6 * micros.Millisecond,
 			lastTook: 6 * micros.Millisecond, stale: true, want: true},
 		{name: "after the longest interval, however long the last plan took", age: maxPlanInterval,
 			lastTook: 10 * micros.Second, want: true},
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestBeginResetsPlanState: what one plan found out does not hold for the next.
+// TestBeginResetsPlanState checks that results of one planning pass are not used in the next.
 func TestBeginResetsPlanState(t *testing.T) {
 	s := newPlanState()
 	s.serviceReplicas = 3
@@ -48,12 +48,12 @@
 	s.inheritedUrgency = map[string]inheritedUrgency{"job": {}}
 	s.begin(micros.Second)
 	if s.stale || s.lastRunAt != micros.Second {
-		t.Errorf("stale %v, begun at %d", s.stale, s.lastRunAt)
+		t.Errorf("after begin: stale %v, lastRunAt %d", s.stale, s.lastRunAt)
 	}
 	if s.serviceReplicas != 0 || s.unreconciledUsage != (workload.Resources{}) {
-		t.Errorf("kept %d replicas, usage %+v", s.serviceReplicas, s.unreconciledUsage)
+		t.Errorf("not reset: %d replicas, unreconciled usage %+v", s.serviceReplicas, s.unreconciledUsage)
 	}
 	if len(s.preemptionFailed) != 0 || len(s.inheritedUrgency) != 0 {
-		t.Errorf("kept %v, %v", s.preemptionFailed, s.inheritedUrgency)
+		t.Errorf("not reset: failed preemptions %v, inherited urgency %v", s.preemptionFailed, s.inheritedUrgency)
 	}
 }
