--- a/internal/coordination/timelines.go
+++ b/internal/coordination/timelines.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// overdueBootDelay is how soon a machine whose boot is overdue is taken to be there: boot
+	// overdueBootDelay is how soon a machine whose boot is overdue is expected to be up: boot
 	// times vary.
 	overdueBootDelay = 2 * micros.Second
-	// stopMargin is how much longer than its grace period a stopped attempt is expected to
-	// stay, until a heartbeat shows it gone.
+	// stopMargin is added to the grace period of a stopped attempt: it occupies its machine until a
+	// heartbeat confirms that it is gone.
 	stopMargin = micros.Second / 2
-	// unknownAttemptDuration is how long an attempt whose job is over is expected to stay: it
-	// is being killed.
+	// unknownAttemptDuration is how long an attempt whose job is no longer active is expected to
+	// occupy its machine: it is being killed.
 	unknownAttemptDuration = micros.Second
 )
 
-// buildTimelines builds the timelines of the machines that can be planned with from what
-// occupies them.
+// buildTimelines returns the machines that tasks can be planned on, each with a timeline of the
+// resources that its attempts occupy.
 func (p *partitionLeader) buildTimelines() []*scheduling.Machine {
 	var out []*scheduling.Machine
 	for i, m := range p.machines {
@@ -35,7 +35,8 @@
 	return out
 }
 
-// plannedMachine is a machine as the planner sees it.
+// plannedMachine returns the planner's view of a machine. Its timeline starts now, or for a machine
+// that is not up yet, when it is expected to be.
 func (p *partitionLeader) plannedMachine(index int, m *machine, up bool) *scheduling.Machine {
 	from := p.core.now
 	if !up {
@@ -54,7 +55,7 @@
 	if m.record.Spot {
 		planned.LossRate = p.core.spot.rate()
 	}
-	for _, a := range m.attempts { // in any order: the sums are the same
+	for _, a := range m.attempts { // map order does not matter: reservations are summed
 		if a.state == messages.Exited {
 			continue
 		}
@@ -66,33 +67,35 @@
 	return planned
 }
 
-// isReplica tells whether the attempt occupies its machine as a service replica.
+// isReplica reports whether the attempt is a service replica that still occupies its machine.
 func (a *attempt) isReplica() bool {
 	return a.state != messages.Exited && a.job != nil && a.job.Kind == workload.Service
 }
 
-// expectedToBoot tells whether a machine that is not up can be counted on to boot.
+// expectedToBoot reports whether a machine that is not schedulable yet is expected to become so
+// soon.
 func (p *partitionLeader) expectedToBoot(m *machine) bool {
 	if m.drain.reason != notDraining || m.lifecycle.preemptAt != 0 {
 		return false
 	}
 	if m.agent.HeardFrom() {
-		// About to be usable.
+		// Its agent runs and is about to be usable.
 		return m.agent.Reconciled() && !m.agent.LeaseExpired() && p.core.now-m.contact.LastContact() < p.suspicionTimeout()
 	}
 	return !m.record.Used && !p.detector.ZoneUnreachable(m.record.Zone) &&
 		p.core.now-m.lifecycle.addedAt < m.instanceType.Boot*3/2
 }
 
-// justBooted tells whether a machine's first heartbeat came a moment ago, so that
-// nothing has reached it yet. The headroom for services counts it: missing for that
-// moment, it would be requested once more at every boot, and another be terminated.
+// justBooted reports whether a machine's first heartbeat arrived within the suspicion timeout, so
+// that possibly no message has reached it yet. Such a machine counts as headroom for services:
+// otherwise every boot would cause a further instance request, and then the termination of a
+// surplus machine.
 func (p *partitionLeader) justBooted(m *machine) bool {
 	return m.drain.reason == notDraining && m.lifecycle.preemptAt == 0 && m.agent.Reconciled() &&
 		!m.agent.LeaseExpired() && m.agent.BootedWithin(p.suspicionTimeout(), p.core.now)
 }
 
-// remaining is how much longer an attempt is expected to occupy its machine.
+// remaining returns how much longer an attempt is expected to occupy its machine.
 func (p *partitionLeader) remaining(a *attempt) micros.Time {
 	switch {
 	case a.stop.ordered:
@@ -106,6 +109,6 @@
 	if a.runningSince == 0 {
 		return max(estimate, a.createdAt+a.plannedDuration-p.core.now)
 	}
-	// An overdue task is taken to need a part of its estimate more.
+	// A task close to or past its estimate is expected to need at least another quarter of it.
 	return max(estimate/4, estimate-(p.core.now-a.runningSince))
 }
