--- a/internal/coordination/timelines_test.go
+++ b/internal/coordination/timelines_test.go
@@ -9,7 +9,7 @@
 	"pipitlatch/internal/workload"
 )
 
-// coreAt is a core at an instant, with nothing observed.
+// coreAt returns a core at the given time that has not observed any run times.
 func coreAt(now micros.Time) *Core {
 	c := &Core{}
 	c.now = now
@@ -17,7 +17,7 @@
 	return c
 }
 
-// TestRemaining: how much longer attempts are expected to occupy their machine.
+// TestRemaining checks how much longer attempts are expected to occupy their machine.
 func TestRemaining(t *testing.T) {
 	const (
 		now      = 1000 * micros.Second
@@ -34,14 +34,14 @@
 		{name: "being stopped: its grace period",
 			attempt: attempt{stop: stopState{ordered: true, gracePeriod: 3 * micros.Second}},
 			want:    3*micros.Second + stopMargin},
-		{name: "of a job that is over", jobOver: true, want: unknownAttemptDuration},
+		{name: "of a job that is no longer active", jobOver: true, want: unknownAttemptDuration},
 		{name: "a replica", kind: workload.Service, want: scheduling.Forever},
 		{name: "not running yet: its estimate", attempt: attempt{createdAt: now}, want: estimate},
 		{name: "not running yet, planned for longer",
 			attempt: attempt{createdAt: now - 5*micros.Second, plannedDuration: 60 * micros.Second}, want: 55 * micros.Second},
 		{name: "running: what is left of its estimate",
 			attempt: attempt{runningSince: now - 10*micros.Second}, want: 30 * micros.Second},
-		{name: "overdue: a part of its estimate",
+		{name: "nearly overdue: a quarter of its estimate",
 			attempt: attempt{runningSince: now - 39*micros.Second}, want: 10 * micros.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestEstimate: a job's own tasks correct what its owner said.
+// TestEstimate checks that the run times of a job's own tasks correct its owner's estimate.
 func TestEstimate(t *testing.T) {
 	const now = 1000 * micros.Second
 	for _, c := range []struct {
@@ -65,13 +65,13 @@
 		runningSince micros.Time
 		want         micros.Time
 	}{
-		{name: "the owner's without any", want: 40 * micros.Second},
-		{name: "weighs as two completed tasks",
+		{name: "the owner's estimate without observed run times", want: 40 * micros.Second},
+		{name: "the owner's estimate weighs as two completed tasks",
 			runtime: jobRuntime{total: 2 * 80 * micros.Second, samples: 2}, want: 60 * micros.Second},
-		{name: "no less than a task has run", runningSince: now - 70*micros.Second, want: 70 * micros.Second},
-		{name: "a shorter run says nothing", runningSince: now - 7*micros.Second, want: 40 * micros.Second},
-		{name: "once a plan", runtime: jobRuntime{estimate: 5 * micros.Second, estimatedAt: now}, want: 5 * micros.Second},
-		{name: "anew in the next plan", runtime: jobRuntime{estimate: 5 * micros.Second, estimatedAt: now - 1},
+		{name: "at least as long as a task has been running", runningSince: now - 70*micros.Second, want: 70 * micros.Second},
+		{name: "unchanged by a task that has run for less", runningSince: now - 7*micros.Second, want: 40 * micros.Second},
+		{name: "computed once per planning pass", runtime: jobRuntime{estimate: 5 * micros.Second, estimatedAt: now}, want: 5 * micros.Second},
+		{name: "computed again in the next pass", runtime: jobRuntime{estimate: 5 * micros.Second, estimatedAt: now - 1},
 			want: 40 * micros.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
