--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// minPreemptionGain is how much earlier a task has to start for work to be stopped for it.
+	// minPreemptionGain is how much earlier a replica must start for other work to be stopped for it.
 	minPreemptionGain = micros.Second
-	// stopOverheadSeconds is what stopping an attempt costs besides the work lost, in seconds.
+	// stopOverheadSeconds is the cost of stopping an attempt in addition to the lost work.
 	stopOverheadSeconds = 1
-	// imageFetchWeight is how many times the time that an image takes to arrive counts among
-	// the costs: the service is down for that time.
+	// imageFetchWeight is the factor by which the time to fetch the image counts as a cost: the
+	// service is down for that time.
 	imageFetchWeight = 20
 )
 
-// preemptionKey is what decides where preemption can help a task that has no further
-// conditions.
+// preemptionKey identifies tasks for which preemption has the same outcome, provided that they have
+// no other placement constraints.
 type preemptionKey struct {
 	resources workload.Resources
 	priority  workload.Priority
@@ -29,21 +29,22 @@
 	spot      bool
 }
 
-// preemption is what has to be stopped on a machine for one task.
+// preemption is the set of attempts to stop on a machine so that one task fits there.
 type preemption struct {
 	machine *machine
 	victims []*attempt
 	cost    float64 // in seconds
 }
 
-// preemptFor stops work of lower priority for a replica that otherwise would wait
-// until a time, and starts the replica in its place. Exception to the design: the
-// paper's tasks are not preempted, but services must not wait for arrays.
+// preemptFor stops work of lower priority to make room for a replica that would otherwise start
+// only at the given time, and starts the replica there. This deviates from the scheduling model,
+// which has no preemption: services must not wait for arrays.
 func (p *partitionLeader) preemptFor(j *job, until micros.Time) {
 	if until-p.core.now < minPreemptionGain || j.pendingTasks.Len() == 0 {
 		return
 	}
-	// What found no machine in this plan finds none again: many services alike wait.
+	// If no machine was found for an equal replica in this pass, none is found for this one. Many
+	// equal replicas may be pending, and each search covers the whole fleet.
 	shape := preemptionKey{j.Resources, j.Priority, j.Zone, j.Spot}
 	cacheable := len(j.InstanceTypes) == 0 && !j.OneZone && !j.Spread
 	if cacheable && p.plan.preemptionFailed[shape] {
@@ -65,12 +66,13 @@
 		p.stopAttempt(a, gracePeriod)
 	}
 	if !checkpoints {
-		// Commands are executed in order: what was stopped is gone when the start comes.
+		// Agents execute commands in order, so the victims are gone before the start. A victim
+		// that saves a checkpoint stays longer; then the replica starts in a later pass.
 		p.startTask(j, best.machine, scheduling.Forever)
 	}
 }
 
-// cheapestPreemption is the preemption that costs least of those that make a task of the job fit.
+// cheapestPreemption returns the preemption of lowest cost that makes a task of the job fit.
 func (p *partitionLeader) cheapestPreemption(j *job) (best preemption, found bool) {
 	for _, m := range p.machines {
 		if !p.acceptsStarts(m) || !j.mayRunOn(m) || !j.zoneHasCapacity(m.record.Zone) {
@@ -83,8 +85,8 @@
 	return best, found
 }
 
-// preemptionOn says which attempts of lower priority have to be stopped on a machine for a task of
-// the job, and what that costs; enough is false where the task would not fit after that.
+// preemptionOn returns the attempts of lower priority to stop on a machine so that a task of the
+// job fits, and their cost. enough is false if the task does not fit even then.
 func (p *partitionLeader) preemptionOn(m *machine, j *job) (on preemption, enough bool) {
 	on.machine = m
 	free := m.instanceType.Capacity
@@ -99,7 +101,7 @@
 			lower = append(lower, a)
 		}
 	}
-	// The least work lost first.
+	// Attempts that lose the least work come first.
 	slices.SortStableFunc(lower, func(a, b *attempt) int { return cmp.Compare(p.lostWork(a), p.lostWork(b)) })
 	for _, a := range lower {
 		if j.Resources.Fits(free) {
@@ -115,7 +117,8 @@
 	return on, j.Resources.Fits(free)
 }
 
-// lostWork is the run time that stopping an attempt loses.
+// lostWork returns the run time that is lost if the attempt is stopped. One that checkpoints loses
+// only the time that saving takes.
 func (p *partitionLeader) lostWork(a *attempt) micros.Time {
 	switch {
 	case a.runningSince == 0:
