--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -10,7 +10,7 @@
 	"pipitlatch/internal/workload"
 )
 
-// runningOn puts an attempt at a task of a job on a machine, which has run for a time.
+// runningOn adds an attempt to a machine that has been running since the given time.
 func runningOn(m *machine, j *workload.Job, cpu int64, since micros.Time) *attempt {
 	a := &attempt{
 		id:           messages.AttemptID{Job: j.ID, Number: uint64(len(m.attempts) + 1)},
@@ -24,15 +24,15 @@
 	return a
 }
 
-// preemptionNow is when the cases are looked at.
+// preemptionNow is the current time in preemptionCases.
 const preemptionNow = 1000 * micros.Second
 
-// startedSecondsAgo is since when an attempt runs that has run for a number of seconds.
+// startedSecondsAgo returns the start time of an attempt that has run for the given time.
 func startedSecondsAgo(seconds micros.Time) micros.Time { return preemptionNow - seconds*micros.Second }
 
 func lowPriority(id string) *workload.Job { return &workload.Job{ID: id, Priority: workload.Low} }
 
-// preemptionCases are machines of eight CPUs on which a replica is to run that needs four.
+// preemptionCases are machines with eight CPUs on which a replica that needs four is to run.
 var preemptionCases = []struct {
 	name   string
 	setup  func(m *machine)
@@ -40,7 +40,7 @@
 	cost   float64
 	enough bool
 }{
-	{name: "nothing where it fits", setup: func(m *machine) { runningOn(m, lowPriority("1"), 4, startedSecondsAgo(9)) },
+	{name: "nothing if the replica fits", setup: func(m *machine) { runningOn(m, lowPriority("1"), 4, startedSecondsAgo(9)) },
 		enough: true},
 	{name: "the least work lost", setup: func(m *machine) {
 		runningOn(m, lowPriority("1"), 4, startedSecondsAgo(9))
@@ -50,7 +50,7 @@
 		runningOn(m, lowPriority("1"), 4, startedSecondsAgo(1))
 		runningOn(m, lowPriority("2"), 4, 0)
 	}, want: []string{"2"}, cost: stopOverheadSeconds, enough: true},
-	{name: "what checkpoints loses the time of that", setup: func(m *machine) {
+	{name: "an attempt that checkpoints loses the time that saving takes", setup: func(m *machine) {
 		runningOn(m, lowPriority("1"), 4, startedSecondsAgo(9))
 		j := lowPriority("2")
 		j.CheckpointInterval, j.CheckpointDuration = 60*micros.Second, 2*micros.Second
@@ -65,16 +65,16 @@
 		runningOn(m, &workload.Job{ID: "1", Priority: workload.High}, 6, startedSecondsAgo(1))
 		runningOn(m, lowPriority("2"), 1, startedSecondsAgo(1))
 	}, want: []string{"2"}, cost: 1 + stopOverheadSeconds},
-	{name: "not what is being stopped already", setup: func(m *machine) {
+	{name: "not an attempt that is already being stopped", setup: func(m *machine) {
 		runningOn(m, lowPriority("1"), 8, startedSecondsAgo(1)).stop.ordered = true
 	}},
-	{name: "what exited takes nothing", setup: func(m *machine) {
+	{name: "exited attempts occupy nothing", setup: func(m *machine) {
 		runningOn(m, lowPriority("1"), 8, startedSecondsAgo(1)).state = messages.Exited
 	}, enough: true},
 }
 
-// TestPreemptionOn: the least work lost is stopped, no more than needed, and none of the same
-// priority.
+// TestPreemptionOn checks that the attempts that lose the least work are stopped, no more than
+// needed, and none of the same priority.
 func TestPreemptionOn(t *testing.T) {
 	p := &partitionLeader{core: coreAt(preemptionNow)}
 	service := &job{Job: &workload.Job{
@@ -93,14 +93,14 @@
 				victims = append(victims, a.id.Job)
 			}
 			if !slices.Equal(victims, c.want) || on.cost != c.cost || enough != c.enough {
-				t.Errorf("stops %v at %v s, enough %v; want %v at %v s, %v",
+				t.Errorf("stops %v at a cost of %v s, enough %v; want %v, %v s, %v",
 					victims, on.cost, enough, c.want, c.cost, c.enough)
 			}
 		})
 	}
 }
 
-// TestZoneHasCapacity: what a job's active tasks allow of a zone.
+// TestZoneHasCapacity checks when a job's active tasks allow another one in a zone.
 func TestZoneHasCapacity(t *testing.T) {
 	for _, c := range []struct {
 		name   string
