--- a/internal/coordination/preemption_notice.go
+++ b/internal/coordination/preemption_notice.go
@@ -6,9 +6,10 @@
 	"pipitlatch/internal/workload"
 )
 
-// handlePreemptionNotice stops the tasks that will not have ended when the cloud takes the
-// machine: they would be lost then, and start elsewhere sooner by the time of the notice. A task
-// that can save a checkpoint in time does so. Replicas serve until the end.
+// handlePreemptionNotice stops the tasks that are not expected to end before the cloud preempts the
+// machine. They would be lost anyway; stopped now, they restart elsewhere earlier by the notice
+// period. A task that can save a checkpoint in time gets the grace period for it. Service replicas
+// keep serving until the machine is gone.
 func (p *partitionLeader) handlePreemptionNotice(m *machine) {
 	if m.lifecycle.preemptAt == 0 || m.lifecycle.preemptionHandled ||
 		!m.agent.Acknowledged(p.lease.fencingToken) || !m.agent.Reconciled() {
