--- a/internal/coordination/objective_preemption.go
+++ b/internal/coordination/objective_preemption.go
@@ -8,8 +8,9 @@
 	"pipitlatch/internal/micros"
 )
 
-// startDeadline is until when a job's tasks are to start: as its class's `wait` objective
-// wants, or, within its team's guaranteed quota, as the objective on guarantees does.
+// startDeadline returns the time by which a job's tasks must start to meet the `wait` objective of
+// its class, or, if the job is within its team's guaranteed quota, the `guarantee` objective. The
+// earlier one applies; found is false if there is neither.
 func (p *partitionLeader) startDeadline(r rankedJob) (deadline micros.Time, found bool) {
 	within := micros.Max
 	for _, o := range p.core.config.Settings.Objectives {
@@ -20,45 +21,45 @@
 	return p.core.now - (p.core.wall - r.job.readySince) + within, found
 }
 
-// preemptionScope is whose work may be stopped for a job that would miss its objective.
+// preemptionScope limits whose work may be stopped for a job that would miss its objective.
 type preemptionScope uint8
 
 const (
-	// anyTeam: of lower priority, or what another team runs on borrowed quota while the job is
-	// within its team's guaranteed quota.
+	// anyTeam allows work of lower priority of any team and, for a job within its team's guaranteed
+	// quota, work of equal priority that another team runs on borrowed quota.
 	anyTeam preemptionScope = iota
-	// ownTeam: work of the team itself, of lower priority: it is the team's quota limit that
-	// leaves nothing free, and what is started takes no more than what was stopped right
-	// before on the same machine.
+	// ownTeam allows only work of lower priority of the job's own team. It applies if the team's
+	// quota limit is exhausted: a started task takes no more than the attempt that was stopped for
+	// it on the same machine.
 	ownTeam
 )
 
-// preemptibleDivisor is the part of a job's own run time that an attempt may have run and
-// still be stopped for it.
+// preemptibleDivisor limits how long an attempt may have occupied its machine and still be stopped:
+// at most a quarter of the estimate of the job to start, or for ownTeam of its own job.
 const preemptibleDivisor = 4
 
-// victim is an attempt that could be stopped, with what that costs and gains.
+// victim is an attempt that could be stopped, with the cost and the gain of doing so.
 type victim struct {
 	attempt *attempt
 	machine *machine
-	slots   int     // for tasks of the job
-	cost    float64 // CPU-seconds lost, for a slot
+	slots   int     // tasks of the job that fit in its place
+	cost    float64 // CPU-seconds lost per slot
 }
 
-// objectivePreemption finds the work that is stopped for one job that would miss its objective.
+// objectivePreemption selects the work to stop for one job that would miss its objective.
 type objectivePreemption struct {
 	*partitionLeader
 	ranked   rankedJob
 	startBy  micros.Time
 	scope    preemptionScope
-	borrowed map[string]int64 // CPU above the guaranteed quota, by team, less what is to be stopped
+	borrowed map[string]int64 // by team: CPU above the guaranteed quota, without selected victims
 }
 
-// preemptForObjective starts tasks of a job, all that are missing or none, in the place of work
-// that was just begun. Exception to the design, whose tasks are not preempted: an urgent task of
-// half a minute cannot wait for one that takes a minute, and a guarantee is no guarantee that
-// waits for what others borrow. A task is stopped for this once only, so none is put off without
-// end.
+// preemptForObjective stops recently started work and starts the missing tasks of a job in its
+// place, either all of them or none. This deviates from the scheduling model, which has no
+// preemption: an urgent task of half a minute cannot wait for one that takes a minute, and
+// guaranteed quota must not wait for work on borrowed quota. Each task is stopped for this reason at
+// most once, so that none is delayed indefinitely.
 func (p *partitionLeader) preemptForObjective(r rankedJob, missing int, startBy micros.Time, scope preemptionScope) {
 	j := r.job
 	if missing <= 0 || startBy <= p.core.now || j.OneZone || j.Spread {
@@ -80,8 +81,8 @@
 	}
 }
 
-// selectVictims takes candidates in their order until they make place for all missing tasks; none if
-// they do not.
+// selectVictims returns candidates, in their order, until all missing tasks fit. It returns none if
+// not all of them do.
 func (o *objectivePreemption) selectVictims(candidates []victim, missing int) []victim {
 	chosen := candidates[:0]
 	for _, v := range candidates {
@@ -90,7 +91,7 @@
 		}
 		a := v.attempt
 		if a.job.Priority >= o.ranked.job.Priority && o.borrowed[a.job.Team] < a.resources.CPU {
-			continue // what is left is within its team's guaranteed quota
+			continue // the rest of its team's work is within the guaranteed quota
 		}
 		o.borrowed[a.job.Team] -= a.resources.CPU
 		missing -= v.slots
@@ -102,8 +103,8 @@
 	return chosen
 }
 
-// candidates are the attempts that may be stopped for the job and make place for it in time,
-// those first that lose least for a slot.
+// candidates returns the attempts that may be stopped for the job on machines where its tasks can
+// start in time, those that lose the least per slot first.
 func (o *objectivePreemption) candidates() []victim {
 	j := o.ranked.job
 	var found []victim
@@ -117,7 +118,8 @@
 	return found
 }
 
-// imageReadyInTime tells whether the job's image is on a machine by the time its tasks are to start.
+// imageReadyInTime reports whether the machine has the job's image, or can fetch it by the start
+// deadline.
 func (o *objectivePreemption) imageReadyInTime(m *machine) bool {
 	j := o.ranked.job
 	if m.images.Has(j.Image) {
@@ -127,7 +129,7 @@
 	return fetchGBps > 0 && o.core.now+micros.FromSeconds(j.ImageGB/fetchGBps) <= o.startBy
 }
 
-// candidatesOn are those of one machine.
+// candidatesOn returns the candidates on one machine.
 func (o *objectivePreemption) candidatesOn(m *machine) []victim {
 	need := o.ranked.job.Resources
 	var preemptible []*attempt
@@ -136,7 +138,7 @@
 			preemptible = append(preemptible, a)
 		}
 	}
-	// The least work lost first.
+	// Attempts that lose the least work come first.
 	slices.SortFunc(preemptible, func(x, y *attempt) int {
 		return cmp.Or(cmp.Compare(o.occupiedFor(x), o.occupiedFor(y)), x.id.Compare(y.id))
 	})
@@ -158,13 +160,13 @@
 	return found
 }
 
-// victim is an attempt with a number of slots that stopping it makes.
+// victim returns the attempt with the number of slots that stopping it frees, and its cost.
 func (o *objectivePreemption) victim(a *attempt, slots int) victim {
 	lost := micros.Seconds(o.occupiedFor(a)) * float64(a.resources.CPU)
 	return victim{attempt: a, machine: a.machine, slots: slots, cost: lost / float64(slots)}
 }
 
-// isPreemptible tells whether an attempt may be stopped for the job.
+// isPreemptible reports whether an attempt may be stopped for the job.
 func (o *objectivePreemption) isPreemptible(a *attempt) bool {
 	if !a.knownToRun() || a.job == o.ranked.job || a.job.plannedWithinGuarantee || a.job.preemptedOnce.Has(a.id.Task) {
 		return false
@@ -181,14 +183,15 @@
 		o.borrowed[a.job.Team] >= a.resources.CPU)
 }
 
-// knownToRun tells whether a heartbeat showed the attempt, nothing is under way that starts or
-// stops it, and its job is active.
+// knownToRun reports whether a heartbeat has confirmed the attempt, no command that starts or stops
+// it is pending, and its job is active.
 func (a *attempt) knownToRun() bool {
 	return a.state != messages.Exited && !a.stop.ordered && a.start.reported &&
 		a.start.inFlight+a.start.unanswered == 0 && a.job != nil
 }
 
-// wouldMissDeadline tells whether a job in time would miss its deadline if a task began anew.
+// wouldMissDeadline reports whether a job that can still meet its deadline would miss it if one of
+// its tasks were restarted. A restart is assumed to take up to two estimates.
 func (p *partitionLeader) wouldMissDeadline(j *job) bool {
 	if j.Deadline <= 0 {
 		return false
@@ -198,5 +201,5 @@
 	return due > now && due < now+2*p.estimate(j)
 }
 
-// occupiedFor is the time that an attempt has occupied its machine, which stopping it loses.
+// occupiedFor returns how long an attempt has occupied its machine: the time lost by stopping it.
 func (p *partitionLeader) occupiedFor(a *attempt) micros.Time { return p.core.now - a.createdAt }
