--- a/internal/coordination/objective_preemption_test.go
+++ b/internal/coordination/objective_preemption_test.go
@@ -9,8 +9,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// TestChooseVictims: all missing tasks get a place or none does, and no team is brought below its
-// guaranteed quota by work of the same priority.
+// TestChooseVictims checks that either all missing tasks get a slot or none, and that work of the
+// same priority never reduces another team below its guaranteed quota.
 func TestChooseVictims(t *testing.T) {
 	victimOf := func(name, team string, priority workload.Priority, cpu int64, slots int) victim {
 		j := &job{Job: &workload.Job{Team: team, Priority: priority}}
@@ -29,13 +29,13 @@
 		{name: "no more than needed", missing: 2,
 			candidates: []victim{victimOf("1", "b", low, 4, 2), victimOf("2", "b", low, 4, 2)},
 			want:       []string{"1"}, wantBorrowed: -4},
-		{name: "none if they are not enough", missing: 3,
+		{name: "none if not all missing tasks fit", missing: 3,
 			candidates:   []victim{victimOf("1", "b", low, 4, 1), victimOf("2", "b", low, 4, 1)},
 			wantBorrowed: -8},
-		{name: "of the same priority while quota is borrowed", missing: 2, borrowed: map[string]int64{"b": 8},
+		{name: "same priority while its team borrows quota", missing: 2, borrowed: map[string]int64{"b": 8},
 			candidates: []victim{victimOf("1", "b", normal, 4, 1), victimOf("2", "b", normal, 4, 1)},
 			want:       []string{"1", "2"}, wantBorrowed: 0},
-		{name: "not of the same priority once what is left is guaranteed", missing: 2, borrowed: map[string]int64{"b": 7},
+		{name: "not the same priority once the rest is within the guarantee", missing: 2, borrowed: map[string]int64{"b": 7},
 			candidates: []victim{victimOf("1", "b", normal, 4, 1), victimOf("2", "b", normal, 4, 1),
 				victimOf("3", "b", low, 4, 1)},
 			want: []string{"1", "3"}, wantBorrowed: -1},
@@ -52,7 +52,7 @@
 				got = append(got, v.attempt.id.Job)
 			}
 			if !slices.Equal(got, c.want) {
-				t.Errorf("chosen %v, want %v", got, c.want)
+				t.Errorf("selected %v, want %v", got, c.want)
 			}
 			if borrowed["b"] != c.wantBorrowed {
 				t.Errorf("team b borrows %d, want %d", borrowed["b"], c.wantBorrowed)
@@ -61,20 +61,20 @@
 	}
 }
 
-// TestAttemptKnownToRun: nothing is stopped for other work whose start or stop is under way.
+// TestAttemptKnownToRun checks that an attempt whose start or stop is pending is not preempted.
 func TestAttemptKnownToRun(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*attempt)
 		want   bool
 	}{
-		{"shown by a heartbeat", func(*attempt) {}, true},
+		{"confirmed by a heartbeat", func(*attempt) {}, true},
 		{"exited", func(a *attempt) { a.state = messages.Exited }, false},
 		{"being stopped", func(a *attempt) { a.stop.ordered = true }, false},
-		{"not shown yet", func(a *attempt) { a.start.reported = false }, false},
-		{"a start command on its way", func(a *attempt) { a.start.inFlight = 1 }, false},
+		{"not confirmed yet", func(a *attempt) { a.start.reported = false }, false},
+		{"a start command in flight", func(a *attempt) { a.start.inFlight = 1 }, false},
 		{"a start command without a reply", func(a *attempt) { a.start.unanswered = 1 }, false},
-		{"of a job that is over", func(a *attempt) { a.job = nil }, false},
+		{"of a job that is no longer active", func(a *attempt) { a.job = nil }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := &attempt{job: &job{}, state: messages.Running, start: startState{reported: true}}
