--- a/internal/coordination/headroom.go
+++ b/internal/coordination/headroom.go
@@ -6,17 +6,17 @@
 	"pipitlatch/internal/workload"
 )
 
-// headroomSurvey is what the headroom for services depends on, counted once: what would be
-// missing without one machine or another then follows without another look at the fleet.
+// headroomSurvey holds the counts that determine the headroom for services. The fleet is counted
+// once; the headroom that is missing without a given machine then follows without another scan.
 //
-// All counts are of replicas of the largest service.
+// Headroom is measured in replicas of the largest service.
 type headroomSurvey struct {
-	service  *job             // the largest service; nil: there is none, and nothing is missing
-	growth   int              // further replicas that have to fit besides those of a lost machine
-	replicas map[*machine]int // that there are, of any service
-	fitting  map[*machine]int // that fit besides
+	service  *job             // the largest service; nil if there is none: nothing is missing then
+	growth   int              // additional replicas that must fit
+	replicas map[*machine]int // existing replicas of all services
+	fitting  map[*machine]int // additional replicas that fit
 	headroom int              // the sum of fitting
-	// The machines with replicas whose loss takes most headroom.
+	// The machines with replicas whose loss would reduce the headroom most.
 	worst, second *machine
 }
 
@@ -24,10 +24,10 @@
 	return &headroomSurvey{replicas: map[*machine]int{}, fitting: map[*machine]int{}}
 }
 
-// addReplica counts a replica, wherever it is.
+// addReplica counts a replica on a machine, whether the machine takes more tasks or not.
 func (s *headroomSurvey) addReplica(m *machine) { s.replicas[m]++ }
 
-// addHeadroom counts a number of replicas that fit on a machine.
+// addHeadroom records that n more replicas fit on a machine.
 func (s *headroomSurvey) addHeadroom(m *machine, n int) {
 	if n > 0 {
 		s.fitting[m] = n
@@ -35,7 +35,7 @@
 	}
 }
 
-// rankMachines finds the machines whose loss takes most headroom, once all is counted.
+// rankMachines sets worst and second once all machines and replicas have been counted.
 func (s *headroomSurvey) rankMachines() {
 	s.worst, s.second = nil, nil
 	for m := range s.replicas {
@@ -43,7 +43,7 @@
 	}
 }
 
-// rank keeps the two machines with replicas whose loss takes most headroom.
+// rank updates worst and second with one machine.
 func (s *headroomSurvey) rank(m *machine) {
 	switch {
 	case s.worst == nil || s.lossImpact(m) > s.lossImpact(s.worst):
@@ -53,11 +53,13 @@
 	}
 }
 
-// lossImpact is the headroom that the loss of a machine takes: for its replicas, and what it has.
+// lossImpact returns the headroom that the loss of a machine costs: slots for its replicas, and the
+// slots that it has free.
 func (s *headroomSurvey) lossImpact(m *machine) int { return s.replicas[m] + s.fitting[m] }
 
-// missing is how much headroom is missing: if a machine is given, after its replicas have moved
-// elsewhere. What any one machine has must fit on the others, and growth must.
+// missing returns how much headroom is missing; if a machine is given, after its replicas have moved
+// elsewhere. The headroom must be enough for growth, and for the loss of any one machine. It is
+// zero or negative if nothing is missing.
 func (s *headroomSurvey) missing(without *machine) int {
 	if s.service == nil {
 		return 0
@@ -74,14 +76,15 @@
 	return missing
 }
 
-// missingWithout is missing(large) once an empty machine was terminated as well.
+// missingWithout returns missing(large) as it would be after an empty machine was terminated as well.
 func (s *headroomSurvey) missingWithout(large, empty *machine) int {
 	rest := *s
 	rest.headroom -= s.fitting[empty]
 	return rest.missing(large)
 }
 
-// remove takes a machine out of what counts as headroom: it takes no more tasks.
+// remove excludes a machine from the headroom because it takes no more tasks. Its replicas still
+// count.
 func (s *headroomSurvey) remove(m *machine) {
 	s.headroom -= s.fitting[m]
 	delete(s.fitting, m)
@@ -90,8 +93,8 @@
 	}
 }
 
-// surveyHeadroom counts the headroom for services; machines that still boot count if booting
-// is set.
+// surveyHeadroom counts the headroom for services. If booting is set, it includes machines that are
+// expected to be up soon.
 func (p *partitionLeader) surveyHeadroom(booting bool) *headroomSurvey {
 	s := newHeadroomSurvey()
 	replicas := 0
@@ -118,8 +121,8 @@
 	return s
 }
 
-// headroomOn is how many replicas of a service fit on a machine, where work of lower priority
-// is preempted.
+// headroomOn returns how many replicas of a service fit on a machine if work of lower priority is
+// preempted there.
 func (p *partitionLeader) headroomOn(m *machine, service *job, booting bool) int {
 	if m.instanceType == nil || !service.mayRunOn(m) {
 		return 0
@@ -136,9 +139,9 @@
 	return int(service.Resources.Count(free))
 }
 
-// headroomRequest asks for headroom to take up the replicas of the machine that holds most of
-// them, and some growth, at once: free capacity, or capacity for which arrays can be preempted.
-// Exception to the design, which plans for tasks that are there.
+// headroomRequest requests capacity if the headroom would not take the replicas of any one lost
+// machine at once, or some growth. Capacity on which arrays can be preempted counts as headroom.
+// This deviates from the scheduling model, which plans only for existing tasks.
 func (p *partitionLeader) headroomRequest() (request provisioning.CapacityRequest, needed bool) {
 	survey := p.surveyHeadroom(true)
 	if missing := survey.missing(nil); missing > 0 {
@@ -148,8 +151,8 @@
 	if m == nil {
 		return request, false
 	}
-	// Headroom on smaller machines for what keeps an expensive one busy: once it is there,
-	// consolidate drains the expensive one.
+	// Request headroom on smaller machines for the replicas that keep an oversized machine in use.
+	// Once it is there, consolidate drains the oversized one.
 	missing := survey.missing(m)
 	if missing <= 0 {
 		return request, false
