--- a/internal/coordination/headroom_test.go
+++ b/internal/coordination/headroom_test.go
@@ -6,7 +6,7 @@
 	"pipitlatch/internal/workload"
 )
 
-// fleetOf is a machine for each name.
+// fleetOf returns a machine for each name.
 func fleetOf(names ...string) map[string]*machine {
 	fleet := map[string]*machine{}
 	for _, name := range names {
@@ -15,7 +15,8 @@
 	return fleet
 }
 
-// surveyOf is a survey of machines by the replicas that each has and that fit there besides.
+// surveyOf returns a survey of machines, given by name the replicas that each has and how many more
+// fit there.
 func surveyOf(fleet map[string]*machine, growth int, machines map[string][2]int) *headroomSurvey {
 	s := newHeadroomSurvey()
 	s.service = &job{Job: &workload.Job{Kind: workload.Service}}
@@ -35,24 +36,24 @@
 	for _, c := range []struct {
 		name     string
 		growth   int
-		machines map[string][2]int // replicas, and how many fit besides
+		machines map[string][2]int // replicas, and how many more fit
 		without  string
 		want     int
 	}{
 		{name: "growth alone", growth: 3, machines: map[string][2]int{"a": {0, 2}}, want: 1},
-		{name: "growth where it is more than a machine has", growth: 9,
+		{name: "growth that exceeds the loss of any machine", growth: 9,
 			machines: map[string][2]int{"a": {1, 1}, "b": {0, 5}}, want: 9 - 6},
-		{name: "loss of the worst machine takes its headroom, too", growth: 1,
+		{name: "loss of the worst machine includes its free slots", growth: 1,
 			machines: map[string][2]int{"a": {4, 2}, "b": {3, 1}, "c": {0, 2}}, want: 4 + 2 - 5},
-		{name: "a machine without replicas is no loss", growth: 1,
+		{name: "loss of a machine without replicas does not count", growth: 1,
 			machines: map[string][2]int{"a": {1, 1}, "c": {0, 9}}, want: 1 + 1 - 10},
-		{name: "without the worst the second counts, and what moves", growth: 1,
+		{name: "without the worst: the second worst and the moved replicas", growth: 1,
 			machines: map[string][2]int{"a": {4, 2}, "b": {3, 1}, "c": {0, 2}}, without: "a", want: 3 + 1 + 4 - 3},
-		{name: "without another the worst counts, and what moves", growth: 1,
+		{name: "without another: the worst and the moved replicas", growth: 1,
 			machines: map[string][2]int{"a": {4, 2}, "b": {3, 1}, "c": {0, 2}}, without: "b", want: 4 + 2 + 3 - 4},
-		{name: "without an empty one its headroom is gone", growth: 1,
+		{name: "without an empty one: its free slots are gone", growth: 1,
 			machines: map[string][2]int{"a": {4, 2}, "b": {3, 1}, "c": {0, 2}}, without: "c", want: 4 + 2 - 3},
-		{name: "without the only one growth has to fit elsewhere", growth: 2,
+		{name: "without the only one with replicas: growth must fit elsewhere", growth: 2,
 			machines: map[string][2]int{"a": {4, 2}, "c": {0, 9}}, without: "a", want: 2 + 4 - 9},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -79,12 +80,12 @@
 		t.Errorf("missing %d, want %d", got, want)
 	}
 	if got, want := s.missing(fleet["large"]), 3+1+4-6; got != want {
-		t.Errorf("missing %d afterwards, want %d: the survey changed", got, want)
+		t.Errorf("missingWithout changed the survey: missing %d afterwards, want %d", got, want)
 	}
 }
 
-// TestRemoveFromHeadroom: what is removed is no headroom any more, while its replicas, which still
-// run there, count as before.
+// TestRemoveFromHeadroom checks that the free slots of a removed machine no longer count, while its
+// replicas, which still run there, count as before.
 func TestRemoveFromHeadroom(t *testing.T) {
 	fleet := fleetOf("a", "b", "c")
 	machines := map[string][2]int{"a": {4, 6}, "b": {5, 1}, "c": {0, 3}}
