--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// terminationTimeout is how long the termination of an idle machine takes at most while
-	// the cloud is well.
+	// terminationTimeout is the longest time that terminating an idle machine takes if the cloud
+	// provider works normally.
 	terminationTimeout = 5 * micros.Second
-	// minIdleReserve is how many idle machines are kept for the usual time, or a part of a large
-	// fleet.
+	// minIdleReserve is how many idle machines are kept for the full idle timeout. In a large fleet
+	// it is the fleet size divided by idleReserveDivisor, if that is more.
 	minIdleReserve     = 4
 	idleReserveDivisor = 8
-	// surplusIdleTimeout is how long those beyond the reserve are kept.
+	// surplusIdleTimeout is how long idle machines beyond the reserve are kept.
 	surplusIdleTimeout = 5 * micros.Second
-	// ordinaryIdleDivisor is the part of the usual time for which ordinary machines are kept:
-	// they cost more than spot instances, and arrays mostly need not wait for them.
+	// ordinaryIdleDivisor divides the idle timeout of on-demand machines: they cost more than spot
+	// instances, and arrays mostly need not wait for them.
 	ordinaryIdleDivisor = 3
 )
 
-// scaleIn drains machines that have had no task for a while and are not part of the headroom for
-// services, so that they are terminated.
+// scaleIn drains machines that have been idle longer than their idle timeout and are not needed as
+// headroom for services. Drained machines are terminated.
 func (p *partitionLeader) scaleIn() {
 	if p.core.replica.Stale() {
 		p.restartIdleTimes()
@@ -49,9 +49,9 @@
 	}
 }
 
-// restartIdleTimes makes idle machines idle since now. Nothing can be submitted while the
-// key-value store is out of reach: all users come back at once, and what was terminated would have
-// to boot first.
+// restartIdleTimes restarts the idle time of all idle machines. While the key-value store is
+// unreachable no job can be submitted. Afterwards all users submit at once, and machines that were
+// terminated meanwhile would have to boot again.
 func (p *partitionLeader) restartIdleTimes() {
 	for _, m := range p.machines {
 		if m.lifecycle.idleSince != 0 {
@@ -60,16 +60,17 @@
 	}
 }
 
-// terminationsStuck tells whether the cloud does not terminate machines now: what is drained then
-// serves nobody.
+// terminationsStuck reports whether the cloud provider currently fails to terminate machines.
+// Draining more machines would then only make them unusable.
 func (p *partitionLeader) terminationsStuck() bool {
 	return slices.ContainsFunc(p.machines, func(m *machine) bool {
 		return m.drain.reason == drainIdle && p.core.now-m.drain.since > terminationTimeout
 	})
 }
 
-// surplusIdleSince is the time since which a machine has to be idle, or for longer, to be beyond
-// the reserve: of many that are idle only a reserve is worth the usual time. 0: none is.
+// surplusIdleSince returns the time such that machines idle since then or earlier are beyond the
+// reserve; 0 if none is. If many machines are idle, only a reserve is worth keeping for the full
+// idle timeout.
 func (p *partitionLeader) surplusIdleSince() micros.Time {
 	var idle []micros.Time
 	for _, m := range p.machines {
@@ -85,14 +86,14 @@
 	return idle[surplus-1]
 }
 
-// idleTimeout is how long an idle machine is kept: one that is to take over from a large machine
-// until the others requested for that have booted, too.
+// idleTimeout returns how long an idle machine is kept before it is terminated.
 func (p *partitionLeader) idleTimeout(m, large *machine, surplusSince micros.Time) micros.Time {
 	timeout := micros.Time(p.core.config.Operator.IdleKeepS) * micros.Second
 	if !m.record.Spot {
 		if m.takesOverFrom(large) {
-			// Terminated before the others requested for that have booted, it would be
-			// requested anew, and the large one never be drained.
+			// Keep it until the other machines requested to replace the large one have booted.
+			// Otherwise it would be terminated and requested again, and the large machine would
+			// never be drained.
 			return 3 * m.instanceType.Boot
 		}
 		timeout /= ordinaryIdleDivisor
@@ -103,13 +104,13 @@
 	return timeout
 }
 
-// takesOverFrom tells whether the machine, an ordinary one, is of a smaller size than the one that
-// smaller machines are requested for.
+// takesOverFrom reports whether the machine is smaller than large, an oversized machine that smaller
+// ones are requested to replace; large may be nil.
 func (m *machine) takesOverFrom(large *machine) bool {
 	return large != nil && m.instanceType != nil && m.instanceType.Capacity.CPU < large.instanceType.Capacity.CPU
 }
 
-// requested tells whether capacity is asked for that the machine offers.
+// requested reports whether the machine matches a pending capacity request.
 func (p *partitionLeader) requested(m *machine) bool {
 	kind := m.instanceKind()
 	return slices.ContainsFunc(p.plan.capacityRequests, func(r provisioning.CapacityRequest) bool {
@@ -117,7 +118,7 @@
 	})
 }
 
-// instanceKind is what the machine was requested as.
+// instanceKind returns the kind of instance that the machine was requested as.
 func (m *machine) instanceKind() provisioning.InstanceKind {
 	return provisioning.InstanceKind{InstanceType: m.record.InstanceType, Zone: m.record.Zone, Spot: m.record.Spot}
 }
