--- a/internal/coordination/scale_in_test.go
+++ b/internal/coordination/scale_in_test.go
@@ -27,21 +27,21 @@
 		surplusSince micros.Time
 		want         micros.Time
 	}{
-		{name: "a spot instance for the usual time", spot: true, instanceType: small,
+		{name: "a spot instance: the full timeout", spot: true, instanceType: small,
 			idleSince: 9, want: keepS * micros.Second},
-		{name: "an ordinary machine for a third of it", instanceType: small,
+		{name: "an on-demand machine: a third of it", instanceType: small,
 			idleSince: 9, want: keepS / 3 * micros.Second},
-		{name: "a machine beyond the reserve for less", spot: true, instanceType: small,
+		{name: "a machine beyond the reserve: the surplus timeout", spot: true, instanceType: small,
 			idleSince: 9, surplusSince: 9, want: surplusIdleTimeout},
-		{name: "a machine in the reserve for the usual time", spot: true, instanceType: small,
+		{name: "a machine in the reserve: the full timeout", spot: true, instanceType: small,
 			idleSince: 10, surplusSince: 9, want: keepS * micros.Second},
-		{name: "one that takes over from a large one, beyond the reserve or not, for three boots", instanceType: small,
+		{name: "a replacement for a large machine, even beyond the reserve: three boot times", instanceType: small,
 			large: large, idleSince: 9, surplusSince: 9, want: 60 * micros.Second},
-		{name: "a spot instance takes over nothing", spot: true, instanceType: small,
+		{name: "a spot instance replaces no large machine", spot: true, instanceType: small,
 			large: large, idleSince: 9, want: keepS * micros.Second},
-		{name: "one as large takes over nothing", instanceType: large.instanceType,
+		{name: "a machine of the same size replaces no large machine", instanceType: large.instanceType,
 			large: large, idleSince: 9, want: keepS / 3 * micros.Second},
-		{name: "one of an unknown type takes over nothing", large: large,
+		{name: "a machine of unknown type replaces no large machine", large: large,
 			idleSince: 9, want: keepS / 3 * micros.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
