--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -10,46 +10,47 @@
 )
 
 const (
-	// minMachineAge is how long a machine is kept before it can be drained: it costs a
-	// minute anyway.
+	// minMachineAge is how old a machine must be to be drained: the first minute is billed in any
+	// case.
 	minMachineAge = 60 * micros.Second
-	// consolidationDelay is how long a new partition leader waits with its first consolidation.
+	// consolidationDelay is how long a new partition leader waits before its first consolidation.
 	consolidationDelay = 10 * micros.Second
-	// replicaMoveInterval bounds how often a replica is moved: each is away for a moment.
+	// replicaMoveInterval limits how often replicas are moved, because a moved replica is briefly
+	// unavailable.
 	replicaMoveInterval = 3 * micros.Second
-	// minConcurrentDrains is how many machines are drained at a time, or a part of a large fleet.
+	// minConcurrentDrains is how many machines are drained at a time. In a large fleet it is the fleet
+	// size divided by drainFleetDivisor, if that is more.
 	minConcurrentDrains = 3
 	drainFleetDivisor   = 8
-	// maxDrainsPerPass is how many are drained in one pass, which come replicaMoveInterval apart: a
-	// pass must not hold everything else up, however large the fleet.
+	// maxDrainsPerPass limits how many drains one consolidation pass starts, so that a pass does not
+	// block other work in a large fleet. Passes are at least replicaMoveInterval apart.
 	maxDrainsPerPass = 64
-	// imageWaitTimeout is how long a move off an expensive machine waits for a machine that
-	// has the image.
+	// imageWaitTimeout is how long moving a replica off an expensive machine waits for a target that
+	// already has the image.
 	imageWaitTimeout = 15 * micros.Second
-	// expensiveFactor is how many times the lowest price an expensive machine costs more than.
+	// expensiveFactor: a machine is expensive if it costs more than this many times the lowest price.
 	expensiveFactor = 3
 )
 
-// consolidationState paces the moves that free machines.
+// consolidationState limits the rate of consolidation and tracks the recent load of arrays.
 type consolidationState struct {
-	lastPassAt     micros.Time // last search for machines that are not needed
+	lastPassAt     micros.Time // last search for surplus machines
 	replicaMovedAt micros.Time // last move of a service replica
 	recentArrayCPU int64       // CPU that arrays used recently
 }
 
-// observeArrays notes the CPU that arrays use. What they used recently is remembered for a minute
-// where one of them can fill the fleet, and for less the larger the fleet: a single one counts
-// less there.
+// observeArrays updates the recent CPU use of arrays. It follows a rise at once and a fall gradually,
+// over about a minute in a small fleet, which a single array can fill. In a larger fleet a single
+// array matters less, and the value falls faster.
 func (s *consolidationState) observeArrays(cpu int64, fleetSize int) {
 	passes := int64(max(4, min(20, 640/max(1, fleetSize))))
 	s.recentArrayCPU = max(cpu, s.recentArrayCPU-(s.recentArrayCPU-cpu)/passes)
 }
 
-// consolidate drains machines whose services fit elsewhere, headroom included,
-// while the arrays do not need them, those first that cost most a replica: such a
-// machine takes no more tasks, its arrays end, its replicas move one by one.
-// Exception to the design, which never drains a machine while something runs
-// there.
+// consolidate drains machines that arrays do not need and whose replicas fit elsewhere with the
+// headroom kept, starting with the highest cost per replica. A draining machine accepts no tasks;
+// its array tasks run to completion, and its replicas are moved one by one. This deviates from the
+// scheduling model, which never drains a machine that is in use.
 func (p *partitionLeader) consolidate() {
 	now := p.core.now
 	draining := p.evictFromDraining()
@@ -62,11 +63,12 @@
 	p.drainSurplus(draining, min(limit, draining+maxDrainsPerPass))
 }
 
-// evictFromDraining moves replicas off the machines that are being consolidated, and returns how
-// many of these still have replicas: one that waits for its arrays to end holds up no others.
+// evictFromDraining moves replicas off the machines that are being consolidated. It returns how many
+// of them still have replicas; a machine that only waits for its array tasks to end does not count
+// towards the limit on concurrent drains.
 func (p *partitionLeader) evictFromDraining() int {
 	withReplicas := 0
-	unplaceable := map[string]bool{} // services whose replicas no machine takes now
+	unplaceable := map[string]bool{} // services whose replicas currently fit on no machine
 	for _, m := range p.machines {
 		if m.drain.reason != drainConsolidation {
 			continue
@@ -79,15 +81,16 @@
 	return withReplicas
 }
 
-// evictNextReplica moves the next replica off a machine, to one that has its image. What found no
-// place in this pass is not looked for again: the whole fleet was asked for it.
+// evictNextReplica stops the next replica on a machine if it can start on another one that has its
+// image. Services in unplaceable are skipped: the whole fleet was already searched for them in this
+// pass.
 func (p *partitionLeader) evictNextReplica(m *machine, unplaceable map[string]bool) {
 	interval := replicaMoveInterval / 2 / micros.Time(max(1, p.packLimit()))
 	if p.core.now-p.consolidation.replicaMovedAt < interval || !m.agent.Acknowledged(p.lease.fencingToken) {
 		return
 	}
-	// A replica is away for as long as its image takes to arrive: an expensive machine is
-	// worth that, others wait for capacity where the image is.
+	// Without the image on the target, the replica is down while the image is fetched. Freeing an
+	// expensive machine is worth that; for others, wait for capacity where the image is present.
 	withoutImage := p.core.now-m.drain.since > imageWaitTimeout &&
 		m.instanceType.Price > expensiveFactor*p.lowestPrice()
 	for _, id := range sortedAttempts(m) {
@@ -108,14 +111,14 @@
 	}
 }
 
-// canTakeReplica tells whether a replica of another machine could start on this one now.
+// canTakeReplica reports whether a replica from another machine could start on this one now.
 func (p *partitionLeader) canTakeReplica(m *machine, replica *attempt, withoutImage bool) bool {
 	j := replica.job
 	return m.instanceType != nil && p.schedulable(m) && (withoutImage || m.images.Has(j.Image)) && j.mayRunOn(m) &&
 		!j.OneZone && !j.Spread && replica.resources.Fits(m.freeResources())
 }
 
-// drainSurplus drains machines that are not needed until a number of them are draining.
+// drainSurplus drains machines that are not needed until limit machines are draining.
 func (p *partitionLeader) drainSurplus(draining, limit int) {
 	load := p.cpuLoad()
 	p.consolidation.observeArrays(load.arrays, len(p.machines))
@@ -137,7 +140,7 @@
 	}
 }
 
-// consolidationCandidates are the ordinary machines in use, those first that cost most a replica.
+// consolidationCandidates returns the on-demand machines in use, highest cost per replica first.
 func (p *partitionLeader) consolidationCandidates() []*machine {
 	type candidate struct {
 		machine        *machine
@@ -161,7 +164,7 @@
 	return machines
 }
 
-// requestedForArrays tells whether capacity for arrays is asked for that the machine offers.
+// requestedForArrays reports whether the machine matches a pending capacity request for arrays.
 func (p *partitionLeader) requestedForArrays(m *machine) bool {
 	kind := m.instanceKind()
 	return slices.ContainsFunc(p.plan.capacityRequests, func(r provisioning.CapacityRequest) bool {
