--- a/internal/coordination/consolidation_test.go
+++ b/internal/coordination/consolidation_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestObserveArrays: a rise counts at once, a fall by a part a pass, the larger the fleet the
-// greater.
+// TestObserveArrays checks that a rise counts at once, while a fall counts by a fraction per pass
+// that grows with the fleet.
 func TestObserveArrays(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -16,7 +16,7 @@
 		{"a twentieth of a fall in a small fleet", 1000, 0, 10, 950},
 		{"a tenth of a fall with 64 machines", 1000, 0, 64, 900},
 		{"a quarter of a fall in a large fleet", 1000, 0, 4000, 750},
-		{"a fall to what is used now", 1000, 600, 64, 960},
+		{"a fall towards the current use", 1000, 600, 64, 960},
 		{"without machines", 1000, 0, 0, 950},
 	} {
 		t.Run(c.name, func(t *testing.T) {
