--- a/internal/coordination/capacity_requests.go
+++ b/internal/coordination/capacity_requests.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// maxCapacityRequests bounds the requests of one partition: the cluster leader is told of
-	// them with every status.
+	// maxCapacityRequests limits the requests of one partition, because every status message to the
+	// cluster leader contains all of them.
 	maxCapacityRequests = 32
-	// maxWaves bounds how many tasks in a row one slot of a requested machine is reckoned to
-	// take before the due date.
+	// maxWaves limits how many tasks one slot of a requested machine is assumed to run one after
+	// another before the due date.
 	maxWaves = 4
-	// serviceHoldFactor is how many times as long as for arrays capacity for services is
-	// expected to be used.
+	// serviceHoldFactor is how many times longer capacity for services is expected to be used than
+	// capacity for arrays.
 	serviceHoldFactor = 4
 )
 
-// setCapacityRequests makes the requests of a plan those that the cluster leader is told of.
+// setCapacityRequests replaces the requests that are sent to the cluster leader by those of a
+// planning pass.
 func (p *partitionLeader) setCapacityRequests(requests []provisioning.CapacityRequest) {
 	requests = mergeCapacityRequests(requests)
 	if len(requests) > 0 && !slices.EqualFunc(requests, p.plan.capacityRequests, sameCapacityRequest) {
-		p.core.status.soon = true // the cluster leader is to hear of them soon
+		p.core.status.soon = true // send them without waiting for the next regular status
 	}
 	p.plan.capacityRequests = requests
 }
 
-// capacityRequest is what a machine for a number of the job's tasks has to offer.
+// capacityRequest returns a request for capacity to run count tasks of the job.
 func (p *partitionLeader) capacityRequest(j *job, count int) provisioning.CapacityRequest {
 	request := provisioning.CapacityRequest{
 		Resources:     j.Resources,
@@ -47,8 +48,8 @@
 	return request
 }
 
-// arrayCapacityRequest is for so many slots that the waves of tasks on new machines end by the
-// due date, or, if that is over anyway, for all at once.
+// arrayCapacityRequest requests enough slots that the missing tasks, run on new machines in
+// successive waves, end by the due date. If that has passed, it requests a slot for each of them.
 func (p *partitionLeader) arrayCapacityRequest(
 	r rankedJob, missing int, boot micros.Time,
 ) (request provisioning.CapacityRequest, needed bool) {
@@ -60,18 +61,20 @@
 	return p.capacityRequest(r.job, (missing+waves-1)/waves), true
 }
 
-// sameCapacityRequest tells whether the cluster leader need not hear of a change soon.
+// sameCapacityRequest reports whether two requests differ so little that the change can wait for the
+// next regular status.
 func sameCapacityRequest(a, b provisioning.CapacityRequest) bool {
 	return a.Count == b.Count && a.Resources == b.Resources && a.Service == b.Service && a.Urgent == b.Urgent
 }
 
-// sameCapacity tells whether what suits one request suits the other.
+// sameCapacity reports whether two requests ask for the same kind of capacity.
 func sameCapacity(a, b *provisioning.CapacityRequest) bool {
 	return a.Resources == b.Resources && a.Spot == b.Spot && a.Zone == b.Zone && a.Service == b.Service &&
 		a.Urgent == b.Urgent && slices.Equal(a.InstanceTypes, b.InstanceTypes)
 }
 
-// mergeCapacityRequests adds up requests for the same capacity, those first that came first.
+// mergeCapacityRequests adds up the counts of requests for the same capacity, in order of first
+// occurrence. Requests beyond maxCapacityRequests are dropped.
 func mergeCapacityRequests(requests []provisioning.CapacityRequest) []provisioning.CapacityRequest {
 	var merged []provisioning.CapacityRequest
 	for i := range requests {
