--- a/internal/coordination/capacity_requests_test.go
+++ b/internal/coordination/capacity_requests_test.go
@@ -14,7 +14,7 @@
 		change func(*provisioning.CapacityRequest)
 		merged bool
 	}{
-		{"alike but for the count", func(r *provisioning.CapacityRequest) { r.Count = 5 }, true},
+		{"equal except for the count", func(r *provisioning.CapacityRequest) { r.Count = 5 }, true},
 		{"other resources", func(r *provisioning.CapacityRequest) { r.Resources.CPU++ }, false},
 		{"spot", func(r *provisioning.CapacityRequest) { r.Spot = true }, false},
 		{"other zone", func(r *provisioning.CapacityRequest) { r.Zone = "b" }, false},
@@ -40,7 +40,8 @@
 	}
 }
 
-// TestMergeCapacityRequestsIsBounded: the first requests are kept, and still added to.
+// TestMergeCapacityRequestsIsBounded checks that the first requests are kept, and that later ones for
+// the same capacity are still added to them.
 func TestMergeCapacityRequestsIsBounded(t *testing.T) {
 	var requests []provisioning.CapacityRequest
 	for i := range maxCapacityRequests + 3 {
