--- a/internal/coordination/fair_shares.go
+++ b/internal/coordination/fair_shares.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// lagTTL is how long what a partition leader said of its flows' lags counts for its successor.
+	// lagTTL is how long the lags reported by a partition leader are valid for its successor.
 	lagTTL = 30 * micros.Second
-	// lagLogInterval is how often flows that are behind are logged.
+	// lagLogInterval is the shortest time between log records about lagging flows.
 	lagLogInterval = 10 * micros.Second
 )
 
-// fairShares is what a partition leader knows of how far flows are behind. Off, it is nil, and
-// no flow is.
+// fairShares tracks how far flows are behind their fair share. It is nil if fair admission is off;
+// then no flow has a lag.
 type fairShares struct {
 	queue    *admission.FairQueue
-	bound    micros.Time // a lag up to it has no effect
+	bound    micros.Time // lags up to this have no effect
 	loggedAt micros.Time
 }
 
-// newFairShares goes on from what the last leader of a partition told of its flows: which flow
-// is next does not begin anew with every failover.
+// newFairShares restores the lags that the previous leader of the partition reported, so that a
+// failover does not reset the order of flows. It returns nil if fair admission is off.
 func (c *Core) newFairShares(partition int) *fairShares {
 	if c.fair == nil {
 		return nil
@@ -37,7 +37,7 @@
 	return &fairShares{queue: queue, bound: bound}
 }
 
-// latestLags are the lags of a partition's flows, as the member that told of them last did.
+// latestLags returns the lags of a partition's flows from the most recent peer status that has any.
 func latestLags(peers *membership.Peers, partition int, now micros.Time) []admission.FlowLag {
 	var latest []admission.FlowLag
 	var latestAt micros.Time
@@ -54,9 +54,10 @@
 	return latest
 }
 
-// lagBeyondBound is how far a flow is behind its fair share, if that is more than the bound.
-// Exception to the design, whose index knows no flows: such work goes before the rest, after
-// what is guaranteed, so that a flow of low priority is not starved by a steady stream.
+// lagBeyondBound returns how far a flow is behind its fair share if that exceeds the bound, else
+// zero. Such work precedes all other work except for guaranteed quota, so that a steady stream of
+// other work does not starve a flow of low priority. This deviates from the scheduling model, whose
+// index has no flows.
 func (s *fairShares) lagBeyondBound(flow admission.Flow) admission.Lag {
 	if s == nil {
 		return admission.Lag{}
@@ -64,7 +65,7 @@
 	return s.queue.Lag(flow).Beyond(s.bound)
 }
 
-// lags are those of the flows that are behind, for the peers.
+// lags returns the lags of all flows that are behind, to be sent to the peers.
 func (s *fairShares) lags() []admission.FlowLag {
 	if s == nil {
 		return nil
@@ -72,7 +73,7 @@
 	return s.queue.Lags()
 }
 
-// advanceShares brings the lags to now, by what every flow uses and waits for.
+// advanceShares updates the lags to the current time from what each flow uses and waits for.
 func (p *partitionLeader) advanceShares(unreconciled bool) {
 	if p.fairShares == nil {
 		return
@@ -81,8 +82,8 @@
 	p.logShares()
 }
 
-// flowLoads is what the flows of arrays use, and whether they wait for capacity alone: what its
-// team's quota limit keeps waiting is not behind.
+// flowLoads returns the CPU use of each array job, and whether the job waits for capacity. A job that
+// waits because of its team's quota limit does not fall behind.
 func (p *partitionLeader) flowLoads(unreconciled bool) []admission.Load {
 	var loads []admission.Load
 	for _, j := range p.sortedJobs {
@@ -103,7 +104,7 @@
 	return loads
 }
 
-// logShares logs which flows are behind.
+// logShares logs the flows that are behind, at info level if beyond the bound.
 func (p *partitionLeader) logShares() {
 	s := p.fairShares
 	if p.core.now-s.loggedAt < lagLogInterval {
