--- a/internal/coordination/fair_shares_test.go
+++ b/internal/coordination/fair_shares_test.go
@@ -10,28 +10,28 @@
 	"pipitlatch/internal/storage"
 )
 
-// TestLatestLags: a new partition leader goes on from what was said last of its partition, unless
-// that was long ago.
+// TestLatestLags checks that a new partition leader uses the lags reported last for its partition,
+// unless they have expired.
 func TestLatestLags(t *testing.T) {
 	const now = 100 * micros.Second
 	type status struct {
 		member     string
 		receivedAt micros.Time
 		partition  int
-		team       string // of the only lag; "": none
+		team       string // of the only reported lag; "" for none
 	}
 	for _, c := range []struct {
 		name     string
 		statuses []status
 		want     string
 	}{
-		{"nothing said", nil, ""},
+		{"no status", nil, ""},
 		{"the latest of two", []status{{"n0", now - 2, 0, "old"}, {"n1", now - 1, 0, "new"}}, "new"},
-		{"the latest of two, whoever said it", []status{{"n0", now - 1, 0, "new"}, {"n1", now - 2, 0, "old"}}, "new"},
+		{"the latest of two in the other order of members", []status{{"n0", now - 1, 0, "new"}, {"n1", now - 2, 0, "old"}}, "new"},
 		{"not of another partition", []status{{"n0", now - 2, 0, "own"}, {"n1", now - 1, 1, "other"}}, "own"},
-		{"not from a member that knows of none", []status{{"n0", now - 2, 0, "own"}, {"n1", now - 1, 0, ""}}, "own"},
-		{"as old as it may be", []status{{"n0", now - lagTTL, 0, "own"}}, "own"},
-		{"too old", []status{{"n0", now - lagTTL - 1, 0, "own"}}, ""},
+		{"not from a member that reports none", []status{{"n0", now - 2, 0, "own"}, {"n1", now - 1, 0, ""}}, "own"},
+		{"not expired yet", []status{{"n0", now - lagTTL, 0, "own"}}, "own"},
+		{"expired", []status{{"n0", now - lagTTL - 1, 0, "own"}}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			peers := membership.NewPeers("n9", []string{"n0", "n1"})
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestFairSharesOff: switched off, no flow is behind.
+// TestFairSharesOff checks that no flow has a lag if fair admission is off.
 func TestFairSharesOff(t *testing.T) {
 	var s *fairShares
 	if lag := s.lagBeyondBound(admission.Flow{Team: "a"}); lag != (admission.Lag{}) {
