--- a/internal/coordination/precedence.go
+++ b/internal/coordination/precedence.go
@@ -4,19 +4,19 @@
 
 // Kinds of service-level objectives, as the settings name them.
 const (
-	objectiveWait      = "wait"      // a class's tasks are to begin within a time
-	objectiveFinished  = "finished"  // a class's jobs are to end within a time
-	objectiveGuarantee = "guarantee" // what is within a team's guaranteed quota is to begin within a time
+	objectiveWait      = "wait"      // a class's tasks must start within a time
+	objectiveFinished  = "finished"  // a class's jobs must end within a time
+	objectiveGuarantee = "guarantee" // tasks within a team's guaranteed quota must start within a time
 )
 
-// This file has the exceptions to the order by the index (scheduling.Precedence), as they are
-// found out about a job; flows behind their fair share are in fair_shares.go.
+// This file determines which exceptions to the index order (scheduling.Precedence) apply to a job.
+// Flows behind their fair share are handled in fair_shares.go.
 
-// nearObjective tells whether a job is in the last part of the time within which its
-// class's service-level objectives want its tasks begun, or it finished. Exception to the design:
-// the index ranks what is long and late behind all that is short, so that under load
-// such a job begins last of all, and then long after these times. Past them nothing
-// is gained any more, and the index decides again.
+// nearObjective reports whether a job is in the last tenth of the time within which a service-level
+// objective of its class requires its tasks to start, or the job to finish. This deviates from the
+// scheduling model: the index ranks long overdue tasks behind all short ones, so that under load
+// such a job starts last and misses its objectives by far. Once an objective has been missed,
+// nothing is gained by hurrying, and the index applies again.
 func (p *partitionLeader) nearObjective(j *job) bool {
 	age := p.core.wall - j.readySince
 	for _, o := range p.core.config.Settings.Objectives {
@@ -27,7 +27,7 @@
 		switch o.Kind {
 		case objectiveWait:
 		case objectiveFinished:
-			// It has to begin so much earlier that its slowest task ends in time.
+			// It must start early enough for its slowest task to end in time.
 			limit -= micros.Time(float64(p.estimate(j)) * p.core.runtimes.TailRatio(j.Class))
 		default:
 			continue
@@ -39,9 +39,9 @@
 	return false
 }
 
-// withinGuarantee tells whether the job fits into its team's guaranteed quota with all
-// that the team runs: such work need not wait on other teams. Exception to the design,
-// whose index knows no teams: it comes before borrowed quota.
+// withinGuarantee reports whether all pending tasks of the job fit into its team's guaranteed quota
+// together with everything the team runs. Such work precedes work on borrowed quota, so that it does
+// not wait for other teams. This deviates from the scheduling model, whose index has no teams.
 func (p *partitionLeader) withinGuarantee(j *job) bool {
 	t := p.core.teams[j.Team]
 	if t == nil || t.GuaranteeCPU+t.GuaranteeGPU <= 0 {
