--- a/internal/coordination/precedence_test.go
+++ b/internal/coordination/precedence_test.go
@@ -8,7 +8,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// TestNearObjective: the last tenth of the time that an objective on the job's class gives.
+// TestNearObjective checks that a job counts as near its objective exactly in the last tenth of the
+// time that the objective allows.
 func TestNearObjective(t *testing.T) {
 	const estimate = 20 * micros.Second
 	for _, c := range []struct {
@@ -20,12 +21,12 @@
 	}{
 		{"before the last tenth", objectiveWait, "c", 90 * micros.Second, false},
 		{"in the last tenth", objectiveWait, "c", 90*micros.Second + 1, true},
-		{"past it", objectiveWait, "c", 100 * micros.Second, false},
+		{"after it", objectiveWait, "c", 100 * micros.Second, false},
 		{"of another class", objectiveWait, "other", 95 * micros.Second, false},
-		{"to end, less its run time: before the last tenth", objectiveFinished, "c", 72 * micros.Second, false},
-		{"to end, less its run time: in the last tenth", objectiveFinished, "c", 72*micros.Second + 1, true},
-		{"to end, less its run time: past it", objectiveFinished, "c", 80 * micros.Second, false},
-		{"of a kind without such a time", objectiveGuarantee, "c", 95 * micros.Second, false},
+		{"finish, less the run time: before the last tenth", objectiveFinished, "c", 72 * micros.Second, false},
+		{"finish, less the run time: in the last tenth", objectiveFinished, "c", 72*micros.Second + 1, true},
+		{"finish, less the run time: after it", objectiveFinished, "c", 80 * micros.Second, false},
+		{"an objective that is not on a class", objectiveGuarantee, "c", 95 * micros.Second, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			settings := &config.Config{}
@@ -44,8 +45,8 @@
 	}
 }
 
-// TestWithinGuarantee: all of a job's waiting tasks fit into its team's guaranteed quota besides
-// what the team runs.
+// TestWithinGuarantee checks that a job is within the guarantee only if all its pending tasks fit into
+// its team's guaranteed quota in addition to what the team runs.
 func TestWithinGuarantee(t *testing.T) {
 	for _, c := range []struct {
 		name      string
