--- a/internal/coordination/inherited_urgency.go
+++ b/internal/coordination/inherited_urgency.go
@@ -5,19 +5,19 @@
 	"pipitlatch/internal/workload"
 )
 
-// startOverhead is what the start of a task takes besides fetching its image.
+// startOverhead is how long a task takes to start in addition to fetching its image.
 const startOverhead = 2 * micros.Second
 
-// inheritedUrgency is what a job must meet for the sake of its dependents.
+// inheritedUrgency is the due date and the priority that a job inherits from its dependents.
 type inheritedUrgency struct {
-	due      micros.Time // time of day; micros.Max: none
+	due      micros.Time // time of day; micros.Max if there is none
 	priority workload.Priority
 }
 
-// inheritFromDependents works back from the dependents of a job: it has to be done early enough for
-// what is still expected to run after it, fetching images and starting included, and it has the
-// priority of any job that needs it. Exception to the design, whose tasks are independent and have
-// due dates of their own: users set them on the last job only.
+// inheritFromDependents derives a job's urgency from its direct and indirect dependents: it must end
+// early enough for them to fetch their images, start and run by their due dates, and it has at least
+// the highest priority among them. This deviates from the scheduling model, whose tasks are
+// independent with due dates of their own: users set a due date only on the last job of a pipeline.
 func (p *partitionLeader) inheritFromDependents(id string) inheritedUrgency {
 	urgency := inheritedUrgency{due: micros.Max}
 	if len(p.core.cache.Dependents[id]) == 0 {
@@ -42,8 +42,8 @@
 	return urgency
 }
 
-// latestStart is when a dependent has to start, so that it is done by its own due date and by the
-// one that it inherits; micros.Max if it has neither.
+// latestStart returns when a dependent must start at the latest to end by both its own due date and
+// the one that it inherits; micros.Max if it has neither.
 func (p *partitionLeader) latestStart(dependent *workload.Job, inheritedDue micros.Time) micros.Time {
 	due := inheritedDue
 	if dependent.Deadline > 0 {
@@ -57,7 +57,7 @@
 	return due - duration - p.fetchTime(dependent.ImageGB) - startOverhead
 }
 
-// fetchTime is how long an image takes to arrive at a machine of the mean.
+// fetchTime returns how long fetching an image takes at the mean fetch rate of all instance types.
 func (p *partitionLeader) fetchTime(gb float64) micros.Time {
 	sum, count := 0.0, 0
 	for _, instanceType := range p.core.catalog.Types() {
