--- a/internal/coordination/inherited_urgency_test.go
+++ b/internal/coordination/inherited_urgency_test.go
@@ -28,20 +28,20 @@
 		want inheritedUrgency
 	}{
 		{name: "no dependents", jobs: []*workload.Job{job("a", due)}, want: inheritedUrgency{due: micros.Max}},
-		{name: "dependent without due date", jobs: []*workload.Job{job("b", asIs, "a")},
+		{name: "dependent without a due date", jobs: []*workload.Job{job("b", asIs, "a")},
 			want: inheritedUrgency{due: micros.Max}},
-		{name: "due early enough for the dependent to run", jobs: []*workload.Job{job("b", due, "a")},
+		{name: "time for the dependent to run", jobs: []*workload.Job{job("b", due, "a")},
 			want: inheritedUrgency{due: deadline - run - startOverhead}},
-		{name: "and to fetch its image", jobs: []*workload.Job{job("b", dueWithImage, "a")},
+		{name: "time for the dependent to fetch its image and run", jobs: []*workload.Job{job("b", dueWithImage, "a")},
 			want: inheritedUrgency{due: deadline - run - fetch - startOverhead}},
-		{name: "through others", jobs: []*workload.Job{job("b", asIs, "a"), job("c", due, "b")},
+		{name: "through an indirect dependent", jobs: []*workload.Job{job("b", asIs, "a"), job("c", due, "b")},
 			want: inheritedUrgency{due: deadline - 2*(run+startOverhead)}},
-		{name: "the earliest due date and the highest priority of all", jobs: []*workload.Job{
+		{name: "the earliest due date and the highest priority of several", jobs: []*workload.Job{
 			job("b", due, "a"),
 			job("c", func(j *workload.Job) { j.Deadline = deadline / 2 }, "a"),
 			job("d", func(j *workload.Job) { j.Priority = workload.High }, "a"),
 		}, want: inheritedUrgency{due: deadline/2 - run - startOverhead, priority: workload.High}},
-		{name: "ended dependents need nothing", jobs: []*workload.Job{
+		{name: "nothing from dependents that have ended", jobs: []*workload.Job{
 			job("b", func(j *workload.Job) { j.Deadline, j.Phase = deadline, workload.Cancelled }, "a"),
 		}, want: inheritedUrgency{due: micros.Max}},
 	}
@@ -54,7 +54,7 @@
 			}
 			p := newPartitionLeader(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: 20})
 			if got := p.inheritFromDependents("a"); got != test.want {
-				t.Errorf("%+v, want %+v", got, test.want)
+				t.Errorf("inherited %+v, want %+v", got, test.want)
 			}
 		})
 	}
