--- a/internal/coordination/estimates.go
+++ b/internal/coordination/estimates.go
@@ -6,8 +6,8 @@
 	"pipitlatch/internal/micros"
 )
 
-// queuedJob is what the index needs of a job's waiting tasks. A job with no
-// deadline takes d = arrival + 2p.
+// queuedJob returns what the index needs to know about a job's pending tasks. A job that has no due
+// date, neither its own nor an inherited one, gets d = arrival + 2p.
 func (p *partitionLeader) queuedJob(j *job) *scheduling.QueuedJob {
 	estimate := p.estimate(j)
 	inherited := p.inheritFromDependents(j.ID)
@@ -16,7 +16,7 @@
 		due = j.Submitted + j.Deadline
 	}
 	if due = min(due, inherited.due); due != micros.Max {
-		// A job is done with its slowest task: the slack has to do for that one.
+		// A job ends with its slowest task, so the slack must be enough for that one.
 		due -= micros.Time(float64(estimate) * (p.core.runtimes.TailRatio(j.Class) - 1) / 2)
 	} else {
 		due = j.readySince + 2*estimate
@@ -29,15 +29,16 @@
 	}
 }
 
-// estimateWeight is how many completed tasks of a job weigh as much as its estimate.
+// estimateWeight is the weight of a job's prior estimate, in completed tasks.
 const estimateWeight = 2
 
-// estimate is a task's run time as known by now: the owner's estimate, corrected
-// by what the class shows, and by the job's own tasks, completed or running
-// longer than that. Exception to the design, which takes run times as known.
+// estimate returns the current estimate of a task's run time: the owner's estimate, corrected by the
+// observed run times of the class and of the job's own completed tasks, but at least as long as any
+// of its running tasks has run. This deviates from the scheduling model, which assumes that run
+// times are known.
 func (p *partitionLeader) estimate(j *job) micros.Time {
 	if j.runtime.estimate > 0 && j.runtime.estimatedAt == p.plan.lastRunAt {
-		return j.runtime.estimate // once a plan
+		return j.runtime.estimate // computed once per planning pass
 	}
 	estimate := p.core.runtimes.Estimate(j.Job)
 	estimate = (estimate*estimateWeight + j.runtime.total) / micros.Time(estimateWeight+j.runtime.samples)
