--- a/internal/coordination/eligibility.go
+++ b/internal/coordination/eligibility.go
@@ -6,17 +6,18 @@
 	"pipitlatch/internal/workload"
 )
 
-// acceptsStarts tells whether a task may be started on the machine now, whichever it is.
+// acceptsStarts reports whether the machine takes new tasks now, regardless of a task's constraints.
 func (p *partitionLeader) acceptsStarts(m *machine) bool {
 	return m.instanceType != nil && p.schedulable(m) && m.lifecycle.startsPausedUntil <= p.core.now
 }
 
-// mayRunOn tells whether the job's own conditions allow its tasks on the machine.
+// mayRunOn reports whether the job's placement constraints allow its tasks on the machine.
 func (j *job) mayRunOn(m *machine) bool {
 	return scheduling.MayRunOn(j.Job, m.record.InstanceType, m.record.Zone, m.record.Spot)
 }
 
-// zoneHasCapacity tells whether the job's active tasks allow another one in a zone.
+// zoneHasCapacity reports whether the job's one-zone or spread constraint allows another task in a
+// zone, given its active tasks.
 func (j *job) zoneHasCapacity(zone string) bool {
 	there := 0
 	for _, a := range j.activeAttempts {
@@ -29,7 +30,7 @@
 	return !j.Spread || there < j.SpreadLimit()
 }
 
-// freeResources is what the machine's attempts leave free now.
+// freeResources returns the resources that no attempt on the machine occupies.
 func (m *machine) freeResources() workload.Resources {
 	free := m.instanceType.Capacity
 	for _, a := range m.attempts {
@@ -40,7 +41,7 @@
 	return free
 }
 
-// replicasOn is how many service replicas occupy a machine.
+// replicasOn returns the number of service replicas on a machine.
 func replicasOn(m *machine) int {
 	n := 0
 	for _, a := range m.attempts {
