--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -11,36 +11,36 @@
 	"pipitlatch/internal/workload"
 )
 
-// job is an active job of the partition.
+// job is an active job of the partition with its scheduling state.
 type job struct {
 	*workload.Job
 	modRevision       uint64
 	record            *storage.JobEntry
 	pendingTasks      *workload.Bitmap
 	activeAttempts    map[int]*attempt      // by task
-	attempts          map[*attempt]struct{} // all that agents may still show, exited ones included
-	duplicateAttempts []*attempt            // second attempts at an active task, being stopped
+	attempts          map[*attempt]struct{} // all that agents may still report, including exited ones
+	duplicateAttempts []*attempt            // further attempts at tasks that have an active one; being stopped
 	completion        completionState
 	runtime           jobRuntime
 
 	startsPausedUntil      micros.Time
-	readySince             micros.Time // time of day since which its tasks may start
+	readySince             micros.Time // time of day since which its tasks can start
 	blockedByDependencies  bool
-	cancelRequested        bool             // a peer knows it to be cancelled: none of its tasks starts any more
-	plannedWithinGuarantee bool             // it was within its team's guaranteed quota when it was planned
-	preemptedOnce          *workload.Bitmap // tasks that were preempted once, and are not preempted again
+	cancelRequested        bool             // a peer reported its cancellation: no task starts any more
+	plannedWithinGuarantee bool             // it was within its team's guaranteed quota in some planning pass
+	preemptedOnce          *workload.Bitmap // tasks already preempted for an objective; not preempted for one again
 }
 
-// jobRuntime is what is known of the run time of the job's tasks.
+// jobRuntime holds the observed run times of the job's tasks, and the estimate derived from them.
 type jobRuntime struct {
-	total       micros.Time // run times of its completed tasks, added up
+	total       micros.Time // sum of the run times of completed tasks
 	samples     int
-	estimate    micros.Time // of a task, as of estimatedAt
+	estimate    micros.Time // of one task, as of estimatedAt
 	estimatedAt micros.Time
 }
 
-// newJob is an active job as its record tells it: all tasks that are not stored as completed are
-// pending. Whether its dependencies are done is still to be found out.
+// newJob returns the active job of a record. All tasks that are not stored as completed are pending.
+// A job with dependencies is blocked until they have been checked.
 func newJob(record *storage.JobEntry) *job {
 	tasks := record.Job.Tasks
 	j := &job{
@@ -63,15 +63,15 @@
 	return j
 }
 
-// taskCompleted tells whether a task is completed, stored or not.
+// taskCompleted reports whether a task is completed, even if that is not stored yet.
 func (j *job) taskCompleted(task int) bool {
 	return j.completion.taskCompleted(task, j.record.Completed)
 }
 
-// completedCount is how many tasks are completed, stored or not.
+// completedCount returns the number of completed tasks, including those not stored as such yet.
 func (j *job) completedCount() int { return j.completion.count(j.record.Completed) }
 
-// runningCount is how many tasks run now.
+// runningCount returns the number of tasks that are running or saving a checkpoint.
 func (j *job) runningCount() int {
 	running := 0
 	for _, a := range j.activeAttempts {
@@ -82,7 +82,7 @@
 	return running
 }
 
-// sortedAttempts are the job's attempts by machine, so that a run can be repeated.
+// sortedAttempts returns the job's attempts sorted by machine and ID, so that runs are reproducible.
 func (j *job) sortedAttempts() []*attempt {
 	attempts := slices.Collect(maps.Keys(j.attempts))
 	slices.SortFunc(attempts, func(a, b *attempt) int {
