--- a/internal/coordination/job_progress.go
+++ b/internal/coordination/job_progress.go
@@ -2,13 +2,13 @@
 
 import "pipitlatch/internal/coordination/messages"
 
-// minProgressEntries is how many jobs' progress is kept at least.
+// minProgressEntries is the table size up to which entries of ended jobs are never pruned.
 const minProgressEntries = 4096
 
-// progressTable is how far jobs are, as their partition leaders last said, for display.
+// progressTable holds the progress of jobs as last reported by their partition leaders, for display.
 type progressTable struct {
 	entries map[string]messages.JobProgress
-	// keptWhenPruned is how many entries were left when they were last pruned.
+	// keptWhenPruned is the number of entries left by the last pruning.
 	keptWhenPruned int
 }
 
@@ -16,18 +16,18 @@
 	return &progressTable{entries: map[string]messages.JobProgress{}}
 }
 
-// get is how far a job is; zero if nobody said.
+// get returns the last reported progress of a job; zero if there is none.
 func (t *progressTable) get(id string) messages.JobProgress { return t.entries[id] }
 
-// update takes what a partition leader said.
+// update stores progress reported by a partition leader.
 func (t *progressTable) update(progress []messages.JobProgress) {
 	for _, p := range progress {
 		t.entries[p.ID] = p
 	}
 }
 
-// prune forgets the progress of jobs that are over, once there is much of it: with more active
-// jobs than that all of theirs is kept.
+// prune removes the entries of jobs that are not active, once the table exceeds minProgressEntries
+// and twice the size that the last pruning left. Entries of active jobs are always kept.
 func (t *progressTable) prune(active func(id string) bool) {
 	if len(t.entries) <= max(minProgressEntries, 2*t.keptWhenPruned) {
 		return
