--- a/internal/coordination/machine_use.go
+++ b/internal/coordination/machine_use.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// useWriteInterval is how long machines that boot after others of their block wait, so that
-	// one write records several.
+	// useWriteInterval is the shortest time between two writes of a block, so that one write covers
+	// several machines that boot in succession.
 	useWriteInterval = 300 * micros.Millisecond
-	// useWriteTimeout is after which time without a result a block is written again.
+	// useWriteTimeout is how long after a write without a result the block is written again.
 	useWriteTimeout = storeTimeout + micros.Second
 )
 
-// persistMachineUse records which machines are in use, those of a block together. A machine gets
-// its first task only when that is stored: the next partition leader takes any other for empty.
+// persistMachineUse stores which machines are in use, with one write per block. A machine gets its
+// first task only once its use is stored, because the next partition leader assumes that any other
+// machine has no tasks.
 func (p *partitionLeader) persistMachineUse() {
 	blocks, order := p.blocksWithNewUse()
 	for _, name := range order {
@@ -24,8 +25,8 @@
 	}
 }
 
-// blocksWithNewUse returns the records of the blocks in which machines are to be recorded as in
-// use, by name, and the order in which these were found.
+// blocksWithNewUse returns the updated records of the blocks with machines to be marked as in use, by
+// name, and the names in the order in which they were found.
 func (p *partitionLeader) blocksWithNewUse() (map[string]storage.BlockRecord, []string) {
 	var blocks map[string]storage.BlockRecord
 	var order []string
@@ -51,8 +52,8 @@
 	return blocks, order
 }
 
-// needsUseRecord tells whether the machine is to be recorded as in use now: its agent obeys this
-// partition leader, and its block is not being written.
+// needsUseRecord reports whether the machine is to be marked as in use now: it is not marked yet, its
+// agent has acknowledged this partition leader's fencing token, and its block is not being written.
 func (p *partitionLeader) needsUseRecord(m *machine) bool {
 	return !m.record.Used &&
 		m.agent.HeardFrom() &&
@@ -61,8 +62,7 @@
 		p.core.now >= p.useWriteAfter[m.record.Block]
 }
 
-// writeBlockUse writes a block's record. It returns false if the request budget does not allow it
-// now.
+// writeBlockUse writes a block's record. It returns false if the request budget is exhausted.
 func (p *partitionLeader) writeBlockUse(name string, block storage.BlockRecord) bool {
 	p.useWriteAfter[name] = p.core.now + useWriteTimeout
 	request := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{
