--- a/internal/coordination/machine_use_test.go
+++ b/internal/coordination/machine_use_test.go
@@ -24,17 +24,17 @@
 	p.core.now += useWriteTimeout
 	p.lease.fencingToken++
 	if got := storedUse(t, p); len(got) != 0 {
-		t.Fatalf("wrote %v before the machines obey the current token", got)
+		t.Fatalf("wrote %v before the machines acknowledged the current token", got)
 	}
 	p.lease.fencingToken--
 	p.machines[0].modRevision++
 	p.machines[1].drain.reason = drainSlow
 	p.machines[2].agent = agents.Progress{}
 	if got := storedUse(t, p); len(got) != 0 {
-		t.Fatalf("wrote %v for a machine of a changed block, one that drains, and one not heard from", got)
+		t.Fatalf("wrote %v for a machine of a changed block, a draining one, and one without a heartbeat", got)
 	}
 	p.machines[1].drain.reason = notDraining
 	if got := storedUse(t, p); got[block] != 1 {
-		t.Fatalf("wrote %v after the time without a result, want block b0", got)
+		t.Fatalf("wrote %v after the write timed out, want block b0", got)
 	}
 }
