--- a/internal/coordination/large_bench_test.go
+++ b/internal/coordination/large_bench_test.go
@@ -10,8 +10,8 @@
 	"pipitlatch/internal/storage"
 )
 
-// BenchmarkFailover is what a new partition leader does from its lease on: it reads the records
-// that it is responsible for, hears of every machine once, and plans.
+// BenchmarkFailover measures the takeover by a new partition leader: it reads the records of its
+// partition, receives one heartbeat from every machine, and runs one planning pass.
 func BenchmarkFailover(b *testing.B) { forFleetSizes(b, benchFailover) }
 
 func benchFailover(b *testing.B, size int) {
@@ -29,11 +29,11 @@
 		c.partitions[0].schedule()
 	}
 	if p := c.partitions[0]; len(p.machines) != size || !p.machines[size-1].agent.Reconciled() {
-		b.Fatal("not taken over")
+		b.Fatal("the new leader does not have all machines reconciled")
 	}
 }
 
-// BenchmarkThirdSuspected is one look at the timers while a third of the fleet is suspected.
+// BenchmarkThirdSuspected measures one check of all machines while a third of them is suspected.
 func BenchmarkThirdSuspected(b *testing.B) { forFleetSizes(b, benchThirdSuspected) }
 
 func benchThirdSuspected(b *testing.B, size int) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// BenchmarkAllIdle decides which machines are terminated when all are idle at once.
+// BenchmarkAllIdle measures the decision which machines to terminate when all are idle at once.
 func BenchmarkAllIdle(b *testing.B) { forFleetSizes(b, benchAllIdle) }
 
 func benchAllIdle(b *testing.B, size int) {
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestMemoryByFleet reports what the state of a partition leader takes, and that it grows as the
-// fleet does.
+// TestMemoryByFleet logs the memory that the state of a partition leader takes, and checks that it
+// grows at most in proportion to the fleet, within a factor of two.
 func TestMemoryByFleet(t *testing.T) {
 	perMachine := map[int]uint64{}
 	for _, size := range fleetSizes {
@@ -103,11 +103,11 @@
 		runtime.ReadMemStats(&after)
 		taken := after.HeapAlloc - before.HeapAlloc
 		perMachine[size] = taken / uint64(size)
-		t.Logf("%d machines, eight tasks each: %d KB, %d bytes a machine", size, taken/1024, perMachine[size])
+		t.Logf("%d machines with eight tasks each: %d KB, %d bytes per machine", size, taken/1024, perMachine[size])
 		runtime.KeepAlive(c)
 		runtime.KeepAlive(heartbeats)
 	}
 	if perMachine[4000] > 2*perMachine[400] {
-		t.Errorf("memory grows faster than the fleet: %v", perMachine)
+		t.Errorf("memory grows faster than the fleet, bytes per machine by fleet size: %v", perMachine)
 	}
 }
