--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -90,7 +90,7 @@
 func (p *partitionLeader) idleTimeout(m, large *machine, surplusSince micros.Time) micros.Time {
 	timeout := micros.Time(p.core.config.Operator.IdleKeepS) * micros.Second
 	if !m.record.Spot {
-		if m.takesOverFrom(large) {
+		if m.canReplace(large) {
 			// Keep it until the other machines requested to replace the large one have booted.
 			// Otherwise it would be terminated and requested again, and the large machine would
 			// never be drained.
@@ -104,9 +104,9 @@
 	return timeout
 }
 
-// takesOverFrom reports whether the machine is smaller than large, an oversized machine that smaller
+// canReplace reports whether the machine is smaller than large, an oversized machine that smaller
 // ones are requested to replace; large may be nil.
-func (m *machine) takesOverFrom(large *machine) bool {
+func (m *machine) canReplace(large *machine) bool {
 	return large != nil && m.instanceType != nil && m.instanceType.Capacity.CPU < large.instanceType.Capacity.CPU
 }
 
