--- a/internal/coordination/plan_state.go
+++ b/internal/coordination/plan_state.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	// minPlanInterval bounds how often the timelines are rebuilt.
+	// minPlanInterval is the shortest time between two planning passes.
 	minPlanInterval = 100 * micros.Millisecond
-	// planTimeDivisor bounds the part of the time that is spent on it: the next plan comes
-	// this many times as late as the last one took.
+	// planTimeDivisor limits the share of time spent on planning: the next pass starts at the
+	// earliest after this many times the duration of the last one.
 	planTimeDivisor = 20
-	// maxPlanInterval is how often they are rebuilt without a change: estimates of
-	// running tasks run out, and slots come due.
+	// maxPlanInterval is the longest time between two passes. Even without a change a pass is
+	// needed, because running tasks exceed their estimates and planned slots come due.
 	maxPlanInterval = 1000 * micros.Millisecond
 )
 
-// planState is what the planner keeps from one plan to the next.
+// planState is the planner's state. Most fields persist between planning passes.
 type planState struct {
-	stale            bool // something changed since the last plan
+	stale            bool // something has changed since the last pass
 	lastRunAt        micros.Time
-	interval         micros.Time // until the next plan
+	interval         micros.Time // minimum time between the last pass and the next
 	capacityRequests []provisioning.CapacityRequest
-	allReconciled    bool // all machines are, or were, reconciled
+	allReconciled    bool // all machines have been reconciled at least once
 	fleetLoggedAt    micros.Time
 
-	// The rest is of one plan, and begins anew with the next.
+	// The fields below belong to a single pass; begin resets them.
 
-	serviceReplicas   int                         // tasks of services, running or not
-	unreconciledUsage workload.Resources          // what unreconciled machines may be running
-	preemptionFailed  map[preemptionKey]bool      // found no machine to preempt on
-	inheritedUrgency  map[string]inheritedUrgency // by job, of the jobs that depend on it
+	serviceReplicas   int                         // tasks of services, whether they run or not
+	unreconciledUsage workload.Resources          // upper bound of what runs on unreconciled machines
+	preemptionFailed  map[preemptionKey]bool      // no machine was found to preempt on
+	inheritedUrgency  map[string]inheritedUrgency // memoized by job ID
 }
 
-// newPlanState is that of a new partition leader, which plans at once.
+// newPlanState returns the state of a new partition leader, which plans at once.
 func newPlanState() planState {
 	return planState{
 		stale:            true,
@@ -43,13 +43,13 @@
 	}
 }
 
-// due tells whether it is time for a plan.
+// due reports whether it is time for a planning pass.
 func (s *planState) due(now micros.Time) bool {
 	age := now - s.lastRunAt
 	return age >= s.interval && (s.stale || age >= maxPlanInterval)
 }
 
-// begin starts a plan.
+// begin starts a planning pass and resets the state that belongs to a single pass.
 func (s *planState) begin(now micros.Time) {
 	s.lastRunAt, s.stale = now, false
 	s.serviceReplicas = 0
@@ -58,7 +58,7 @@
 	s.inheritedUrgency = nil
 }
 
-// recordDuration sets the time of the next plan by how long the last one recordDuration.
+// recordDuration sets the interval to the next pass from the duration of the last one.
 func (s *planState) recordDuration(duration micros.Time) {
 	s.interval = min(maxPlanInterval, max(minPlanInterval, planTimeDivisor*duration))
 }
