--- a/internal/coordination/timelines_test.go
+++ b/internal/coordination/timelines_test.go
@@ -70,7 +70,8 @@
 			runtime: jobRuntime{total: 2 * 80 * micros.Second, samples: 2}, want: 60 * micros.Second},
 		{name: "at least as long as a task has been running", runningSince: now - 70*micros.Second, want: 70 * micros.Second},
 		{name: "unchanged by a task that has run for less", runningSince: now - 7*micros.Second, want: 40 * micros.Second},
-		{name: "computed once per planning pass", runtime: jobRuntime{estimate: 5 * micros.Second, estimatedAt: now}, want: 5 * micros.Second},
+		{name: "computed once per planning pass", runtime: jobRuntime{estimate: 5 * micros.Second, estimatedAt: now},
+			want: 5 * micros.Second},
 		{name: "computed again in the next pass", runtime: jobRuntime{estimate: 5 * micros.Second, estimatedAt: now - 1},
 			want: 40 * micros.Second},
 	} {
