--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -40,13 +40,14 @@
 	cost   float64
 	enough bool
 }{
-	{name: "nothing if the replica fits", setup: func(m *machine) { runningOn(m, lowPriority("1"), 4, startedSecondsAgo(9)) },
-		enough: true},
+	{name: "nothing if the replica fits", setup: func(m *machine) {
+		runningOn(m, lowPriority("1"), 4, startedSecondsAgo(9))
+	}, enough: true},
 	{name: "the least work lost", setup: func(m *machine) {
 		runningOn(m, lowPriority("1"), 4, startedSecondsAgo(9))
 		runningOn(m, lowPriority("2"), 4, startedSecondsAgo(5))
 	}, want: []string{"2"}, cost: 5 + stopOverheadSeconds, enough: true},
-	{name: "what does not run yet loses none", setup: func(m *machine) {
+	{name: "an attempt that does not run yet loses no work", setup: func(m *machine) {
 		runningOn(m, lowPriority("1"), 4, startedSecondsAgo(1))
 		runningOn(m, lowPriority("2"), 4, 0)
 	}, want: []string{"2"}, cost: stopOverheadSeconds, enough: true},
