--- a/internal/coordination/fair_shares_test.go
+++ b/internal/coordination/fair_shares_test.go
@@ -27,7 +27,7 @@
 	}{
 		{"no status", nil, ""},
 		{"the latest of two", []status{{"n0", now - 2, 0, "old"}, {"n1", now - 1, 0, "new"}}, "new"},
-		{"the latest of two in the other order of members", []status{{"n0", now - 1, 0, "new"}, {"n1", now - 2, 0, "old"}}, "new"},
+		{"the latest of two in reverse order", []status{{"n0", now - 1, 0, "new"}, {"n1", now - 2, 0, "old"}}, "new"},
 		{"not of another partition", []status{{"n0", now - 2, 0, "own"}, {"n1", now - 1, 1, "other"}}, "own"},
 		{"not from a member that reports none", []status{{"n0", now - 2, 0, "own"}, {"n1", now - 1, 0, ""}}, "own"},
 		{"not expired yet", []status{{"n0", now - lagTTL, 0, "own"}}, "own"},
