--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -45,15 +45,15 @@
 	}
 	// If no machine was found for an equal replica in this pass, none is found for this one. Many
 	// equal replicas may be pending, and each search covers the whole fleet.
-	shape := preemptionKey{j.Resources, j.Priority, j.Zone, j.Spot}
+	key := preemptionKey{j.Resources, j.Priority, j.Zone, j.Spot}
 	cacheable := len(j.InstanceTypes) == 0 && !j.OneZone && !j.Spread
-	if cacheable && p.plan.preemptionFailed[shape] {
+	if cacheable && p.plan.preemptionFailed[key] {
 		return
 	}
 	best, found := p.cheapestPreemption(j)
 	if !found {
 		if cacheable {
-			p.plan.preemptionFailed[shape] = true
+			p.plan.preemptionFailed[key] = true
 		}
 		return
 	}
