--- a/internal/coordination/objective_preemption_test.go
+++ b/internal/coordination/objective_preemption_test.go
@@ -9,9 +9,9 @@
 	"pipitlatch/internal/workload"
 )
 
-// TestChooseVictims checks that either all missing tasks get a slot or none, and that work of the
+// TestSelectVictims checks that either all missing tasks get a slot or none, and that work of the
 // same priority never reduces another team below its guaranteed quota.
-func TestChooseVictims(t *testing.T) {
+func TestSelectVictims(t *testing.T) {
 	victimOf := func(name, team string, priority workload.Priority, cpu int64, slots int) victim {
 		j := &job{Job: &workload.Job{Team: team, Priority: priority}}
 		a := &attempt{id: messages.AttemptID{Job: name}, job: j, resources: workload.Resources{CPU: cpu}}
