--- a/internal/coordination/planning.go
+++ b/internal/coordination/planning.go
@@ -179,8 +179,8 @@
 
 // placeLongWaiting places one task of each job that has waited longer than maxFirstTaskWait for
 // its first task to start, ahead of all other array tasks. This deviates from the scheduling
-// model: the index ranks long overdue tasks behind all short ones, so that under sustained load
-// such a job would never start.
+// model (package scheduling, docs/design.md): the index ranks long overdue tasks behind all short
+// ones, so that under sustained load such a job would never start.
 func (p *partitionLeader) placeLongWaiting(arrays []rankedJob, machines []*scheduling.Machine) {
 	var late []rankedJob
 	for _, r := range arrays {
