--- a/internal/coordination/capacity_requests.go
+++ b/internal/coordination/capacity_requests.go
@@ -49,7 +49,7 @@
 }
 
 // arrayCapacityRequest requests enough slots that the missing tasks, run on new machines in
-// successive waves, end by the due date. If that has passed, it requests a slot for each of them.
+// successive waves, end by the due date. If not even one wave can, it requests a slot for each.
 func (p *partitionLeader) arrayCapacityRequest(
 	r rankedJob, missing int, boot micros.Time,
 ) (request provisioning.CapacityRequest, needed bool) {
