--- a/internal/coordination/planning.go
+++ b/internal/coordination/planning.go
@@ -130,7 +130,7 @@
 	if j.pendingTasks.Len() == 0 || j.startsPausedUntil > p.core.now || j.cancelRequested || j.blockedByDependencies {
 		return false
 	}
-	// Tasks of a job that was accepted before this leader's lease may still run on an unreconciled
+	// Tasks of a job whose record is older than this leader's lease may run on an unreconciled
 	// machine. None of its tasks starts until all machines are reconciled.
 	return !unreconciled || j.modRevision >= p.lease.acquiredToken
 }
@@ -326,7 +326,7 @@
 	j.pendingTasks.Remove(task)
 	p.reserve(a)
 	m.commands.Add(messages.Command{Operation: messages.Start, AttemptID: a.id})
-	// The start makes the agent fetch the image, so later tasks with the same image wait less.
+	// Further tasks with this image can start sooner on this machine.
 	m.useImage(j.Image, j.ImageGB)
 	return true
 }
