--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -104,8 +104,8 @@
 	return timeout
 }
 
-// canReplace reports whether the machine is smaller than large, an oversized machine that smaller
-// ones are requested to replace; large may be nil.
+// canReplace reports whether the machine, an on-demand one, is smaller than large, an oversized
+// machine that smaller ones are requested to replace; large may be nil.
 func (m *machine) canReplace(large *machine) bool {
 	return large != nil && m.instanceType != nil && m.instanceType.Capacity.CPU < large.instanceType.Capacity.CPU
 }
