--- a/internal/coordination/job_progress_test.go
+++ b/internal/coordination/job_progress_test.go
@@ -9,12 +9,12 @@
 
 func TestLastProgressOfAJobIsKept(t *testing.T) {
 	table := newProgressTable()
-	table.observe([]messages.JobProgress{{ID: "a", Done: 1}, {ID: "b", Done: 2}})
-	table.observe([]messages.JobProgress{{ID: "a", Done: 3, Running: 4}})
+	table.update([]messages.JobProgress{{ID: "a", Done: 1}, {ID: "b", Done: 2}})
+	table.update([]messages.JobProgress{{ID: "a", Done: 3, Running: 4}})
 	for id, want := range map[string]messages.JobProgress{
 		"a": {ID: "a", Done: 3, Running: 4}, "b": {ID: "b", Done: 2}, "c": {},
 	} {
-		if got := table.of(id); got != want {
+		if got := table.get(id); got != want {
 			t.Errorf("progress of %s is %+v, want %+v", id, got, want)
 		}
 	}
@@ -23,7 +23,7 @@
 func TestProgressIsPruned(t *testing.T) {
 	observe := func(table *progressTable, prefix string, count int) {
 		for i := range count {
-			table.observe([]messages.JobProgress{{ID: fmt.Sprint(prefix, i), Done: 1}})
+			table.update([]messages.JobProgress{{ID: fmt.Sprint(prefix, i), Done: 1}})
 		}
 	}
 	const least = minProgressEntries
@@ -33,10 +33,10 @@
 		kept         int // after the first pruning
 		limit        int // how many may then be observed before the next
 	}{
-		"few are kept, also of jobs that are over":  {10, least - 10, least, least},
-		"of many those of active jobs are kept":     {10, least, 10, least},
-		"all of many active jobs are kept":          {least + 9, 0, least + 9, 2*least + 18},
-		"half of what is kept may be of ended jobs": {least, 1, least, 2 * least},
+		"few entries are kept, even of ended jobs":      {10, least - 10, least, least},
+		"of many entries those of active jobs are kept": {10, least, 10, least},
+		"all of many active jobs are kept":              {least + 9, 0, least + 9, 2*least + 18},
+		"half of the kept entries may be of ended jobs": {least, 1, least, 2 * least},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := newProgressTable()
@@ -54,7 +54,7 @@
 			observe(table, "one more", 1)
 			table.prune(active)
 			if len(table.entries) != test.active {
-				t.Errorf("%d entries kept, want those of %d active jobs", len(table.entries), test.active)
+				t.Errorf("%d entries kept, want only those of %d active jobs", len(table.entries), test.active)
 			}
 		})
 	}
