--- a/internal/coordination/clusterleader/archiver_test.go
+++ b/internal/coordination/clusterleader/archiver_test.go
@@ -15,7 +15,7 @@
 
 // newTestArchiver is an archiver that keeps two jobs that are over. The cache has one that is
 // active, and four that are over, of which the last is newer than the settled revision.
-func newTestArchiver(t *testing.T) (*dutyView, *archiver) {
+func newTestArchiver(t *testing.T) (*fakeView, *archiver) {
 	t.Helper()
 	v := newDutyView(t, nil)
 	applyJob(t, v.cache, "wk-000009", workload.Active, 10)
@@ -44,7 +44,7 @@
 }
 
 // takeMoved returns the call that moves jobs, and the keys that it deletes.
-func takeMoved(t *testing.T, v *dutyView) (*storetest.Call, []string) {
+func takeMoved(t *testing.T, v *fakeView) (*storetest.Call, []string) {
 	t.Helper()
 	call := v.Take(t, storage.Txn)
 	return call, call.Request.Deletes
@@ -86,24 +86,24 @@
 func TestArchiverMovesNothing(t *testing.T) {
 	tests := []struct {
 		name   string
-		change func(*testing.T, *dutyView, *archiver)
+		change func(*testing.T, *fakeView, *archiver)
 	}{
 		{"while the store cannot be reached",
-			func(_ *testing.T, v *dutyView, _ *archiver) { v.unreachable = true }},
-		{"before its time", func(_ *testing.T, v *dutyView, a *archiver) { a.nextRunAt = v.Time + 1 }},
-		{"before a term is old enough", func(_ *testing.T, _ *dutyView, a *archiver) { a.begin() }},
-		{"while there are few jobs", func(_ *testing.T, _ *dutyView, a *archiver) { a.config.Settings.State.RPS = 0.009 }},
+			func(_ *testing.T, v *fakeView, _ *archiver) { v.unreachable = true }},
+		{"before its time", func(_ *testing.T, v *fakeView, a *archiver) { a.nextRunAt = v.Time + 1 }},
+		{"before a term is old enough", func(_ *testing.T, _ *fakeView, a *archiver) { a.begin() }},
+		{"while there are few jobs", func(_ *testing.T, _ *fakeView, a *archiver) { a.config.Settings.State.RPS = 0.009 }},
 		{"while all that are too many are newer than what is settled",
-			func(_ *testing.T, v *dutyView, a *archiver) {
+			func(_ *testing.T, v *fakeView, a *archiver) {
 				a.begin()
 				a.revisions.observe(v.Time-300*micros.Second, 10, 300*micros.Second)
 			}},
 		{"while active jobs depend on the jobs that are over",
-			func(t *testing.T, v *dutyView, _ *archiver) {
+			func(t *testing.T, v *fakeView, _ *archiver) {
 				applyJob(t, v.cache, "wk-000020", workload.Active, 15, "wk-000001", "wk-000002", "wk-000003")
 			}},
 		{"while the request budget does not allow it",
-			func(_ *testing.T, v *dutyView, _ *archiver) { v.OverBudget = true }},
+			func(_ *testing.T, v *fakeView, _ *archiver) { v.OverBudget = true }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/coordination/clusterleader/block_pruning_test.go
+++ b/internal/coordination/clusterleader/block_pruning_test.go
@@ -10,7 +10,7 @@
 )
 
 // newTestPruning is one with blocks a of two machines, b of one, and r of one and an open request.
-func newTestPruning(t *testing.T, gone ...string) (*dutyView, *blockPruning) {
+func newTestPruning(t *testing.T, gone ...string) (*fakeView, *blockPruning) {
 	t.Helper()
 	open := block(0, "r1")
 	open.Requested = 3
--- a/internal/coordination/clusterleader/duties_test.go
+++ b/internal/coordination/clusterleader/duties_test.go
@@ -14,8 +14,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// dutyView stands in for the core around one duty of the cluster leader.
-type dutyView struct {
+// fakeView stands in for the core around one duty of the cluster leader.
+type fakeView struct {
 	storetest.Environment
 	cache          *storage.Cache
 	revision       uint64 // of the record that was put last
@@ -52,9 +52,9 @@
 var dutyKind = provisioning.InstanceKind{InstanceType: "m", Zone: "a"}
 
 // newDutyView is the view of a cluster leader whose cache has the given blocks, at time 1000 s.
-func newDutyView(t *testing.T, blocks map[string]storage.BlockRecord) *dutyView {
+func newDutyView(t *testing.T, blocks map[string]storage.BlockRecord) *fakeView {
 	t.Helper()
-	v := &dutyView{cache: storage.NewCache(dutyKeys), partitionCount: 1, addresses: map[string]string{}}
+	v := &fakeView{cache: storage.NewCache(dutyKeys), partitionCount: 1, addresses: map[string]string{}}
 	v.Time = 1000 * micros.Second
 	v.cache.ClusterLeader = storage.Versioned[storage.Process]{Value: dutyProcess, ModRevision: leaderRevision}
 	for _, name := range sortedKeys(blocks) {
@@ -64,7 +64,7 @@
 }
 
 // put sets a record in the cache, at the next revision.
-func (v *dutyView) put(t *testing.T, key string, value any) {
+func (v *fakeView) put(t *testing.T, key string, value any) {
 	t.Helper()
 	v.revision++
 	item := storage.Item{Key: key, Value: storage.Encode(value), ModRevision: v.revision}
@@ -97,7 +97,7 @@
 }
 
 // takeCloudCall returns the only call to the cloud that has had no reply.
-func (v *dutyView) takeCloudCall(t *testing.T, operation messages.CloudOperation) cloudCall {
+func (v *fakeView) takeCloudCall(t *testing.T, operation messages.CloudOperation) cloudCall {
 	t.Helper()
 	if len(v.cloudCalls) != 1 || v.cloudCalls[0].Operation != operation {
 		t.Fatalf("calls to the cloud: %+v, want one of operation %d", v.cloudCalls, operation)
@@ -108,43 +108,43 @@
 }
 
 // requireNoCloudCall fails the test if a call to the cloud waits for a reply.
-func (v *dutyView) requireNoCloudCall(t *testing.T) {
+func (v *fakeView) requireNoCloudCall(t *testing.T) {
 	t.Helper()
 	if len(v.cloudCalls) > 0 {
 		t.Fatalf("the cloud was called, want no call: %+v", v.cloudCalls[0].CloudCall)
 	}
 }
 
-func (v *dutyView) CallCloud(call messages.CloudCall, done func(*messages.CloudReply)) {
+func (v *fakeView) CallCloud(call messages.CloudCall, done func(*messages.CloudReply)) {
 	v.cloudCalls = append(v.cloudCalls, cloudCall{call, done})
 }
 
-func (v *dutyView) Cache() *storage.Cache { return v.cache }
+func (v *fakeView) Cache() *storage.Cache { return v.cache }
 
-func (v *dutyView) LeaderCompare() storage.Compare {
+func (v *fakeView) LeaderCompare() storage.Compare {
 	return storage.Compare{Key: dutyKeys.ClusterLeader(), ModRevision: leaderRevision}
 }
 
-func (v *dutyView) IsClusterLeader() bool                                { return !v.follower }
-func (v *dutyView) Isolated() bool                                       { return v.isolated }
-func (v *dutyView) StoreReachable() bool                                 { return !v.unreachable }
-func (v *dutyView) SendStatusSoon()                                      { v.statusSoon = true }
-func (v *dutyView) Catalog() workload.Catalog                            { return v.catalog }
-func (v *dutyView) PartitionCount() int                                  { return v.partitionCount }
-func (v *dutyView) PartitionStatuses() []messages.PartitionStatus        { return v.statuses }
-func (v *dutyView) MachinesInUse(int) map[string]int                     { return v.inUse }
-func (v *dutyView) ReachableMachines(process storage.Process, _ int) int { return v.reachable[process] }
-func (v *dutyView) MaxBlockMachines() int                                { return 2 }
+func (v *fakeView) IsClusterLeader() bool                                { return !v.follower }
+func (v *fakeView) Isolated() bool                                       { return v.isolated }
+func (v *fakeView) StoreReachable() bool                                 { return !v.unreachable }
+func (v *fakeView) SendStatusSoon()                                      { v.statusSoon = true }
+func (v *fakeView) Catalog() workload.Catalog                            { return v.catalog }
+func (v *fakeView) PartitionCount() int                                  { return v.partitionCount }
+func (v *fakeView) PartitionStatuses() []messages.PartitionStatus        { return v.statuses }
+func (v *fakeView) MachinesInUse(int) map[string]int                     { return v.inUse }
+func (v *fakeView) ReachableMachines(process storage.Process, _ int) int { return v.reachable[process] }
+func (v *fakeView) MaxBlockMachines() int                                { return 2 }
 
-func (v *dutyView) MachineTerminated(machine string) { v.terminated = append(v.terminated, machine) }
+func (v *fakeView) MachineTerminated(machine string) { v.terminated = append(v.terminated, machine) }
 
-func (v *dutyView) PutBlock(r *storage.Request, name string, record storage.BlockRecord) {
+func (v *fakeView) PutBlock(r *storage.Request, name string, record storage.BlockRecord) {
 	r.Puts = append(r.Puts, storage.Put{Key: dutyKeys.Block(name), Value: storage.Encode(record)})
 }
 
-func (v *dutyView) InstanceRunning(_ int, machine, address string) { v.addresses[machine] = address }
+func (v *fakeView) InstanceRunning(_ int, machine, address string) { v.addresses[machine] = address }
 
-func (v *dutyView) LastContact(_ int, machine string) (micros.Time, bool) {
+func (v *fakeView) LastContact(_ int, machine string) (micros.Time, bool) {
 	at, ok := v.contacts[machine]
 	return at, ok
 }
--- a/internal/coordination/clusterleader/format_upgrade_test.go
+++ b/internal/coordination/clusterleader/format_upgrade_test.go
@@ -10,7 +10,7 @@
 )
 
 // newTestFormatUpgrade is that of a cluster of two members, both registered with this version.
-func newTestFormatUpgrade(t *testing.T) (*dutyView, *formatUpgrade) {
+func newTestFormatUpgrade(t *testing.T) (*fakeView, *formatUpgrade) {
 	t.Helper()
 	v := newDutyView(t, nil)
 	for _, member := range []string{"n0", "n1"} {
@@ -21,7 +21,7 @@
 	return v, newFormatUpgrade(v, cfg, dutyProcess, dutyKeys)
 }
 
-func register(t *testing.T, v *dutyView, member string, format int) {
+func register(t *testing.T, v *fakeView, member string, format int) {
 	t.Helper()
 	v.put(t, dutyKeys.Member(member),
 		storage.Registration{Process: storage.Process{Member: member, Incarnation: "1"}, Format: format})
@@ -30,18 +30,18 @@
 func TestFormatUpgradeWaitsForAllMembers(t *testing.T) {
 	tests := []struct {
 		name   string
-		change func(*testing.T, *dutyView)
+		change func(*testing.T, *fakeView)
 		want   bool
 	}{
-		{"all of this version", func(*testing.T, *dutyView) {}, true},
+		{"all of this version", func(*testing.T, *fakeView) {}, true},
 		{"the store has the format already",
-			func(t *testing.T, v *dutyView) { v.put(t, dutyKeys.Format(), map[string]int{"v": storage.Format}) }, false},
+			func(t *testing.T, v *fakeView) { v.put(t, dutyKeys.Format(), map[string]int{"v": storage.Format}) }, false},
 		{"a peer of an older version",
-			func(t *testing.T, v *dutyView) { register(t, v, "n1", storage.Format-1) }, false},
+			func(t *testing.T, v *fakeView) { register(t, v, "n1", storage.Format-1) }, false},
 		{"this member of an older version, as its record tells",
-			func(t *testing.T, v *dutyView) { register(t, v, "n0", storage.Format-1) }, false},
+			func(t *testing.T, v *fakeView) { register(t, v, "n0", storage.Format-1) }, false},
 		{"a peer that is not registered",
-			func(_ *testing.T, v *dutyView) { delete(v.cache.Members, "n1") }, false},
+			func(_ *testing.T, v *fakeView) { delete(v.cache.Members, "n1") }, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/coordination/clusterleader/instance_listing_test.go
+++ b/internal/coordination/clusterleader/instance_listing_test.go
@@ -12,7 +12,7 @@
 )
 
 // newTestListing is that of a cluster leader with machines a1 and a2.
-func newTestListing(t *testing.T) (*dutyView, *instanceListing) {
+func newTestListing(t *testing.T) (*fakeView, *instanceListing) {
 	t.Helper()
 	v := newDutyView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2")})
 	v.contacts = map[string]micros.Time{}
@@ -30,7 +30,7 @@
 }
 
 // list plays the reading of a list of one page.
-func list(t *testing.T, v *dutyView, l *instanceListing, instances ...messages.Instance) {
+func list(t *testing.T, v *fakeView, l *instanceListing, instances ...messages.Instance) {
 	t.Helper()
 	l.tick()
 	v.takeCloudCall(t, messages.CloudList).reply(&messages.CloudReply{Outcome: messages.CloudOK, Instances: instances})
@@ -48,7 +48,7 @@
 
 var observationCases = []struct {
 	name      string
-	change    func(*dutyView, *instanceListing, *messages.Instance) // before the list with instance x comes
+	change    func(*fakeView, *instanceListing, *messages.Instance) // before the list with instance x comes
 	instance  string                                                // x
 	requested bool                                                  // is its termination
 	orphan    bool                                                  // is it adopted
@@ -56,22 +56,22 @@
 }{
 	{name: "a recorded machine", instance: "a1", address: "a1:1"},
 	{name: "a recorded machine that does not run yet", instance: "a1",
-		change: func(_ *dutyView, _ *instanceListing, i *messages.Instance) { i.Running = false }},
+		change: func(_ *fakeView, _ *instanceListing, i *messages.Instance) { i.Running = false }},
 	{name: "a recorded machine without an address", instance: "a1",
-		change: func(_ *dutyView, _ *instanceListing, i *messages.Instance) { i.Address = "" }},
+		change: func(_ *fakeView, _ *instanceListing, i *messages.Instance) { i.Address = "" }},
 	{name: "a recorded machine that failed", instance: "a1", requested: true,
-		change: func(_ *dutyView, _ *instanceListing, i *messages.Instance) { i.Failed = true }},
+		change: func(_ *fakeView, _ *instanceListing, i *messages.Instance) { i.Failed = true }},
 	{name: "an unmanaged instance", instance: "x", orphan: true},
 	{name: "an unmanaged instance that failed", instance: "x", requested: true,
-		change: func(_ *dutyView, _ *instanceListing, i *messages.Instance) { i.Failed = true }},
+		change: func(_ *fakeView, _ *instanceListing, i *messages.Instance) { i.Failed = true }},
 	{name: "an unmanaged instance that is too young", instance: "x",
-		change: func(_ *dutyView, _ *instanceListing, i *messages.Instance) { i.Age = orphanMinAge }},
+		change: func(_ *fakeView, _ *instanceListing, i *messages.Instance) { i.Age = orphanMinAge }},
 	{name: "an unmanaged instance at the beginning of a term", instance: "x",
-		change: func(v *dutyView, l *instanceListing, _ *messages.Instance) {
+		change: func(v *fakeView, l *instanceListing, _ *messages.Instance) {
 			l.term.acquiredAt = v.Time - orphanMinTerm
 		}},
 	{name: "an instance that is surely gone", instance: "x",
-		change: func(_ *dutyView, l *instanceListing, i *messages.Instance) {
+		change: func(_ *fakeView, l *instanceListing, i *messages.Instance) {
 			i.Failed = true
 			l.terminated.Confirm("x", 0)
 		}},
--- a/internal/coordination/clusterleader/instance_termination_test.go
+++ b/internal/coordination/clusterleader/instance_termination_test.go
@@ -12,7 +12,7 @@
 )
 
 // newTestTermination is a cluster leader's with machines a1 and a2 in partition 0 and b1 in 1.
-func newTestTermination(t *testing.T) (*dutyView, *instanceTermination) {
+func newTestTermination(t *testing.T) (*fakeView, *instanceTermination) {
 	t.Helper()
 	v := newDutyView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2"), "b": block(1, "b1")})
 	terminated := provisioning.NewTerminatedInstances()
@@ -31,28 +31,28 @@
 func TestInstanceTerminationCallsForWhatIsLetGo(t *testing.T) {
 	tests := []struct {
 		name   string
-		change func(*dutyView, *instanceTermination)
+		change func(*fakeView, *instanceTermination)
 		want   []string
 	}{
-		{"nothing", func(*dutyView, *instanceTermination) {}, nil},
-		{"machines of the partition's own, each once", func(v *dutyView, _ *instanceTermination) {
+		{"nothing", func(*fakeView, *instanceTermination) {}, nil},
+		{"machines of the partition's own, each once", func(v *fakeView, _ *instanceTermination) {
 			v.statuses = []messages.PartitionStatus{letGo(1, "b1", "b1", "a1", "unrecorded"), letGo(0, "a2")}
 		}, []string{"b1", "a2"}},
-		{"what is requested besides, in order", func(v *dutyView, s *instanceTermination) {
+		{"what is requested besides, in order", func(v *fakeView, s *instanceTermination) {
 			v.statuses = []messages.PartitionStatus{letGo(0, "a2")}
 			s.request("z")
 			s.request("unrecorded")
 			s.request("a2")
 		}, []string{"a2", "unrecorded", "z"}},
-		{"nothing that is gone", func(v *dutyView, s *instanceTermination) {
+		{"nothing that is gone", func(v *fakeView, s *instanceTermination) {
 			v.statuses = []messages.PartitionStatus{letGo(0, "a1", "a2")}
 			s.terminated.Confirm("a1", v.Time)
 		}, []string{"a2"}},
-		{"nothing while isolated", func(v *dutyView, s *instanceTermination) {
+		{"nothing while isolated", func(v *fakeView, s *instanceTermination) {
 			s.request("z")
 			v.isolated = true
 		}, nil},
-		{"nothing before a retry is due", func(v *dutyView, s *instanceTermination) {
+		{"nothing before a retry is due", func(v *fakeView, s *instanceTermination) {
 			s.request("z")
 			s.retryAt = v.Time + 1
 		}, nil},
--- a/internal/coordination/clusterleader/machine_transfers_test.go
+++ b/internal/coordination/clusterleader/machine_transfers_test.go
@@ -43,7 +43,7 @@
 		{Partition: 1, Idle: []string{"m1"}, CapacityRequests: []provisioning.CapacityRequest{{Count: 1}}}}, nil},
 }
 
-func newTransferView(t *testing.T) *dutyView {
+func newTransferView(t *testing.T) *fakeView {
 	t.Helper()
 	spot := block(1, "spot1")
 	spot.Spot = true
--- a/internal/coordination/clusterleader/orphans_test.go
+++ b/internal/coordination/clusterleader/orphans_test.go
@@ -12,7 +12,7 @@
 )
 
 // newTestAdoption is that of a cluster leader with a machine a1.
-func newTestAdoption(t *testing.T) (*dutyView, *orphanAdoption) {
+func newTestAdoption(t *testing.T) (*fakeView, *orphanAdoption) {
 	t.Helper()
 	v := newDutyView(t, map[string]storage.BlockRecord{"a": block(0, "a1")})
 	term := dutyTerm()
@@ -34,15 +34,15 @@
 func TestOrphanAdoptionTakes(t *testing.T) {
 	tests := []struct {
 		name   string
-		change func(*dutyView, *orphanAdoption)
+		change func(*fakeView, *orphanAdoption)
 		orphan string
 		want   bool
 	}{
-		{"an unmanaged instance", func(*dutyView, *orphanAdoption) {}, "x", true},
-		{"not a recorded one", func(*dutyView, *orphanAdoption) {}, "a1", false},
-		{"not one that is gone", func(_ *dutyView, a *orphanAdoption) { a.terminated.Confirm("x", 0) }, "x", false},
-		{"none as a follower", func(v *dutyView, _ *orphanAdoption) { v.follower = true }, "x", false},
-		{"none before the term has begun", func(_ *dutyView, a *orphanAdoption) { a.term.revision-- }, "x", false},
+		{"an unmanaged instance", func(*fakeView, *orphanAdoption) {}, "x", true},
+		{"not a recorded one", func(*fakeView, *orphanAdoption) {}, "a1", false},
+		{"not one that is gone", func(_ *fakeView, a *orphanAdoption) { a.terminated.Confirm("x", 0) }, "x", false},
+		{"none as a follower", func(v *fakeView, _ *orphanAdoption) { v.follower = true }, "x", false},
+		{"none before the term has begun", func(_ *fakeView, a *orphanAdoption) { a.term.revision-- }, "x", false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -58,39 +58,39 @@
 
 var adoptionCases = []struct {
 	name   string
-	change func(*testing.T, *dutyView, *orphanAdoption) // with orphans x and y
+	change func(*testing.T, *fakeView, *orphanAdoption) // with orphans x and y
 	want   any                                          // the record written; nil: none
 	left   []string                                     // orphans that are still to be adopted
 }{
-	{"in one block", func(*testing.T, *dutyView, *orphanAdoption) {}, adopted(0, "x", "y"), []string{"x", "y"}},
-	{"as many as a block may have", func(_ *testing.T, _ *dutyView, a *orphanAdoption) { a.add("z", "z", dutyKind) },
+	{"in one block", func(*testing.T, *fakeView, *orphanAdoption) {}, adopted(0, "x", "y"), []string{"x", "y"}},
+	{"as many as a block may have", func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.add("z", "z", dutyKind) },
 		adopted(0, "x", "y"), []string{"x", "y", "z"}},
-	{"in the partition that lacks most", func(_ *testing.T, v *dutyView, _ *orphanAdoption) {
+	{"in the partition that lacks most", func(_ *testing.T, v *fakeView, _ *orphanAdoption) {
 		v.statuses = []messages.PartitionStatus{needing(0, 1), needing(2, 3), needing(1, 2)}
 	}, adopted(2, "x", "y"), []string{"x", "y"}},
-	{"those of one kind, the first", func(_ *testing.T, _ *dutyView, a *orphanAdoption) {
+	{"those of one kind, the first", func(_ *testing.T, _ *fakeView, a *orphanAdoption) {
 		a.add("b", "b", provisioning.InstanceKind{InstanceType: "n", Zone: "a"})
 	}, adopted(0, "x", "y"), []string{"b", "x", "y"}},
-	{"without those recorded by now", func(t *testing.T, v *dutyView, _ *orphanAdoption) {
+	{"without those recorded by now", func(t *testing.T, v *fakeView, _ *orphanAdoption) {
 		v.put(t, dutyKeys.Block("b"), block(0, "x"))
 	}, adopted(0, "y"), []string{"y"}},
-	{"without those gone by now", func(_ *testing.T, _ *dutyView, a *orphanAdoption) { a.terminated.Confirm("y", 0) },
+	{"without those gone by now", func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.terminated.Confirm("y", 0) },
 		adopted(0, "x"), []string{"x"}},
 	{"none while a request for the kind is in flight",
-		func(_ *testing.T, _ *dutyView, a *orphanAdoption) { a.scaling.pending.Started("c1-1", dutyKind) },
+		func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.scaling.pending.Started("c1-1", dutyKind) },
 		nil, []string{"x", "y"}},
 	{"none while a request for the kind is recorded",
-		func(t *testing.T, v *dutyView, _ *orphanAdoption) { v.put(t, dutyKeys.Block("c1-1"), openBlock(1)) },
+		func(t *testing.T, v *fakeView, _ *orphanAdoption) { v.put(t, dutyKeys.Block("c1-1"), openBlock(1)) },
 		nil, []string{"x", "y"}},
-	{"though a request for another kind is recorded", func(t *testing.T, v *dutyView, _ *orphanAdoption) {
+	{"though a request for another kind is recorded", func(t *testing.T, v *fakeView, _ *orphanAdoption) {
 		other := openBlock(1)
 		other.Spot = true
 		v.put(t, dutyKeys.Block("c1-1"), other)
 	}, adopted(0, "x", "y"), []string{"x", "y"}},
 	{"none while a request may have become a block that is not seen yet",
-		func(_ *testing.T, v *dutyView, a *orphanAdoption) { a.scaling.provisioned(v.cache.Revision + 1) },
+		func(_ *testing.T, v *fakeView, a *orphanAdoption) { a.scaling.provisioned(v.cache.Revision + 1) },
 		nil, []string{"x", "y"}},
-	{"none before its time", func(_ *testing.T, v *dutyView, a *orphanAdoption) { a.nextAt = v.Time + 1 },
+	{"none before its time", func(_ *testing.T, v *fakeView, a *orphanAdoption) { a.nextAt = v.Time + 1 },
 		nil, []string{"x", "y"}},
 }
 
--- a/internal/coordination/clusterleader/partition_assignment_test.go
+++ b/internal/coordination/clusterleader/partition_assignment_test.go
@@ -26,7 +26,7 @@
 
 // newTestAssignment is that of a cluster of three members of which n1 leads the only partition,
 // has 40 machines in use, and reaches 10 of them; n2 reaches 20.
-func newTestAssignment(t *testing.T) (*dutyView, *partitionAssignment) {
+func newTestAssignment(t *testing.T) (*fakeView, *partitionAssignment) {
 	t.Helper()
 	v := newDutyView(t, nil)
 	for _, member := range []storage.Process{dutyProcess, n1, n2} {
@@ -43,58 +43,58 @@
 
 var reassignmentCases = []struct {
 	name   string
-	change func(*dutyView, *partitionAssignment)
+	change func(*fakeView, *partitionAssignment)
 	leader storage.Process // that the partition gets; zero: it keeps its own
 }{
-	{"a leader that is heard and reaches its machines", func(*dutyView, *partitionAssignment) {}, storage.Process{}},
+	{"a leader that is heard and reaches its machines", func(*fakeView, *partitionAssignment) {}, storage.Process{}},
 	{"a leader that is not registered",
-		func(v *dutyView, _ *partitionAssignment) { delete(v.cache.Members, "n1") }, n2},
-	{"a leader that was just heard", func(v *dutyView, _ *partitionAssignment) { v.Time += unheardTimeout - 1 },
+		func(v *fakeView, _ *partitionAssignment) { delete(v.cache.Members, "n1") }, n2},
+	{"a leader that was just heard", func(v *fakeView, _ *partitionAssignment) { v.Time += unheardTimeout - 1 },
 		storage.Process{}},
-	{"a leader that is not heard", func(v *dutyView, a *partitionAssignment) {
+	{"a leader that is not heard", func(v *fakeView, a *partitionAssignment) {
 		v.Time += unheardTimeout
 		a.peers.Receive(v.Time, status(n2))
 	}, n2},
-	{"a leader that is not heard, at the beginning of a term", func(v *dutyView, a *partitionAssignment) {
+	{"a leader that is not heard, at the beginning of a term", func(v *fakeView, a *partitionAssignment) {
 		v.Time += unheardTimeout
 		a.peers.Receive(v.Time, status(n2))
 		a.term.acquiredAt = v.Time - unheardTimeout
 	}, storage.Process{}},
-	{"a leader of whose member another run is heard", func(v *dutyView, a *partitionAssignment) {
+	{"a leader of whose member another run is heard", func(v *fakeView, a *partitionAssignment) {
 		a.peers.Receive(v.Time, status(storage.Process{Member: "n1", Incarnation: "0"}))
 	}, n2},
-	{"an isolated leader", func(v *dutyView, a *partitionAssignment) { a.peers.Receive(v.Time, status(n1, "b")) }, n2},
-	{"an isolated leader, of which that is known from long ago", func(v *dutyView, a *partitionAssignment) {
+	{"an isolated leader", func(v *fakeView, a *partitionAssignment) { a.peers.Receive(v.Time, status(n1, "b")) }, n2},
+	{"an isolated leader, of which that is known from long ago", func(v *fakeView, a *partitionAssignment) {
 		a.peers.Receive(v.Time-statusLifetime-1, status(n1, "b"))
 	}, storage.Process{}},
-	{"a leader that reaches all zones, though another reaches more machines", func(v *dutyView, a *partitionAssignment) {
+	{"a leader that reaches all zones, though another reaches more machines", func(v *fakeView, a *partitionAssignment) {
 		s := status(n1, "b")
 		s.Partitions[0].UnreachableZones = nil
 		a.peers.Receive(v.Time, s)
 	}, storage.Process{}},
-	{"a leader isolated from machines that no other reaches either", func(v *dutyView, a *partitionAssignment) {
+	{"a leader isolated from machines that no other reaches either", func(v *fakeView, a *partitionAssignment) {
 		a.peers.Receive(v.Time, status(n1, "b"))
 		v.reachable[n2] = 14 // an eighth of 40 more is 15
 	}, storage.Process{}},
-	{"a leader isolated from an eighth of its machines", func(v *dutyView, a *partitionAssignment) {
+	{"a leader isolated from an eighth of its machines", func(v *fakeView, a *partitionAssignment) {
 		a.peers.Receive(v.Time, status(n1, "b"))
 		v.reachable[n2] = 15
 	}, n2},
-	{"a leader isolated from two of few machines", func(v *dutyView, a *partitionAssignment) {
+	{"a leader isolated from two of few machines", func(v *fakeView, a *partitionAssignment) {
 		a.peers.Receive(v.Time, status(n1, "b"))
 		v.inUse, v.reachable[n2] = map[string]int{"a": 12}, 12
 	}, storage.Process{}},
-	{"a leader isolated from machines that one without the store reaches", func(v *dutyView, a *partitionAssignment) {
+	{"a leader isolated from machines that one without the store reaches", func(v *fakeView, a *partitionAssignment) {
 		a.peers.Receive(v.Time, status(n1, "b"))
 		s := status(n2)
 		s.StoreReachable = false
 		a.peers.Receive(v.Time, s)
 	}, storage.Process{}},
-	{"a leader isolated from machines that one without registration reaches", func(v *dutyView, a *partitionAssignment) {
+	{"a leader isolated from machines that one without registration reaches", func(v *fakeView, a *partitionAssignment) {
 		a.peers.Receive(v.Time, status(n1, "b"))
 		delete(v.cache.Members, "n2")
 	}, storage.Process{}},
-	{"isolated from machines of a partition that it does not lead", func(v *dutyView, a *partitionAssignment) {
+	{"isolated from machines of a partition that it does not lead", func(v *fakeView, a *partitionAssignment) {
 		s := status(n1, "b")
 		s.Partitions[0].Partition = 1
 		a.peers.Receive(v.Time, s)
--- a/internal/coordination/clusterleader/scale_out_test.go
+++ b/internal/coordination/clusterleader/scale_out_test.go
@@ -16,7 +16,7 @@
 
 // newTestScaleOut is that of a cluster leader whose partition 0 lacks capacity for one task, and
 // whose cloud has one kind of instances for two.
-func newTestScaleOut(t *testing.T) (*dutyView, *scaleOut) {
+func newTestScaleOut(t *testing.T) (*fakeView, *scaleOut) {
 	t.Helper()
 	v := newDutyView(t, nil)
 	v.catalog = workload.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: workload.Resources{CPU: 2}, Price: 1}}
@@ -53,61 +53,61 @@
 
 var scaleOutCases = []struct {
 	name   string
-	change func(*testing.T, *dutyView, *scaleOut)
+	change func(*testing.T, *fakeView, *scaleOut)
 	want   []int // instances of each request that is recorded
 }{
-	{"for what is lacking", func(*testing.T, *dutyView, *scaleOut) {}, []int{1}},
+	{"for what is lacking", func(*testing.T, *fakeView, *scaleOut) {}, []int{1}},
 	{"in blocks of as many machines as one may have",
-		func(_ *testing.T, v *dutyView, _ *scaleOut) { v.statuses[0] = needing(0, 10) }, []int{2, 2, 1}},
-	{"as many as the cloud's rate limit allows", func(_ *testing.T, v *dutyView, _ *scaleOut) {
+		func(_ *testing.T, v *fakeView, _ *scaleOut) { v.statuses[0] = needing(0, 10) }, []int{2, 2, 1}},
+	{"as many as the cloud's rate limit allows", func(_ *testing.T, v *fakeView, _ *scaleOut) {
 		v.statuses[0] = needing(0, 100)
 	}, []int{2, 2, 2, 2}},
-	{"a part of the fleet at once, divided among the partitions", func(_ *testing.T, v *dutyView, s *scaleOut) {
+	{"a part of the fleet at once, divided among the partitions", func(_ *testing.T, v *fakeView, s *scaleOut) {
 		v.statuses = []messages.PartitionStatus{needing(1, 1000), needing(0, 1000)}
 		s.config.Settings.Cloud.RPS = 1000
 	}, slices.Repeat([]int{2}, 20)}, // a fifth of 200, as there is one kind
 	{"nothing before the catalog is known",
-		func(_ *testing.T, v *dutyView, _ *scaleOut) { v.catalog = nil }, nil},
-	{"nothing before the pause is over", func(_ *testing.T, v *dutyView, s *scaleOut) { s.nextAt = v.Time + 1 }, nil},
-	{"nothing at the beginning of a term", func(_ *testing.T, v *dutyView, s *scaleOut) {
+		func(_ *testing.T, v *fakeView, _ *scaleOut) { v.catalog = nil }, nil},
+	{"nothing before the pause is over", func(_ *testing.T, v *fakeView, s *scaleOut) { s.nextAt = v.Time + 1 }, nil},
+	{"nothing at the beginning of a term", func(_ *testing.T, v *fakeView, s *scaleOut) {
 		s.term.acquiredAt = v.Time - minScaleOutTerm + 1
 	}, nil},
-	{"nothing while a request is open", func(t *testing.T, v *dutyView, s *scaleOut) {
+	{"nothing while a request is open", func(t *testing.T, v *fakeView, s *scaleOut) {
 		v.put(t, dutyKeys.Block("c1-1"), openBlock(1))
 		s.pending.RetryAt("c1-1", v.Time+1)
 	}, nil},
 	{"nothing while a request is being written",
-		func(_ *testing.T, _ *dutyView, s *scaleOut) { s.pending.Started("c1-1", dutyKind) }, nil},
-	{"nothing on statuses from before the last round", func(_ *testing.T, v *dutyView, s *scaleOut) {
+		func(_ *testing.T, _ *fakeView, s *scaleOut) { s.pending.Started("c1-1", dutyKind) }, nil},
+	{"nothing on statuses from before the last round", func(_ *testing.T, v *fakeView, s *scaleOut) {
 		s.provisioned(7)
 		s.peers.Receive(v.Time, status(n1, "z"))
 	}, nil},
-	{"whatever a peer says that leads no partition", func(_ *testing.T, v *dutyView, s *scaleOut) {
+	{"whatever a peer says that leads no partition", func(_ *testing.T, v *fakeView, s *scaleOut) {
 		s.provisioned(7)
 		s.peers.Receive(v.Time, status(n1))
 	}, []int{1}},
-	{"whatever a peer said long ago", func(_ *testing.T, v *dutyView, s *scaleOut) {
+	{"whatever a peer said long ago", func(_ *testing.T, v *fakeView, s *scaleOut) {
 		s.provisioned(7)
 		s.peers.Receive(v.Time-statusLifetime-1, status(n1, "z"))
 	}, []int{1}},
 	{"nothing of an exhausted kind",
-		func(_ *testing.T, v *dutyView, s *scaleOut) { s.capacity.Exhausted(dutyKind, v.Time) }, nil},
-	{"one to probe a zone that is not reached", func(_ *testing.T, v *dutyView, _ *scaleOut) {
+		func(_ *testing.T, v *fakeView, s *scaleOut) { s.capacity.Exhausted(dutyKind, v.Time) }, nil},
+	{"one to probe a zone that is not reached", func(_ *testing.T, v *fakeView, _ *scaleOut) {
 		v.statuses[0] = needing(0, 10)
 		v.statuses[0].UnreachableZones = []string{"a"}
 	}, []int{1}},
-	{"one to probe a zone where all machines are used", func(t *testing.T, v *dutyView, _ *scaleOut) {
+	{"one to probe a zone where all machines are used", func(t *testing.T, v *fakeView, _ *scaleOut) {
 		v.statuses[0].UnreachableZones = []string{"a"}
 		used := block(0)
 		used.Machines["used"] = storage.MachineRecord{Used: true}
 		v.put(t, dutyKeys.Block("b"), used)
 	}, []int{1}},
-	{"none to probe a zone while one is there", func(t *testing.T, v *dutyView, _ *scaleOut) {
+	{"none to probe a zone while one is there", func(t *testing.T, v *fakeView, _ *scaleOut) {
 		v.statuses[0].UnreachableZones = []string{"a"}
 		v.put(t, dutyKeys.Block("b"), block(0, "unused"))
 	}, nil},
 	{"nothing more than the request budget allows",
-		func(_ *testing.T, v *dutyView, _ *scaleOut) { v.OverBudget = true }, nil},
+		func(_ *testing.T, v *fakeView, _ *scaleOut) { v.OverBudget = true }, nil},
 }
 
 func TestScaleOutRecordsRequests(t *testing.T) {
@@ -144,7 +144,7 @@
 }
 
 // sendOne plays a round until its request is with the cloud.
-func sendOne(t *testing.T, v *dutyView, s *scaleOut) cloudCall {
+func sendOne(t *testing.T, v *fakeView, s *scaleOut) cloudCall {
 	t.Helper()
 	s.tick()
 	call := v.Take(t, storage.Txn)
