--- a/internal/coordination/clusterleader/archiver_test.go
+++ b/internal/coordination/clusterleader/archiver_test.go
@@ -17,7 +17,7 @@
 // active, and four that are over, of which the last is newer than the settled revision.
 func newTestArchiver(t *testing.T) (*fakeView, *archiver) {
 	t.Helper()
-	v := newDutyView(t, nil)
+	v := newFakeView(t, nil)
 	applyJob(t, v.cache, "wk-000009", workload.Active, 10)
 	applyJob(t, v.cache, "wk-000001", workload.Done, 11)
 	applyJob(t, v.cache, "wk-000003", workload.Done, 13)
--- a/internal/coordination/clusterleader/block_pruning_test.go
+++ b/internal/coordination/clusterleader/block_pruning_test.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	open := block(0, "r1")
 	open.Requested = 3
-	v := newDutyView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2"), "b": block(0, "b1"), "r": open})
+	v := newFakeView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2"), "b": block(0, "b1"), "r": open})
 	p := newBlockPruning(v, dutyKeys, provisioning.NewTerminatedInstances())
 	p.begin()
 	for _, machine := range gone {
--- a/internal/coordination/clusterleader/duties_test.go
+++ b/internal/coordination/clusterleader/duties_test.go
@@ -51,8 +51,8 @@
 // dutyKind is the kind of the blocks' machines.
 var dutyKind = provisioning.InstanceKind{InstanceType: "m", Zone: "a"}
 
-// newDutyView is the view of a cluster leader whose cache has the given blocks, at time 1000 s.
-func newDutyView(t *testing.T, blocks map[string]storage.BlockRecord) *fakeView {
+// newFakeView is the view of a cluster leader whose cache has the given blocks, at time 1000 s.
+func newFakeView(t *testing.T, blocks map[string]storage.BlockRecord) *fakeView {
 	t.Helper()
 	v := &fakeView{cache: storage.NewCache(dutyKeys), partitionCount: 1, addresses: map[string]string{}}
 	v.Time = 1000 * micros.Second
--- a/internal/coordination/clusterleader/format_upgrade_test.go
+++ b/internal/coordination/clusterleader/format_upgrade_test.go
@@ -12,7 +12,7 @@
 // newTestFormatUpgrade is that of a cluster of two members, both registered with this version.
 func newTestFormatUpgrade(t *testing.T) (*fakeView, *formatUpgrade) {
 	t.Helper()
-	v := newDutyView(t, nil)
+	v := newFakeView(t, nil)
 	for _, member := range []string{"n0", "n1"} {
 		register(t, v, member, storage.Format)
 	}
--- a/internal/coordination/clusterleader/instance_listing_test.go
+++ b/internal/coordination/clusterleader/instance_listing_test.go
@@ -14,7 +14,7 @@
 // newTestListing is that of a cluster leader with machines a1 and a2.
 func newTestListing(t *testing.T) (*fakeView, *instanceListing) {
 	t.Helper()
-	v := newDutyView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2")})
+	v := newFakeView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2")})
 	v.contacts = map[string]micros.Time{}
 	cfg, term, terminated := dutyConfig(t), dutyTerm(), provisioning.NewTerminatedInstances()
 	cfg.Settings.Cloud.ListLagS = 1
--- a/internal/coordination/clusterleader/instance_termination_test.go
+++ b/internal/coordination/clusterleader/instance_termination_test.go
@@ -14,7 +14,7 @@
 // newTestTermination is a cluster leader's with machines a1 and a2 in partition 0 and b1 in 1.
 func newTestTermination(t *testing.T) (*fakeView, *instanceTermination) {
 	t.Helper()
-	v := newDutyView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2"), "b": block(1, "b1")})
+	v := newFakeView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2"), "b": block(1, "b1")})
 	terminated := provisioning.NewTerminatedInstances()
 	pruning := newBlockPruning(v, dutyKeys, terminated)
 	termination := newInstanceTermination(v, dutyTerm(), terminated, provisioning.NewCapacityTracker(), pruning)
--- a/internal/coordination/clusterleader/leader_test.go
+++ b/internal/coordination/clusterleader/leader_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestLeaderBeginsATermOnce(t *testing.T) {
-	v := newDutyView(t, nil)
+	v := newFakeView(t, nil)
 	v.cache.Revision = 8
 	l := New(v, dutyConfig(t), dutyProcess, dutyKeys, newDutyPeers(0))
 	l.nameCounter = 3
@@ -70,7 +70,7 @@
 }
 
 func TestLeaderAdoptsUnmanagedMachinesThatAreHeard(t *testing.T) {
-	v := newDutyView(t, nil)
+	v := newFakeView(t, nil)
 	l := New(v, dutyConfig(t), dutyProcess, dutyKeys, newDutyPeers(0))
 	heartbeat := &messages.Heartbeat{Machine: "x", Address: "x:1", InstanceType: "m", Zone: "a"}
 	l.HeardFromUnmanaged(heartbeat)
--- a/internal/coordination/clusterleader/machine_transfers_test.go
+++ b/internal/coordination/clusterleader/machine_transfers_test.go
@@ -47,7 +47,7 @@
 	t.Helper()
 	spot := block(1, "spot1")
 	spot.Spot = true
-	v := newDutyView(t, map[string]storage.BlockRecord{"b0": block(0, "m0"), "b1": block(1, "m1", "m1b"), "b2": spot})
+	v := newFakeView(t, map[string]storage.BlockRecord{"b0": block(0, "m0"), "b1": block(1, "m1", "m1b"), "b2": spot})
 	v.partitionCount = 4
 	for partition, member := range []string{"n0", "n1", "n0", "n1"} {
 		leader := storage.Process{Member: member, Incarnation: "1"}
--- a/internal/coordination/clusterleader/orphans_test.go
+++ b/internal/coordination/clusterleader/orphans_test.go
@@ -14,7 +14,7 @@
 // newTestAdoption is that of a cluster leader with a machine a1.
 func newTestAdoption(t *testing.T) (*fakeView, *orphanAdoption) {
 	t.Helper()
-	v := newDutyView(t, map[string]storage.BlockRecord{"a": block(0, "a1")})
+	v := newFakeView(t, map[string]storage.BlockRecord{"a": block(0, "a1")})
 	term := dutyTerm()
 	scaling := newScaleOut(v, dutyConfig(t), dutyKeys, newDutyPeers(0), term)
 	a := newOrphanAdoption(v, dutyKeys, term, provisioning.NewTerminatedInstances(), scaling)
--- a/internal/coordination/clusterleader/partition_assignment_test.go
+++ b/internal/coordination/clusterleader/partition_assignment_test.go
@@ -28,7 +28,7 @@
 // has 40 machines in use, and reaches 10 of them; n2 reaches 20.
 func newTestAssignment(t *testing.T) (*fakeView, *partitionAssignment) {
 	t.Helper()
-	v := newDutyView(t, nil)
+	v := newFakeView(t, nil)
 	for _, member := range []storage.Process{dutyProcess, n1, n2} {
 		v.put(t, dutyKeys.Member(member.Member), member)
 	}
--- a/internal/coordination/clusterleader/scale_out_test.go
+++ b/internal/coordination/clusterleader/scale_out_test.go
@@ -18,7 +18,7 @@
 // whose cloud has one kind of instances for two.
 func newTestScaleOut(t *testing.T) (*fakeView, *scaleOut) {
 	t.Helper()
-	v := newDutyView(t, nil)
+	v := newFakeView(t, nil)
 	v.catalog = workload.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: workload.Resources{CPU: 2}, Price: 1}}
 	v.statuses = []messages.PartitionStatus{needing(0, 1)}
 	s := newScaleOut(v, dutyConfig(t), dutyKeys, newDutyPeers(v.Time, status(dutyProcess)), dutyTerm())
