--- a/internal/coordination/clusterleader/archiver_test.go
+++ b/internal/coordination/clusterleader/archiver_test.go
@@ -28,7 +28,7 @@
 	if kept := cfg.MaxCachedTerminalJobs(); kept != 2 {
 		t.Fatalf("%d jobs are kept, want 2", kept)
 	}
-	a := newArchiver(v, cfg, dutyKeys)
+	a := newArchiver(v, cfg, testKeys)
 	a.revisions.observe(v.Time-300*micros.Second, settledRevision, 300*micros.Second)
 	return v, a
 }
@@ -37,7 +37,7 @@
 	dependencies ...string) {
 	t.Helper()
 	job := &workload.Job{ID: id, Team: "alpha", Class: "c", Tasks: 1, Phase: phase, DependsOn: dependencies}
-	item := storage.Item{Key: dutyKeys.Job(id), Value: storage.Encode(job), ModRevision: revision}
+	item := storage.Item{Key: testKeys.Job(id), Value: storage.Encode(job), ModRevision: revision}
 	if _, _, err := cache.Apply(item); err != nil {
 		t.Fatal(err)
 	}
@@ -54,11 +54,11 @@
 	v, a := newTestArchiver(t)
 	a.tick()
 	call, moved := takeMoved(t, v)
-	if want := []string{dutyKeys.Job("wk-000001"), dutyKeys.Job("wk-000002")}; !slices.Equal(moved, want) {
+	if want := []string{testKeys.Job("wk-000001"), testKeys.Job("wk-000002")}; !slices.Equal(moved, want) {
 		t.Errorf("moved %v, want %v", moved, want)
 	}
 	want := []storage.Compare{v.LeaderCompare(),
-		{Key: dutyKeys.Job("wk-000001"), ModRevision: 11}, {Key: dutyKeys.Job("wk-000002"), ModRevision: 13}}
+		{Key: testKeys.Job("wk-000001"), ModRevision: 11}, {Key: testKeys.Job("wk-000002"), ModRevision: 13}}
 	if !slices.Equal(call.Request.Compares, want) {
 		t.Errorf("guards %+v, want %+v", call.Request.Compares, want)
 	}
@@ -66,7 +66,7 @@
 	for _, put := range call.Request.Puts {
 		archived = append(archived, put.Key)
 	}
-	if want := []string{dutyKeys.Archive("wk-000001"), dutyKeys.Archive("wk-000002")}; !slices.Equal(archived, want) {
+	if want := []string{testKeys.Archive("wk-000001"), testKeys.Archive("wk-000002")}; !slices.Equal(archived, want) {
 		t.Errorf("archived %v, want %v", archived, want)
 	}
 	if call.Urgency != storage.Deferrable {
@@ -78,7 +78,7 @@
 	v, a := newTestArchiver(t)
 	a.config.Settings.State.TxnOps = 3 // and a job takes two
 	a.tick()
-	if _, moved := takeMoved(t, v); !slices.Equal(moved, []string{dutyKeys.Job("wk-000001")}) {
+	if _, moved := takeMoved(t, v); !slices.Equal(moved, []string{testKeys.Job("wk-000001")}) {
 		t.Errorf("moved %v, want the oldest", moved)
 	}
 }
@@ -134,7 +134,7 @@
 
 func TestArchiverDeletesOrphanedPartsOfDependencyListsFirst(t *testing.T) {
 	v, a := newTestArchiver(t)
-	part := dutyKeys.DependencyPart("wk-000050", "x.1", 0)
+	part := testKeys.DependencyPart("wk-000050", "x.1", 0)
 	v.put(t, part, []string{"wk-000001"})
 	a.tick()
 	call := v.Take(t, storage.Txn)
--- a/internal/coordination/clusterleader/block_pruning_test.go
+++ b/internal/coordination/clusterleader/block_pruning_test.go
@@ -15,7 +15,7 @@
 	open := block(0, "r1")
 	open.Requested = 3
 	v := newFakeView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2"), "b": block(0, "b1"), "r": open})
-	p := newBlockPruning(v, dutyKeys, provisioning.NewTerminatedInstances())
+	p := newBlockPruning(v, testKeys, provisioning.NewTerminatedInstances())
 	p.begin()
 	for _, machine := range gone {
 		p.terminated.Confirm(machine, v.Time)
@@ -42,7 +42,7 @@
 			v, p := newTestPruning(t, test.gone)
 			p.tick()
 			r := v.Take(t, storage.Txn).Request
-			key := dutyKeys.Block(test.block)
+			key := testKeys.Block(test.block)
 			want := []storage.Compare{v.LeaderCompare(), {Key: key, ModRevision: v.cache.Blocks[test.block].ModRevision}}
 			if !slices.Equal(r.Compares, want) {
 				t.Errorf("guards %+v, want %+v", r.Compares, want)
@@ -72,7 +72,7 @@
 	call := v.Take(t, storage.Txn)
 	p.terminated.Confirm("b1", v.Time)
 	p.tick()
-	if got := v.Take(t, storage.Txn).Request.Deletes; !slices.Equal(got, []string{dutyKeys.Block("b")}) {
+	if got := v.Take(t, storage.Txn).Request.Deletes; !slices.Equal(got, []string{testKeys.Block("b")}) {
 		t.Errorf("deleted %v, want the other block", got)
 	}
 	call.Reply(storage.Reply{Outcome: storage.Conflict})
--- a/internal/coordination/clusterleader/duties_test.go
+++ b/internal/coordination/clusterleader/duties_test.go
@@ -41,7 +41,7 @@
 }
 
 var (
-	dutyKeys    = storage.Keys{Prefix: "p/"}
+	testKeys    = storage.Keys{Prefix: "p/"}
 	dutyProcess = storage.Process{Member: "n0", Incarnation: "1"}
 )
 
@@ -54,11 +54,11 @@
 // newFakeView is the view of a cluster leader whose cache has the given blocks, at time 1000 s.
 func newFakeView(t *testing.T, blocks map[string]storage.BlockRecord) *fakeView {
 	t.Helper()
-	v := &fakeView{cache: storage.NewCache(dutyKeys), partitionCount: 1, addresses: map[string]string{}}
+	v := &fakeView{cache: storage.NewCache(testKeys), partitionCount: 1, addresses: map[string]string{}}
 	v.Time = 1000 * micros.Second
 	v.cache.ClusterLeader = storage.Versioned[storage.Process]{Value: dutyProcess, ModRevision: leaderRevision}
 	for _, name := range sortedKeys(blocks) {
-		v.put(t, dutyKeys.Block(name), blocks[name])
+		v.put(t, testKeys.Block(name), blocks[name])
 	}
 	return v
 }
@@ -122,7 +122,7 @@
 func (v *fakeView) Cache() *storage.Cache { return v.cache }
 
 func (v *fakeView) LeaderCompare() storage.Compare {
-	return storage.Compare{Key: dutyKeys.ClusterLeader(), ModRevision: leaderRevision}
+	return storage.Compare{Key: testKeys.ClusterLeader(), ModRevision: leaderRevision}
 }
 
 func (v *fakeView) IsClusterLeader() bool                                { return !v.follower }
@@ -139,7 +139,7 @@
 func (v *fakeView) MachineTerminated(machine string) { v.terminated = append(v.terminated, machine) }
 
 func (v *fakeView) PutBlock(r *storage.Request, name string, record storage.BlockRecord) {
-	r.Puts = append(r.Puts, storage.Put{Key: dutyKeys.Block(name), Value: storage.Encode(record)})
+	r.Puts = append(r.Puts, storage.Put{Key: testKeys.Block(name), Value: storage.Encode(record)})
 }
 
 func (v *fakeView) InstanceRunning(_ int, machine, address string) { v.addresses[machine] = address }
--- a/internal/coordination/clusterleader/format_upgrade_test.go
+++ b/internal/coordination/clusterleader/format_upgrade_test.go
@@ -18,12 +18,12 @@
 	}
 	cfg := dutyConfig(t)
 	cfg.Peers = []config.Peer{{Member: "n1"}}
-	return v, newFormatUpgrade(v, cfg, dutyProcess, dutyKeys)
+	return v, newFormatUpgrade(v, cfg, dutyProcess, testKeys)
 }
 
 func register(t *testing.T, v *fakeView, member string, format int) {
 	t.Helper()
-	v.put(t, dutyKeys.Member(member),
+	v.put(t, testKeys.Member(member),
 		storage.Registration{Process: storage.Process{Member: member, Incarnation: "1"}, Format: format})
 }
 
@@ -35,7 +35,7 @@
 	}{
 		{"all of this version", func(*testing.T, *fakeView) {}, true},
 		{"the store has the format already",
-			func(t *testing.T, v *fakeView) { v.put(t, dutyKeys.Format(), map[string]int{"v": storage.Format}) }, false},
+			func(t *testing.T, v *fakeView) { v.put(t, testKeys.Format(), map[string]int{"v": storage.Format}) }, false},
 		{"a peer of an older version",
 			func(t *testing.T, v *fakeView) { register(t, v, "n1", storage.Format-1) }, false},
 		{"this member of an older version, as its record tells",
@@ -56,7 +56,7 @@
 			if want := []storage.Compare{v.LeaderCompare()}; !slices.Equal(r.Compares, want) {
 				t.Errorf("guards %+v, want %+v", r.Compares, want)
 			}
-			if len(r.Puts) != 1 || r.Puts[0].Key != dutyKeys.Format() {
+			if len(r.Puts) != 1 || r.Puts[0].Key != testKeys.Format() {
 				t.Errorf("puts %+v, want the format", r.Puts)
 			}
 		})
--- a/internal/coordination/clusterleader/instance_listing_test.go
+++ b/internal/coordination/clusterleader/instance_listing_test.go
@@ -18,10 +18,10 @@
 	v.contacts = map[string]micros.Time{}
 	cfg, term, terminated := dutyConfig(t), dutyTerm(), provisioning.NewTerminatedInstances()
 	cfg.Settings.Cloud.ListLagS = 1
-	pruning := newBlockPruning(v, dutyKeys, terminated)
+	pruning := newBlockPruning(v, testKeys, terminated)
 	termination := newInstanceTermination(v, term, terminated, provisioning.NewCapacityTracker(), pruning)
-	scaling := newScaleOut(v, cfg, dutyKeys, newDutyPeers(0), term)
-	adoption := newOrphanAdoption(v, dutyKeys, term, terminated, scaling)
+	scaling := newScaleOut(v, cfg, testKeys, newDutyPeers(0), term)
+	adoption := newOrphanAdoption(v, testKeys, term, terminated, scaling)
 	listing := newInstanceListing(v, cfg, term, terminated, termination, adoption)
 	termination.begin()
 	adoption.begin()
--- a/internal/coordination/clusterleader/instance_termination_test.go
+++ b/internal/coordination/clusterleader/instance_termination_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	v := newFakeView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2"), "b": block(1, "b1")})
 	terminated := provisioning.NewTerminatedInstances()
-	pruning := newBlockPruning(v, dutyKeys, terminated)
+	pruning := newBlockPruning(v, testKeys, terminated)
 	termination := newInstanceTermination(v, dutyTerm(), terminated, provisioning.NewCapacityTracker(), pruning)
 	pruning.begin()
 	termination.begin()
--- a/internal/coordination/clusterleader/machine_transfers_test.go
+++ b/internal/coordination/clusterleader/machine_transfers_test.go
@@ -51,7 +51,7 @@
 	v.partitionCount = 4
 	for partition, member := range []string{"n0", "n1", "n0", "n1"} {
 		leader := storage.Process{Member: member, Incarnation: "1"}
-		v.put(t, dutyKeys.Partition(partition), storage.PartitionRecord{Leader: leader})
+		v.put(t, testKeys.Partition(partition), storage.PartitionRecord{Leader: leader})
 	}
 	return v
 }
--- a/internal/coordination/clusterleader/orphans_test.go
+++ b/internal/coordination/clusterleader/orphans_test.go
@@ -16,8 +16,8 @@
 	t.Helper()
 	v := newFakeView(t, map[string]storage.BlockRecord{"a": block(0, "a1")})
 	term := dutyTerm()
-	scaling := newScaleOut(v, dutyConfig(t), dutyKeys, newDutyPeers(0), term)
-	a := newOrphanAdoption(v, dutyKeys, term, provisioning.NewTerminatedInstances(), scaling)
+	scaling := newScaleOut(v, dutyConfig(t), testKeys, newDutyPeers(0), term)
+	a := newOrphanAdoption(v, testKeys, term, provisioning.NewTerminatedInstances(), scaling)
 	a.begin()
 	return v, a
 }
@@ -72,7 +72,7 @@
 		a.add("b", "b", provisioning.InstanceKind{InstanceType: "n", Zone: "a"})
 	}, adopted(0, "x", "y"), []string{"b", "x", "y"}},
 	{"without those recorded by now", func(t *testing.T, v *fakeView, _ *orphanAdoption) {
-		v.put(t, dutyKeys.Block("b"), block(0, "x"))
+		v.put(t, testKeys.Block("b"), block(0, "x"))
 	}, adopted(0, "y"), []string{"y"}},
 	{"without those gone by now", func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.terminated.Confirm("y", 0) },
 		adopted(0, "x"), []string{"x"}},
@@ -80,12 +80,12 @@
 		func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.scaling.pending.Started("c1-1", dutyKind) },
 		nil, []string{"x", "y"}},
 	{"none while a request for the kind is recorded",
-		func(t *testing.T, v *fakeView, _ *orphanAdoption) { v.put(t, dutyKeys.Block("c1-1"), openBlock(1)) },
+		func(t *testing.T, v *fakeView, _ *orphanAdoption) { v.put(t, testKeys.Block("c1-1"), openBlock(1)) },
 		nil, []string{"x", "y"}},
 	{"though a request for another kind is recorded", func(t *testing.T, v *fakeView, _ *orphanAdoption) {
 		other := openBlock(1)
 		other.Spot = true
-		v.put(t, dutyKeys.Block("c1-1"), other)
+		v.put(t, testKeys.Block("c1-1"), other)
 	}, adopted(0, "x", "y"), []string{"x", "y"}},
 	{"none while a request may have become a block that is not seen yet",
 		func(_ *testing.T, v *fakeView, a *orphanAdoption) { a.scaling.provisioned(v.cache.Revision + 1) },
@@ -110,7 +110,7 @@
 				return
 			}
 			r := v.Take(t, storage.Txn).Request
-			key := dutyKeys.Block("a4-1")
+			key := testKeys.Block("a4-1")
 			if want := []storage.Compare{v.LeaderCompare(), {Key: key}}; !slices.Equal(r.Compares, want) {
 				t.Errorf("guards %+v, want %+v", r.Compares, want)
 			}
@@ -136,7 +136,7 @@
 			v.RequireNoCall(t)
 			v.Time++
 			a.tick()
-			if got := v.Take(t, storage.Txn).Request.Puts[0].Key; got != dutyKeys.Block(test.name) {
+			if got := v.Take(t, storage.Txn).Request.Puts[0].Key; got != testKeys.Block(test.name) {
 				t.Errorf("written to %s, want block %s", got, test.name)
 			}
 		})
--- a/internal/coordination/clusterleader/partition_assignment_test.go
+++ b/internal/coordination/clusterleader/partition_assignment_test.go
@@ -30,13 +30,13 @@
 	t.Helper()
 	v := newFakeView(t, nil)
 	for _, member := range []storage.Process{dutyProcess, n1, n2} {
-		v.put(t, dutyKeys.Member(member.Member), member)
+		v.put(t, testKeys.Member(member.Member), member)
 	}
-	v.put(t, dutyKeys.Partition(0), storage.PartitionRecord{Leader: n1})
+	v.put(t, testKeys.Partition(0), storage.PartitionRecord{Leader: n1})
 	v.inUse = map[string]int{"a": 10, "b": 30}
 	v.reachable = map[storage.Process]int{n1: 10, n2: 20}
 	peers := newDutyPeers(v.Time, status(dutyProcess), status(n1), status(n2))
-	a := newPartitionAssignment(v, dutyConfig(t), dutyProcess, dutyKeys, peers, dutyTerm())
+	a := newPartitionAssignment(v, dutyConfig(t), dutyProcess, testKeys, peers, dutyTerm())
 	a.begin()
 	return v, a
 }
@@ -113,8 +113,8 @@
 			}
 			r := v.Take(t, storage.Txn).Request
 			want := []storage.Compare{v.LeaderCompare(),
-				{Key: dutyKeys.Partition(0), ModRevision: v.cache.Partitions[0].ModRevision},
-				{Key: dutyKeys.Member("n2"), ModRevision: v.cache.Members["n2"].ModRevision}}
+				{Key: testKeys.Partition(0), ModRevision: v.cache.Partitions[0].ModRevision},
+				{Key: testKeys.Member("n2"), ModRevision: v.cache.Members["n2"].ModRevision}}
 			if !slices.Equal(r.Compares, want) {
 				t.Errorf("guards %+v, want %+v", r.Compares, want)
 			}
--- a/internal/coordination/clusterleader/scale_out_test.go
+++ b/internal/coordination/clusterleader/scale_out_test.go
@@ -21,7 +21,7 @@
 	v := newFakeView(t, nil)
 	v.catalog = workload.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: workload.Resources{CPU: 2}, Price: 1}}
 	v.statuses = []messages.PartitionStatus{needing(0, 1)}
-	s := newScaleOut(v, dutyConfig(t), dutyKeys, newDutyPeers(v.Time, status(dutyProcess)), dutyTerm())
+	s := newScaleOut(v, dutyConfig(t), testKeys, newDutyPeers(v.Time, status(dutyProcess)), dutyTerm())
 	s.begin()
 	return v, s
 }
@@ -73,7 +73,7 @@
 		s.term.acquiredAt = v.Time - minScaleOutTerm + 1
 	}, nil},
 	{"nothing while a request is open", func(t *testing.T, v *fakeView, s *scaleOut) {
-		v.put(t, dutyKeys.Block("c1-1"), openBlock(1))
+		v.put(t, testKeys.Block("c1-1"), openBlock(1))
 		s.pending.RetryAt("c1-1", v.Time+1)
 	}, nil},
 	{"nothing while a request is being written",
@@ -100,11 +100,11 @@
 		v.statuses[0].UnreachableZones = []string{"a"}
 		used := block(0)
 		used.Machines["used"] = storage.MachineRecord{Used: true}
-		v.put(t, dutyKeys.Block("b"), used)
+		v.put(t, testKeys.Block("b"), used)
 	}, []int{1}},
 	{"none to probe a zone while one is there", func(t *testing.T, v *fakeView, _ *scaleOut) {
 		v.statuses[0].UnreachableZones = []string{"a"}
-		v.put(t, dutyKeys.Block("b"), block(0, "unused"))
+		v.put(t, testKeys.Block("b"), block(0, "unused"))
 	}, nil},
 	{"nothing more than the request budget allows",
 		func(_ *testing.T, v *fakeView, _ *scaleOut) { v.OverBudget = true }, nil},
@@ -121,7 +121,7 @@
 			for i, requested := range test.want {
 				b := openBlock(requested)
 				b.Partition = i / 10 // in the largest case ten each
-				want[dutyKeys.Block(fmt.Sprintf("c%d-%d", leaderRevision, i+1))] = string(storage.Encode(b))
+				want[testKeys.Block(fmt.Sprintf("c%d-%d", leaderRevision, i+1))] = string(storage.Encode(b))
 			}
 			if got := recorded(v.Calls); !maps.Equal(got, want) {
 				t.Errorf("recorded %v, want %v", got, want)
@@ -148,7 +148,7 @@
 	t.Helper()
 	s.tick()
 	call := v.Take(t, storage.Txn)
-	want := []storage.Compare{v.LeaderCompare(), {Key: dutyKeys.Block("c4-1")}}
+	want := []storage.Compare{v.LeaderCompare(), {Key: testKeys.Block("c4-1")}}
 	if !slices.Equal(call.Request.Compares, want) {
 		t.Errorf("guards of the record %+v, want %+v", call.Request.Compares, want)
 	}
@@ -176,14 +176,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			v, s := newTestScaleOut(t)
 			request := sendOne(t, v, s)
-			v.put(t, dutyKeys.Block("other"), block(0, "adopted"))
+			v.put(t, testKeys.Block("other"), block(0, "adopted"))
 			request.reply(&messages.CloudReply{Outcome: test.outcome, Names: test.granted})
 			call := v.Take(t, storage.Txn)
-			want := []storage.Compare{v.LeaderCompare(), {Key: dutyKeys.Block("c4-1"), ModRevision: 20}}
+			want := []storage.Compare{v.LeaderCompare(), {Key: testKeys.Block("c4-1"), ModRevision: 20}}
 			if !slices.Equal(call.Request.Compares, want) {
 				t.Errorf("guards %+v, want %+v", call.Request.Compares, want)
 			}
-			if got := recorded([]*storetest.Call{call})[dutyKeys.Block("c4-1")]; got != test.put {
+			if got := recorded([]*storetest.Call{call})[testKeys.Block("c4-1")]; got != test.put {
 				t.Errorf("written %q, want %q", got, test.put)
 			}
 			if got := len(call.Request.Deletes) == 1; got != (test.put == "") {
@@ -207,7 +207,7 @@
 	t.Run("that the cloud did not answer", func(t *testing.T) {
 		v, s := newTestScaleOut(t)
 		request := sendOne(t, v, s)
-		v.put(t, dutyKeys.Block("c4-1"), openBlock(1))
+		v.put(t, testKeys.Block("c4-1"), openBlock(1))
 		s.tick()
 		v.requireNoCloudCall(t) // it is in flight
 		request.reply(&messages.CloudReply{Outcome: messages.CloudOutcomeUnknown})
@@ -221,7 +221,7 @@
 	t.Run("whose block was not written", func(t *testing.T) {
 		v, s := newTestScaleOut(t)
 		request := sendOne(t, v, s)
-		v.put(t, dutyKeys.Block("c4-1"), openBlock(1))
+		v.put(t, testKeys.Block("c4-1"), openBlock(1))
 		v.OverBudget = true
 		request.reply(&messages.CloudReply{Outcome: messages.CloudOK, Names: []string{"x"}})
 		v.Time += closeRetryInterval - 1
