--- a/internal/coordination/clusterleader/duties_test.go
+++ b/internal/coordination/clusterleader/duties_test.go
@@ -42,7 +42,7 @@
 
 var (
 	testKeys    = storage.Keys{Prefix: "p/"}
-	dutyProcess = storage.Process{Member: "n0", Incarnation: "1"}
+	testProcess = storage.Process{Member: "n0", Incarnation: "1"}
 )
 
 // leaderRevision is the mod revision of the cluster leader's key.
@@ -56,7 +56,7 @@
 	t.Helper()
 	v := &fakeView{cache: storage.NewCache(testKeys), partitionCount: 1, addresses: map[string]string{}}
 	v.Time = 1000 * micros.Second
-	v.cache.ClusterLeader = storage.Versioned[storage.Process]{Value: dutyProcess, ModRevision: leaderRevision}
+	v.cache.ClusterLeader = storage.Versioned[storage.Process]{Value: testProcess, ModRevision: leaderRevision}
 	for _, name := range sortedKeys(blocks) {
 		v.put(t, testKeys.Block(name), blocks[name])
 	}
@@ -151,7 +151,7 @@
 
 // newDutyPeers are the peers of the duties' process, of which one sent a status at a time.
 func newDutyPeers(at micros.Time, statuses ...*messages.PeerStatus) *membership.Peers {
-	peers := membership.NewPeers(dutyProcess.Member, nil)
+	peers := membership.NewPeers(testProcess.Member, nil)
 	for _, status := range statuses {
 		peers.Receive(at, status)
 	}
--- a/internal/coordination/clusterleader/format_upgrade_test.go
+++ b/internal/coordination/clusterleader/format_upgrade_test.go
@@ -18,7 +18,7 @@
 	}
 	cfg := dutyConfig(t)
 	cfg.Peers = []config.Peer{{Member: "n1"}}
-	return v, newFormatUpgrade(v, cfg, dutyProcess, testKeys)
+	return v, newFormatUpgrade(v, cfg, testProcess, testKeys)
 }
 
 func register(t *testing.T, v *fakeView, member string, format int) {
--- a/internal/coordination/clusterleader/partition_assignment_test.go
+++ b/internal/coordination/clusterleader/partition_assignment_test.go
@@ -29,14 +29,14 @@
 func newTestAssignment(t *testing.T) (*fakeView, *partitionAssignment) {
 	t.Helper()
 	v := newFakeView(t, nil)
-	for _, member := range []storage.Process{dutyProcess, n1, n2} {
+	for _, member := range []storage.Process{testProcess, n1, n2} {
 		v.put(t, testKeys.Member(member.Member), member)
 	}
 	v.put(t, testKeys.Partition(0), storage.PartitionRecord{Leader: n1})
 	v.inUse = map[string]int{"a": 10, "b": 30}
 	v.reachable = map[storage.Process]int{n1: 10, n2: 20}
-	peers := newDutyPeers(v.Time, status(dutyProcess), status(n1), status(n2))
-	a := newPartitionAssignment(v, dutyConfig(t), dutyProcess, testKeys, peers, dutyTerm())
+	peers := newDutyPeers(v.Time, status(testProcess), status(n1), status(n2))
+	a := newPartitionAssignment(v, dutyConfig(t), testProcess, testKeys, peers, dutyTerm())
 	a.begin()
 	return v, a
 }
