--- a/internal/coordination/clusterleader/duties_test.go
+++ b/internal/coordination/clusterleader/duties_test.go
@@ -48,8 +48,8 @@
 // leaderRevision is the mod revision of the cluster leader's key.
 const leaderRevision = 4
 
-// dutyKind is the kind of the blocks' machines.
-var dutyKind = provisioning.InstanceKind{InstanceType: "m", Zone: "a"}
+// testKind is the kind of the blocks' machines.
+var testKind = provisioning.InstanceKind{InstanceType: "m", Zone: "a"}
 
 // newFakeView is the view of a cluster leader whose cache has the given blocks, at time 1000 s.
 func newFakeView(t *testing.T, blocks map[string]storage.BlockRecord) *fakeView {
--- a/internal/coordination/clusterleader/instance_termination_test.go
+++ b/internal/coordination/clusterleader/instance_termination_test.go
@@ -86,7 +86,7 @@
 
 func TestInstanceTerminationTakesSuccessAsProof(t *testing.T) {
 	v, termination := newTestTermination(t)
-	termination.capacity.Exhausted(dutyKind, v.Time)
+	termination.capacity.Exhausted(testKind, v.Time)
 	termination.request("a1")
 	termination.request("unrecorded")
 	termination.tick()
@@ -97,7 +97,7 @@
 	if want := []string{"a1", "unrecorded"}; !slices.Equal(v.terminated, want) {
 		t.Errorf("partitions got to know of %v, want %v", v.terminated, want)
 	}
-	if got := termination.capacity.Limit(dutyKind, v.Time); got != 1 {
+	if got := termination.capacity.Limit(testKind, v.Time); got != 1 {
 		t.Errorf("%d more instances of the kind are expected to be available, want 1", got)
 	}
 	if len(termination.requested) > 0 || !v.statusSoon {
--- a/internal/coordination/clusterleader/leader_test.go
+++ b/internal/coordination/clusterleader/leader_test.go
@@ -32,7 +32,7 @@
 	l.terminated.Confirm("m", 0)
 	l.assignment.inFlight, l.termination.inFlight, l.listing.inFlight = true, true, true
 	l.archiver.inFlight, l.formatUpgrade.inFlight = true, true
-	l.scaling.pending.Started("c1-1", dutyKind)
+	l.scaling.pending.Started("c1-1", testKind)
 	l.adoption.name = "a1-1"
 	l.Begin(7)
 	if l.Revision() != 7 || l.acquiredAt != v.Time || l.nameCounter != 0 || l.scaling.provisionedRevision != 8 {
@@ -79,7 +79,7 @@
 	}
 	l.Begin(leaderRevision)
 	l.HeardFromUnmanaged(heartbeat)
-	if got := l.adoption.orphans["x"]; got != (orphan{dutyKind, "x:1"}) {
+	if got := l.adoption.orphans["x"]; got != (orphan{testKind, "x:1"}) {
 		t.Errorf("orphan %+v, want the machine that was heard", got)
 	}
 }
--- a/internal/coordination/clusterleader/orphans_test.go
+++ b/internal/coordination/clusterleader/orphans_test.go
@@ -48,7 +48,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			v, a := newTestAdoption(t)
 			test.change(v, a)
-			a.add(test.orphan, test.orphan, dutyKind)
+			a.add(test.orphan, test.orphan, testKind)
 			if _, got := a.orphans[test.orphan]; got != test.want {
 				t.Errorf("taken: %v, want %v", got, test.want)
 			}
@@ -63,7 +63,7 @@
 	left   []string                                     // orphans that are still to be adopted
 }{
 	{"in one block", func(*testing.T, *fakeView, *orphanAdoption) {}, adopted(0, "x", "y"), []string{"x", "y"}},
-	{"as many as a block may have", func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.add("z", "z", dutyKind) },
+	{"as many as a block may have", func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.add("z", "z", testKind) },
 		adopted(0, "x", "y"), []string{"x", "y", "z"}},
 	{"in the partition that lacks most", func(_ *testing.T, v *fakeView, _ *orphanAdoption) {
 		v.statuses = []messages.PartitionStatus{needing(0, 1), needing(2, 3), needing(1, 2)}
@@ -77,7 +77,7 @@
 	{"without those gone by now", func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.terminated.Confirm("y", 0) },
 		adopted(0, "x"), []string{"x"}},
 	{"none while a request for the kind is in flight",
-		func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.scaling.pending.Started("c1-1", dutyKind) },
+		func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.scaling.pending.Started("c1-1", testKind) },
 		nil, []string{"x", "y"}},
 	{"none while a request for the kind is recorded",
 		func(t *testing.T, v *fakeView, _ *orphanAdoption) { v.put(t, testKeys.Block("c1-1"), openBlock(1)) },
@@ -98,8 +98,8 @@
 	for _, test := range adoptionCases {
 		t.Run(test.name, func(t *testing.T) {
 			v, a := newTestAdoption(t)
-			a.add("x", "x", dutyKind)
-			a.add("y", "y", dutyKind)
+			a.add("x", "x", testKind)
+			a.add("y", "y", testKind)
 			test.change(t, v, a)
 			a.tick()
 			if got := slices.Sorted(maps.Keys(a.orphans)); !slices.Equal(got, test.left) {
@@ -128,7 +128,7 @@
 	}{{storage.OK, "a4-2"}, {storage.Conflict, "a4-2"}, {storage.OutcomeUnknown, "a4-1"}} {
 		t.Run(test.name, func(t *testing.T) {
 			v, a := newTestAdoption(t)
-			a.add("x", "x", dutyKind)
+			a.add("x", "x", testKind)
 			a.tick()
 			v.Take(t, storage.Txn).Reply(storage.Reply{Outcome: test.outcome})
 			v.Time += adoptionInterval - 1
@@ -145,7 +145,7 @@
 
 func TestOrphanAdoptionWaitsForAnAnswer(t *testing.T) {
 	v, a := newTestAdoption(t)
-	a.add("x", "x", dutyKind)
+	a.add("x", "x", testKind)
 	v.OverBudget = true
 	a.tick()
 	v.OverBudget = false
--- a/internal/coordination/clusterleader/scale_out_test.go
+++ b/internal/coordination/clusterleader/scale_out_test.go
@@ -77,7 +77,7 @@
 		s.pending.RetryAt("c1-1", v.Time+1)
 	}, nil},
 	{"nothing while a request is being written",
-		func(_ *testing.T, _ *fakeView, s *scaleOut) { s.pending.Started("c1-1", dutyKind) }, nil},
+		func(_ *testing.T, _ *fakeView, s *scaleOut) { s.pending.Started("c1-1", testKind) }, nil},
 	{"nothing on statuses from before the last round", func(_ *testing.T, v *fakeView, s *scaleOut) {
 		s.provisioned(7)
 		s.peers.Receive(v.Time, status(n1, "z"))
@@ -91,7 +91,7 @@
 		s.peers.Receive(v.Time-statusLifetime-1, status(n1, "z"))
 	}, []int{1}},
 	{"nothing of an exhausted kind",
-		func(_ *testing.T, v *fakeView, s *scaleOut) { s.capacity.Exhausted(dutyKind, v.Time) }, nil},
+		func(_ *testing.T, v *fakeView, s *scaleOut) { s.capacity.Exhausted(testKind, v.Time) }, nil},
 	{"one to probe a zone that is not reached", func(_ *testing.T, v *fakeView, _ *scaleOut) {
 		v.statuses[0] = needing(0, 10)
 		v.statuses[0].UnreachableZones = []string{"a"}
@@ -193,7 +193,7 @@
 			if s.provisionedRevision != 30 || s.pending.InFlight() > 0 {
 				t.Errorf("provisioned at %d, %d in flight, want 30 and none", s.provisionedRevision, s.pending.InFlight())
 			}
-			if got := s.capacity.Limit(dutyKind, v.Time) == 0; got != test.exhausted {
+			if got := s.capacity.Limit(testKind, v.Time) == 0; got != test.exhausted {
 				t.Errorf("exhausted: %v, want %v", got, test.exhausted)
 			}
 			if got := s.nextAt == v.Time; got != test.exhausted {
