--- a/internal/coordination/clusterleader/duties_test.go
+++ b/internal/coordination/clusterleader/duties_test.go
@@ -83,8 +83,8 @@
 	return b
 }
 
-// dutyTerm is a term of leadership that began long ago.
-func dutyTerm() *leaderTerm { return &leaderTerm{revision: leaderRevision} }
+// newTestTerm is a term of leadership that began long ago.
+func newTestTerm() *leaderTerm { return &leaderTerm{revision: leaderRevision} }
 
 // dutyConfig are settings for the duties.
 func dutyConfig(t *testing.T) *config.Config {
--- a/internal/coordination/clusterleader/instance_termination_test.go
+++ b/internal/coordination/clusterleader/instance_termination_test.go
@@ -17,7 +17,7 @@
 	v := newFakeView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2"), "b": block(1, "b1")})
 	terminated := provisioning.NewTerminatedInstances()
 	pruning := newBlockPruning(v, testKeys, terminated)
-	termination := newInstanceTermination(v, dutyTerm(), terminated, provisioning.NewCapacityTracker(), pruning)
+	termination := newInstanceTermination(v, newTestTerm(), terminated, provisioning.NewCapacityTracker(), pruning)
 	pruning.begin()
 	termination.begin()
 	return v, termination
--- a/internal/coordination/clusterleader/orphans_test.go
+++ b/internal/coordination/clusterleader/orphans_test.go
@@ -15,7 +15,7 @@
 func newTestAdoption(t *testing.T) (*fakeView, *orphanAdoption) {
 	t.Helper()
 	v := newFakeView(t, map[string]storage.BlockRecord{"a": block(0, "a1")})
-	term := dutyTerm()
+	term := newTestTerm()
 	scaling := newScaleOut(v, dutyConfig(t), testKeys, newDutyPeers(0), term)
 	a := newOrphanAdoption(v, testKeys, term, provisioning.NewTerminatedInstances(), scaling)
 	a.begin()
