--- a/internal/coordination/clusterleader/archiver_test.go
+++ b/internal/coordination/clusterleader/archiver_test.go
@@ -23,7 +23,7 @@
 	applyJob(t, v.cache, "wk-000003", workload.Done, 13)
 	applyJob(t, v.cache, "wk-000002", workload.Cancelled, 13)
 	applyJob(t, v.cache, "wk-000004", workload.Done, 14)
-	cfg := dutyConfig(t)
+	cfg := newTestConfig(t)
 	cfg.Settings.State.RPS = 0.005 // as many as a start reads in a second: two jobs
 	if kept := cfg.MaxCachedTerminalJobs(); kept != 2 {
 		t.Fatalf("%d jobs are kept, want 2", kept)
--- a/internal/coordination/clusterleader/duties_test.go
+++ b/internal/coordination/clusterleader/duties_test.go
@@ -86,8 +86,8 @@
 // newTestTerm is a term of leadership that began long ago.
 func newTestTerm() *leaderTerm { return &leaderTerm{revision: leaderRevision} }
 
-// dutyConfig are settings for the duties.
-func dutyConfig(t *testing.T) *config.Config {
+// newTestConfig are settings for the duties.
+func newTestConfig(t *testing.T) *config.Config {
 	t.Helper()
 	cfg, err := config.Parse(configtest.Default().Platform(), nil)
 	if err != nil {
--- a/internal/coordination/clusterleader/format_upgrade_test.go
+++ b/internal/coordination/clusterleader/format_upgrade_test.go
@@ -16,7 +16,7 @@
 	for _, member := range []string{"n0", "n1"} {
 		register(t, v, member, storage.Format)
 	}
-	cfg := dutyConfig(t)
+	cfg := newTestConfig(t)
 	cfg.Peers = []config.Peer{{Member: "n1"}}
 	return v, newFormatUpgrade(v, cfg, testProcess, testKeys)
 }
--- a/internal/coordination/clusterleader/instance_listing_test.go
+++ b/internal/coordination/clusterleader/instance_listing_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	v := newFakeView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2")})
 	v.contacts = map[string]micros.Time{}
-	cfg, term, terminated := dutyConfig(t), newTestTerm(), provisioning.NewTerminatedInstances()
+	cfg, term, terminated := newTestConfig(t), newTestTerm(), provisioning.NewTerminatedInstances()
 	cfg.Settings.Cloud.ListLagS = 1
 	pruning := newBlockPruning(v, testKeys, terminated)
 	termination := newInstanceTermination(v, term, terminated, provisioning.NewCapacityTracker(), pruning)
