--- a/internal/coordination/clusterleader/duties_test.go
+++ b/internal/coordination/clusterleader/duties_test.go
@@ -149,8 +149,8 @@
 	return at, ok
 }
 
-// newDutyPeers are the peers of the duties' process, of which one sent a status at a time.
-func newDutyPeers(at micros.Time, statuses ...*messages.PeerStatus) *membership.Peers {
+// newTestPeers are the peers of the duties' process, of which one sent a status at a time.
+func newTestPeers(at micros.Time, statuses ...*messages.PeerStatus) *membership.Peers {
 	peers := membership.NewPeers(testProcess.Member, nil)
 	for _, status := range statuses {
 		peers.Receive(at, status)
--- a/internal/coordination/clusterleader/instance_listing_test.go
+++ b/internal/coordination/clusterleader/instance_listing_test.go
@@ -20,7 +20,7 @@
 	cfg.Settings.Cloud.ListLagS = 1
 	pruning := newBlockPruning(v, testKeys, terminated)
 	termination := newInstanceTermination(v, term, terminated, provisioning.NewCapacityTracker(), pruning)
-	scaling := newScaleOut(v, cfg, testKeys, newDutyPeers(0), term)
+	scaling := newScaleOut(v, cfg, testKeys, newTestPeers(0), term)
 	adoption := newOrphanAdoption(v, testKeys, term, terminated, scaling)
 	listing := newInstanceListing(v, cfg, term, terminated, termination, adoption)
 	termination.begin()
--- a/internal/coordination/clusterleader/leader_test.go
+++ b/internal/coordination/clusterleader/leader_test.go
@@ -27,7 +27,7 @@
 func TestLeaderBeginsATermOnce(t *testing.T) {
 	v := newFakeView(t, nil)
 	v.cache.Revision = 8
-	l := New(v, newTestConfig(t), testProcess, testKeys, newDutyPeers(0))
+	l := New(v, newTestConfig(t), testProcess, testKeys, newTestPeers(0))
 	l.nameCounter = 3
 	l.terminated.Confirm("m", 0)
 	l.assignment.inFlight, l.termination.inFlight, l.listing.inFlight = true, true, true
@@ -57,7 +57,7 @@
 
 func TestLeaderKeepsTransfersUntilTheyAreSent(t *testing.T) {
 	v := newTransferView(t)
-	l := New(v, newTestConfig(t), testProcess, testKeys, newDutyPeers(0))
+	l := New(v, newTestConfig(t), testProcess, testKeys, newTestPeers(0))
 	v.statuses = []messages.PartitionStatus{lacking(0, false), idle(1, "m1")}
 	l.transfer.tick()
 	if got := l.Transfers("n1"); len(got) != 1 || len(l.Transfers("n0")) > 0 {
@@ -71,7 +71,7 @@
 
 func TestLeaderAdoptsUnmanagedMachinesThatAreHeard(t *testing.T) {
 	v := newFakeView(t, nil)
-	l := New(v, newTestConfig(t), testProcess, testKeys, newDutyPeers(0))
+	l := New(v, newTestConfig(t), testProcess, testKeys, newTestPeers(0))
 	heartbeat := &messages.Heartbeat{Machine: "x", Address: "x:1", InstanceType: "m", Zone: "a"}
 	l.HeardFromUnmanaged(heartbeat)
 	if len(l.adoption.orphans) > 0 {
--- a/internal/coordination/clusterleader/orphans_test.go
+++ b/internal/coordination/clusterleader/orphans_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	v := newFakeView(t, map[string]storage.BlockRecord{"a": block(0, "a1")})
 	term := newTestTerm()
-	scaling := newScaleOut(v, newTestConfig(t), testKeys, newDutyPeers(0), term)
+	scaling := newScaleOut(v, newTestConfig(t), testKeys, newTestPeers(0), term)
 	a := newOrphanAdoption(v, testKeys, term, provisioning.NewTerminatedInstances(), scaling)
 	a.begin()
 	return v, a
--- a/internal/coordination/clusterleader/partition_assignment_test.go
+++ b/internal/coordination/clusterleader/partition_assignment_test.go
@@ -35,7 +35,7 @@
 	v.put(t, testKeys.Partition(0), storage.PartitionRecord{Leader: n1})
 	v.inUse = map[string]int{"a": 10, "b": 30}
 	v.reachable = map[storage.Process]int{n1: 10, n2: 20}
-	peers := newDutyPeers(v.Time, status(testProcess), status(n1), status(n2))
+	peers := newTestPeers(v.Time, status(testProcess), status(n1), status(n2))
 	a := newPartitionAssignment(v, newTestConfig(t), testProcess, testKeys, peers, newTestTerm())
 	a.begin()
 	return v, a
