--- a/internal/coordination/clusterleader/instance_termination_test.go
+++ b/internal/coordination/clusterleader/instance_termination_test.go
@@ -23,8 +23,8 @@
 	return v, termination
 }
 
-// letGo is what a partition leader lets go.
-func letGo(partition int, machines ...string) messages.PartitionStatus {
+// terminating is what a partition leader lets go.
+func terminating(partition int, machines ...string) messages.PartitionStatus {
 	return messages.PartitionStatus{Partition: partition, Terminate: machines}
 }
 
@@ -36,16 +36,16 @@
 	}{
 		{"nothing", func(*fakeView, *instanceTermination) {}, nil},
 		{"machines of the partition's own, each once", func(v *fakeView, _ *instanceTermination) {
-			v.statuses = []messages.PartitionStatus{letGo(1, "b1", "b1", "a1", "unrecorded"), letGo(0, "a2")}
+			v.statuses = []messages.PartitionStatus{terminating(1, "b1", "b1", "a1", "unrecorded"), terminating(0, "a2")}
 		}, []string{"b1", "a2"}},
 		{"what is requested besides, in order", func(v *fakeView, s *instanceTermination) {
-			v.statuses = []messages.PartitionStatus{letGo(0, "a2")}
+			v.statuses = []messages.PartitionStatus{terminating(0, "a2")}
 			s.request("z")
 			s.request("unrecorded")
 			s.request("a2")
 		}, []string{"a2", "unrecorded", "z"}},
 		{"nothing that is gone", func(v *fakeView, s *instanceTermination) {
-			v.statuses = []messages.PartitionStatus{letGo(0, "a1", "a2")}
+			v.statuses = []messages.PartitionStatus{terminating(0, "a1", "a2")}
 			s.terminated.Confirm("a1", v.Time)
 		}, []string{"a2"}},
 		{"nothing while isolated", func(v *fakeView, s *instanceTermination) {
