--- a/internal/coordination/clusterleader/archiver_test.go
+++ b/internal/coordination/clusterleader/archiver_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// takeMoved returns the call that moves jobs, and the keys that it deletes.
-func takeMoved(t *testing.T, v *fakeView) (*storetest.Call, []string) {
+// takeArchiveRequest returns the call that moves jobs, and the keys that it deletes.
+func takeArchiveRequest(t *testing.T, v *fakeView) (*storetest.Call, []string) {
 	t.Helper()
 	call := v.Take(t, storage.Txn)
 	return call, call.Request.Deletes
@@ -53,7 +53,7 @@
 func TestArchiverMovesTheOldestJobsThatAreTooMany(t *testing.T) {
 	v, a := newTestArchiver(t)
 	a.tick()
-	call, moved := takeMoved(t, v)
+	call, moved := takeArchiveRequest(t, v)
 	if want := []string{testKeys.Job("wk-000001"), testKeys.Job("wk-000002")}; !slices.Equal(moved, want) {
 		t.Errorf("moved %v, want %v", moved, want)
 	}
@@ -78,7 +78,7 @@
 	v, a := newTestArchiver(t)
 	a.config.Settings.State.TxnOps = 3 // and a job takes two
 	a.tick()
-	if _, moved := takeMoved(t, v); !slices.Equal(moved, []string{testKeys.Job("wk-000001")}) {
+	if _, moved := takeArchiveRequest(t, v); !slices.Equal(moved, []string{testKeys.Job("wk-000001")}) {
 		t.Errorf("moved %v, want the oldest", moved)
 	}
 }
@@ -118,7 +118,7 @@
 func TestArchiverPausesForItsShareOfTheWrites(t *testing.T) {
 	v, a := newTestArchiver(t)
 	a.tick()
-	call, _ := takeMoved(t, v)
+	call, _ := takeArchiveRequest(t, v)
 	v.Time += 10 * micros.Second
 	a.tick()
 	v.RequireNoCall(t) // the first is in flight
