--- a/internal/coordination/clusterleader/archiver_test.go
+++ b/internal/coordination/clusterleader/archiver_test.go
@@ -10,8 +10,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// settledRevision is the revision that the tests' archiver has dated long enough ago.
-const settledRevision = 13
+// archivableRevision is the revision that the tests' archiver has dated long enough ago.
+const archivableRevision = 13
 
 // newTestArchiver is an archiver that keeps two jobs that are over. The cache has one that is
 // active, and four that are over, of which the last is newer than the settled revision.
@@ -29,7 +29,7 @@
 		t.Fatalf("%d jobs are kept, want 2", kept)
 	}
 	a := newArchiver(v, cfg, testKeys)
-	a.revisions.observe(v.Time-300*micros.Second, settledRevision, 300*micros.Second)
+	a.revisions.observe(v.Time-300*micros.Second, archivableRevision, 300*micros.Second)
 	return v, a
 }
 
