--- a/internal/coordination/clusterleader/scale_out_test.go
+++ b/internal/coordination/clusterleader/scale_out_test.go
@@ -40,8 +40,8 @@
 	return b
 }
 
-// recorded are the records that requests write, by key.
-func recorded(calls []*storetest.Call) map[string]string {
+// writtenRecords are the records that requests write, by key.
+func writtenRecords(calls []*storetest.Call) map[string]string {
 	records := map[string]string{}
 	for _, call := range calls {
 		for _, put := range call.Request.Puts {
@@ -123,7 +123,7 @@
 				b.Partition = i / 10 // in the largest case ten each
 				want[testKeys.Block(fmt.Sprintf("c%d-%d", leaderRevision, i+1))] = string(storage.Encode(b))
 			}
-			if got := recorded(v.Calls); !maps.Equal(got, want) {
+			if got := writtenRecords(v.Calls); !maps.Equal(got, want) {
 				t.Errorf("recorded %v, want %v", got, want)
 			}
 		})
@@ -183,7 +183,7 @@
 			if !slices.Equal(call.Request.Compares, want) {
 				t.Errorf("guards %+v, want %+v", call.Request.Compares, want)
 			}
-			if got := recorded([]*storetest.Call{call})[testKeys.Block("c4-1")]; got != test.put {
+			if got := writtenRecords([]*storetest.Call{call})[testKeys.Block("c4-1")]; got != test.put {
 				t.Errorf("written %q, want %q", got, test.put)
 			}
 			if got := len(call.Request.Deletes) == 1; got != (test.put == "") {
