--- a/internal/coordination/clusterleader/scale_out_test.go
+++ b/internal/coordination/clusterleader/scale_out_test.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// sendOne plays a round until its request is with the cloud.
-func sendOne(t *testing.T, v *fakeView, s *scaleOut) cloudCall {
+// sendFirstRequest plays a round until its request is with the cloud.
+func sendFirstRequest(t *testing.T, v *fakeView, s *scaleOut) cloudCall {
 	t.Helper()
 	s.tick()
 	call := v.Take(t, storage.Txn)
@@ -175,7 +175,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			v, s := newTestScaleOut(t)
-			request := sendOne(t, v, s)
+			request := sendFirstRequest(t, v, s)
 			v.put(t, testKeys.Block("other"), block(0, "adopted"))
 			request.reply(&messages.CloudReply{Outcome: test.outcome, Names: test.granted})
 			call := v.Take(t, storage.Txn)
@@ -206,7 +206,7 @@
 func TestScaleOutSendsARequestAgain(t *testing.T) {
 	t.Run("that the cloud did not answer", func(t *testing.T) {
 		v, s := newTestScaleOut(t)
-		request := sendOne(t, v, s)
+		request := sendFirstRequest(t, v, s)
 		v.put(t, testKeys.Block("c4-1"), openBlock(1))
 		s.tick()
 		v.requireNoCloudCall(t) // it is in flight
@@ -220,7 +220,7 @@
 	})
 	t.Run("whose block was not written", func(t *testing.T) {
 		v, s := newTestScaleOut(t)
-		request := sendOne(t, v, s)
+		request := sendFirstRequest(t, v, s)
 		v.put(t, testKeys.Block("c4-1"), openBlock(1))
 		v.OverBudget = true
 		request.reply(&messages.CloudReply{Outcome: messages.CloudOK, Names: []string{"x"}})
