--- a/internal/coordination/clusterleader/leader_test.go
+++ b/internal/coordination/clusterleader/leader_test.go
@@ -33,12 +33,12 @@
 	l.assignment.inFlight, l.termination.inFlight, l.listing.inFlight = true, true, true
 	l.archiver.inFlight, l.formatUpgrade.inFlight = true, true
 	l.scaling.pending.Started("c1-1", testKind)
-	l.adoption.name = "a1-1"
+	l.adoption.pendingBlock = "a1-1"
 	l.Begin(7)
 	if l.Revision() != 7 || l.acquiredAt != v.Time || l.nameCounter != 0 || l.scaling.provisionedRevision != 8 {
 		t.Errorf("term %+v, provisioned at %d", *l.leaderTerm, l.scaling.provisionedRevision)
 	}
-	if l.terminated.Contains("m") || l.scaling.pending.InFlight() > 0 || l.adoption.name != "" {
+	if l.terminated.Contains("m") || l.scaling.pending.InFlight() > 0 || l.adoption.pendingBlock != "" {
 		t.Error("something of an earlier term is left")
 	}
 	if l.assignment.inFlight || l.termination.inFlight || l.listing.inFlight || l.archiver.inFlight ||
--- a/internal/coordination/clusterleader/orphans.go
+++ b/internal/coordination/clusterleader/orphans.go
@@ -42,9 +42,9 @@
 	terminated *provisioning.TerminatedInstances
 	scaling    *scaleOut
 
-	orphans map[string]orphan
-	nextAt  micros.Time
-	name    string // of a block whose write was not answered
+	orphans      map[string]orphan
+	nextAt       micros.Time
+	pendingBlock string // of a block whose write was not answered
 }
 
 func newOrphanAdoption(view adoptionView, keys storage.Keys, term *leaderTerm,
@@ -52,7 +52,7 @@
 	return &orphanAdoption{view: view, keys: keys, term: term, terminated: terminated, scaling: scaling}
 }
 
-func (a *orphanAdoption) begin() { a.orphans, a.name = map[string]orphan{}, "" }
+func (a *orphanAdoption) begin() { a.orphans, a.pendingBlock = map[string]orphan{}, "" }
 
 // add notes a machine that is to be assigned to the partition that lacks most. It has had no
 // task: only machines of a block get any, and they leave it only when they are gone.
@@ -112,20 +112,20 @@
 // own name until that is known to be taken: else both may be carried out, and a machine come
 // into two blocks.
 func (a *orphanAdoption) adopt(block storage.BlockRecord) {
-	if a.name == "" {
-		a.name = a.term.uniqueName("a")
+	if a.pendingBlock == "" {
+		a.pendingBlock = a.term.uniqueName("a")
 	}
 	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{
-		a.view.LeaderCompare(), {Key: a.keys.Block(a.name)},
+		a.view.LeaderCompare(), {Key: a.keys.Block(a.pendingBlock)},
 	}}
-	a.view.PutBlock(r, a.name, block)
+	a.view.PutBlock(r, a.pendingBlock, block)
 	a.nextAt = a.view.Now() + adoptionTimeout
 	a.view.Log(messages.LevelInfo, "unmanaged instances adopted", "instance_type", block.InstanceType,
 		"zone", block.Zone, "spot", block.Spot, "count", len(block.Machines), "partition", block.Partition)
 	if !a.view.CallStore(r, storage.Urgent, storeTimeout, func(reply *storage.Reply) {
 		a.nextAt = a.view.Now() + adoptionInterval
 		if reply.Outcome == storage.OK || reply.Outcome == storage.Conflict {
-			a.name = ""
+			a.pendingBlock = ""
 			a.scaling.provisioned(reply.Revision)
 		}
 	}) {
