--- a/internal/coordination/clusterleader/archiver.go
+++ b/internal/coordination/clusterleader/archiver.go
@@ -49,7 +49,7 @@
 	now, cache := a.view.Now(), a.view.Cache()
 	settled := 2*micros.FromSeconds(a.config.Settings.Workers.CancelS) + a.config.AgentLeaseExpiry()
 	a.revisions.observe(now, cache.Revision, settled)
-	revision, ok := a.revisions.settled(now, settled)
+	revision, ok := a.revisions.revisionOlderThan(now, settled)
 	if !ok || a.inFlight || now < a.nextRunAt || !a.view.StoreReachable() {
 		return
 	}
--- a/internal/coordination/clusterleader/revision_history.go
+++ b/internal/coordination/clusterleader/revision_history.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// settled is a revision that is older than an age; false if none is known to be.
-func (h *revisionHistory) settled(now, age micros.Time) (uint64, bool) {
+// revisionOlderThan is a revision that is older than an age; false if none is known to be.
+func (h *revisionHistory) revisionOlderThan(now, age micros.Time) (uint64, bool) {
 	if len(h.observed) == 0 || now-h.observed[0].at <= age {
 		return 0, false
 	}
--- a/internal/coordination/clusterleader/revision_history_test.go
+++ b/internal/coordination/clusterleader/revision_history_test.go
@@ -33,7 +33,7 @@
 			for _, o := range test.observed {
 				history.observe(o.at, o.revision, age)
 			}
-			if got, ok := history.settled(test.now, age); got != test.want || ok != test.ok {
+			if got, ok := history.revisionOlderThan(test.now, age); got != test.want || ok != test.ok {
 				t.Errorf("settled = %d, %v, want %d, %v", got, ok, test.want, test.ok)
 			}
 		})
