--- a/internal/coordination/clusterleader/archiver.go
+++ b/internal/coordination/clusterleader/archiver.go
@@ -57,7 +57,7 @@
 		return
 	}
 	a.nextRunAt = now + archiveInterval
-	if r := a.request(a.oldestTerminal(), revision); len(r.Puts) > 0 {
+	if r := a.request(a.jobsToArchive(), revision); len(r.Puts) > 0 {
 		a.send(r, func() {
 			writes := float64(r.Writes()) * archiveWriteDivisor
 			pause := micros.FromSeconds(writes / a.config.Settings.StateLimits().WriteRPS)
@@ -89,9 +89,9 @@
 	})
 }
 
-// oldestTerminal are the records of jobs that are over, the oldest first, as many as are too
+// jobsToArchive are the records of jobs that are over, the oldest first, as many as are too
 // many and one transaction can move.
-func (a *archiver) oldestTerminal() []*storage.JobEntry {
+func (a *archiver) jobsToArchive() []*storage.JobEntry {
 	cache := a.view.Cache()
 	var terminal []*storage.JobEntry
 	for id, e := range cache.Jobs {
