--- a/internal/coordination/clusterleader/archiver.go
+++ b/internal/coordination/clusterleader/archiver.go
@@ -57,7 +57,7 @@
 		return
 	}
 	a.nextRunAt = now + archiveInterval
-	if r := a.request(a.jobsToArchive(), revision); len(r.Puts) > 0 {
+	if r := a.archiveRequest(a.jobsToArchive(), revision); len(r.Puts) > 0 {
 		a.send(r, func() {
 			writes := float64(r.Writes()) * archiveWriteDivisor
 			pause := micros.FromSeconds(writes / a.config.Settings.StateLimits().WriteRPS)
@@ -112,8 +112,8 @@
 	return terminal[:count]
 }
 
-// request moves those records, ordered by revision, that are not newer than a revision.
-func (a *archiver) request(entries []*storage.JobEntry, revision uint64) *storage.Request {
+// archiveRequest moves those records, ordered by revision, that are not newer than a revision.
+func (a *archiver) archiveRequest(entries []*storage.JobEntry, revision uint64) *storage.Request {
 	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{a.view.LeaderCompare()}}
 	for _, e := range entries {
 		if e.ModRevision > revision {
