--- a/internal/coordination/clusterleader/archiver.go
+++ b/internal/coordination/clusterleader/archiver.go
@@ -58,7 +58,7 @@
 	}
 	a.nextRunAt = now + archiveInterval
 	if r := a.archiveRequest(a.jobsToArchive(), revision); len(r.Puts) > 0 {
-		a.send(r, func() {
+		a.sendTransaction(r, func() {
 			writes := float64(r.Writes()) * archiveWriteDivisor
 			pause := micros.FromSeconds(writes / a.config.Settings.StateLimits().WriteRPS)
 			a.nextRunAt = a.view.Now() + max(archiveInterval, pause)
@@ -77,12 +77,12 @@
 	r := &storage.Request{
 		Kind: storage.Txn, Compares: []storage.Compare{a.view.LeaderCompare()}, Deletes: orphaned,
 	}
-	a.send(r, func() {})
+	a.sendTransaction(r, func() {})
 	return true
 }
 
-// send sends a transaction, and calls then when it is answered.
-func (a *archiver) send(r *storage.Request, then func()) {
+// sendTransaction sends a transaction, and calls then when it is answered.
+func (a *archiver) sendTransaction(r *storage.Request, then func()) {
 	a.inFlight = a.view.CallStore(r, storage.Deferrable, storeTimeout, func(*storage.Reply) {
 		a.inFlight = false
 		then()
