--- a/internal/coordination/clusterleader/instance_termination.go
+++ b/internal/coordination/clusterleader/instance_termination.go
@@ -76,7 +76,7 @@
 	t.inFlight = true
 	revision := t.term.revision
 	call := messages.CloudCall{Operation: messages.CloudTerminate, Names: names, Timeout: terminateCallTimeout}
-	t.view.CallCloud(call, func(r *messages.CloudReply) { t.completed(names, revision, r) })
+	t.view.CallCloud(call, func(r *messages.CloudReply) { t.handleReply(names, revision, r) })
 }
 
 // nextBatch are the instances to terminate with one call.
@@ -101,8 +101,8 @@
 	return names
 }
 
-// completed takes the cloud's answer to a call that was sent in a term.
-func (t *instanceTermination) completed(names []string, revision uint64, r *messages.CloudReply) {
+// handleReply takes the cloud's answer to a call that was sent in a term.
+func (t *instanceTermination) handleReply(names []string, revision uint64, r *messages.CloudReply) {
 	t.inFlight = false
 	t.retryAt = t.view.Now() + terminationInterval
 	if r.Outcome != messages.CloudOK {
