--- a/internal/coordination/clusterleader/instance_termination.go
+++ b/internal/coordination/clusterleader/instance_termination.go
@@ -110,7 +110,7 @@
 		return
 	}
 	for _, name := range names {
-		t.confirm(name)
+		t.markTerminated(name)
 	}
 	if t.term.revision == revision {
 		t.pruning.tick()
@@ -118,8 +118,8 @@
 	t.view.SendStatusSoon()
 }
 
-// confirm notes proof that an instance is gone.
-func (t *instanceTermination) confirm(name string) {
+// markTerminated notes proof that an instance is gone.
+func (t *instanceTermination) markTerminated(name string) {
 	t.terminated.Confirm(name, t.view.Now())
 	if machine, ok := t.view.Cache().Machines[name]; ok {
 		t.capacity.Terminated(instanceKindOf(machine.Value))
