--- a/internal/coordination/clusterleader/orphans.go
+++ b/internal/coordination/clusterleader/orphans.go
@@ -75,15 +75,15 @@
 	if a.view.Cache().Revision < a.scaling.provisionedRevision {
 		return // an instance request may have become a block that is not seen yet
 	}
-	blocks := a.blocks()
+	blocks := a.groupIntoBlocks()
 	if kinds := slices.SortedFunc(maps.Keys(blocks), provisioning.InstanceKind.Compare); len(kinds) > 0 {
 		a.adopt(blocks[kinds[0]])
 	}
 }
 
-// blocks are those that the orphans may be written into, by kind. Those that are recorded by now,
+// groupIntoBlocks are those that the orphans may be written into, by kind. Those that are recorded by now,
 // or gone, are forgotten.
-func (a *orphanAdoption) blocks() map[provisioning.InstanceKind]storage.BlockRecord {
+func (a *orphanAdoption) groupIntoBlocks() map[provisioning.InstanceKind]storage.BlockRecord {
 	blocks := map[provisioning.InstanceKind]storage.BlockRecord{}
 	for _, name := range sortedKeys(a.orphans) {
 		orphan := a.orphans[name]
