--- a/internal/coordination/clusterleader/orphans.go
+++ b/internal/coordination/clusterleader/orphans.go
@@ -97,7 +97,7 @@
 		block, ok := blocks[orphan.InstanceKind]
 		if !ok {
 			block = storage.BlockRecord{
-				Partition:    a.partitionLackingMost(),
+				Partition:    a.partitionWithMostDemand(),
 				InstanceType: orphan.InstanceType, Zone: orphan.Zone, Spot: orphan.Spot,
 			}
 		}
@@ -133,8 +133,8 @@
 	}
 }
 
-// partitionLackingMost is the partition that lacks capacity for the most tasks.
-func (a *orphanAdoption) partitionLackingMost() int {
+// partitionWithMostDemand is the partition that lacks capacity for the most tasks.
+func (a *orphanAdoption) partitionWithMostDemand() int {
 	partition, most := 0, -1
 	for _, status := range a.view.PartitionStatuses() {
 		tasks := 0
