--- a/internal/coordination/clusterleader/partition_assignment.go
+++ b/internal/coordination/clusterleader/partition_assignment.go
@@ -63,7 +63,7 @@
 	if a.inFlight || a.view.Now() < a.nextAt {
 		return
 	}
-	avoid := func(p storage.Process) bool { return a.unheard(p) || a.isolated(p) }
+	avoid := func(p storage.Process) bool { return a.unresponsive(p) || a.isolated(p) }
 	assignments := leadership.Assign(
 		a.view.Cache(), a.view.PartitionCount(), a.process, avoid, a.view.ReachableMachines)
 	if len(assignments) == 0 {
@@ -101,9 +101,9 @@
 	return nil
 }
 
-// unheard tells whether the process has not been heard from for long. At the beginning of a
+// unresponsive tells whether the process has not been heard from for long. At the beginning of a
 // term nobody counts as that yet.
-func (a *partitionAssignment) unheard(p storage.Process) bool {
+func (a *partitionAssignment) unresponsive(p storage.Process) bool {
 	now, peer := a.view.Now(), a.peer(p)
 	heard := peer != nil && now-peer.ReceivedAt < unheardTimeout
 	return !heard && now-a.term.acquiredAt > unheardTimeout
