--- a/internal/coordination/clusterleader/partition_assignment.go
+++ b/internal/coordination/clusterleader/partition_assignment.go
@@ -13,9 +13,9 @@
 	// assignmentInterval is how long after an assignment the next may be written: until then
 	// the change stream has brought it.
 	assignmentInterval = 300 * micros.Millisecond
-	// unheardTimeout is how long a member that is registered, but that the cluster leader does
+	// unresponsiveTimeout is how long a member that is registered, but that the cluster leader does
 	// not hear, keeps its partitions.
-	unheardTimeout = 6 * micros.Second
+	unresponsiveTimeout = 6 * micros.Second
 	// isolationPenalty is how long a controller that could not hear its machines is given no
 	// partition.
 	isolationPenalty = 30 * micros.Second
@@ -105,8 +105,8 @@
 // term nobody counts as that yet.
 func (a *partitionAssignment) unresponsive(p storage.Process) bool {
 	now, peer := a.view.Now(), a.peer(p)
-	heard := peer != nil && now-peer.ReceivedAt < unheardTimeout
-	return !heard && now-a.term.acquiredAt > unheardTimeout
+	heard := peer != nil && now-peer.ReceivedAt < unresponsiveTimeout
+	return !heard && now-a.term.acquiredAt > unresponsiveTimeout
 }
 
 // isolated tells whether a partition leader has lost machines, but not the store, while
--- a/internal/coordination/clusterleader/partition_assignment_test.go
+++ b/internal/coordination/clusterleader/partition_assignment_test.go
@@ -49,16 +49,16 @@
 	{"a leader that is heard and reaches its machines", func(*fakeView, *partitionAssignment) {}, storage.Process{}},
 	{"a leader that is not registered",
 		func(v *fakeView, _ *partitionAssignment) { delete(v.cache.Members, "n1") }, n2},
-	{"a leader that was just heard", func(v *fakeView, _ *partitionAssignment) { v.Time += unheardTimeout - 1 },
+	{"a leader that was just heard", func(v *fakeView, _ *partitionAssignment) { v.Time += unresponsiveTimeout - 1 },
 		storage.Process{}},
 	{"a leader that is not heard", func(v *fakeView, a *partitionAssignment) {
-		v.Time += unheardTimeout
+		v.Time += unresponsiveTimeout
 		a.peers.Receive(v.Time, status(n2))
 	}, n2},
 	{"a leader that is not heard, at the beginning of a term", func(v *fakeView, a *partitionAssignment) {
-		v.Time += unheardTimeout
+		v.Time += unresponsiveTimeout
 		a.peers.Receive(v.Time, status(n2))
-		a.term.acquiredAt = v.Time - unheardTimeout
+		a.term.acquiredAt = v.Time - unresponsiveTimeout
 	}, storage.Process{}},
 	{"a leader of whose member another run is heard", func(v *fakeView, a *partitionAssignment) {
 		a.peers.Receive(v.Time, status(storage.Process{Member: "n1", Incarnation: "0"}))
