--- a/internal/coordination/clusterleader/partition_assignment.go
+++ b/internal/coordination/clusterleader/partition_assignment.go
@@ -93,8 +93,8 @@
 	return r
 }
 
-// peer is what a process last said; nil if it said nothing, or another run of its member did since.
-func (a *partitionAssignment) peer(p storage.Process) *membership.Peer {
+// currentPeer is what a process last said; nil if it said nothing, or another run of its member did since.
+func (a *partitionAssignment) currentPeer(p storage.Process) *membership.Peer {
 	if peer := a.peers.Latest(p.Member); peer != nil && peer.Status.From == p {
 		return peer
 	}
@@ -104,7 +104,7 @@
 // unresponsive tells whether the process has not been heard from for long. At the beginning of a
 // term nobody counts as that yet.
 func (a *partitionAssignment) unresponsive(p storage.Process) bool {
-	now, peer := a.view.Now(), a.peer(p)
+	now, peer := a.view.Now(), a.currentPeer(p)
 	heard := peer != nil && now-peer.ReceivedAt < unresponsiveTimeout
 	return !heard && now-a.term.acquiredAt > unresponsiveTimeout
 }
@@ -118,7 +118,7 @@
 	if at, ok := a.isolatedAt[p]; ok && now-at < isolationPenalty {
 		return true
 	}
-	peer := a.peer(p)
+	peer := a.currentPeer(p)
 	if peer == nil || now-peer.ReceivedAt > statusLifetime {
 		return false
 	}
