--- a/internal/coordination/clusterleader/partition_assignment.go
+++ b/internal/coordination/clusterleader/partition_assignment.go
@@ -63,9 +63,9 @@
 	if a.inFlight || a.view.Now() < a.nextAt {
 		return
 	}
-	avoid := func(p storage.Process) bool { return a.unresponsive(p) || a.isolated(p) }
+	ineligible := func(p storage.Process) bool { return a.unresponsive(p) || a.isolated(p) }
 	assignments := leadership.Assign(
-		a.view.Cache(), a.view.PartitionCount(), a.process, avoid, a.view.ReachableMachines)
+		a.view.Cache(), a.view.PartitionCount(), a.process, ineligible, a.view.ReachableMachines)
 	if len(assignments) == 0 {
 		return
 	}
