--- a/internal/coordination/clusterleader/partition_assignment.go
+++ b/internal/coordination/clusterleader/partition_assignment.go
@@ -127,7 +127,7 @@
 			continue
 		}
 		reachable, byPeer := a.view.ReachableMachines(p, status.Partition), a.reachableByPeers(p, status.Partition)
-		if byPeer < reachable+a.minGain(status.Partition) {
+		if byPeer < reachable+a.minReassignmentGain(status.Partition) {
 			continue
 		}
 		a.view.Log(messages.LevelInfo, "partition leader isolated from machines", "leader", p.Member,
@@ -152,8 +152,8 @@
 	return most
 }
 
-// minGain is how many more machines a controller has to reach to be given the partition.
-func (a *partitionAssignment) minGain(partition int) int {
+// minReassignmentGain is how many more machines a controller has to reach to be given the partition.
+func (a *partitionAssignment) minReassignmentGain(partition int) int {
 	machines := 0
 	for _, inZone := range a.view.MachinesInUse(partition) {
 		machines += inZone
