--- a/internal/coordination/clusterleader/scale_out.go
+++ b/internal/coordination/clusterleader/scale_out.go
@@ -86,7 +86,7 @@
 	})
 	maxInstances := s.maxRound() / max(1, len(statuses))
 	for i := range statuses {
-		s.serve(&statuses[i], maxInstances)
+		s.requestInstances(&statuses[i], maxInstances)
 	}
 	s.nextAt = now + scaleOutInterval
 }
@@ -109,8 +109,8 @@
 	return max(minScaleOutRound, len(s.view.Cache().Machines)/scaleOutDivisor)
 }
 
-// serve requests instances for what one partition lacks.
-func (s *scaleOut) serve(status *messages.PartitionStatus, maxInstances int) {
+// requestInstances requests instances for what one partition lacks.
+func (s *scaleOut) requestInstances(status *messages.PartitionStatus, maxInstances int) {
 	requests := servicesFirst(status.CapacityRequests)
 	for i := range requests {
 		r := &requests[i]
