--- a/internal/coordination/clusterleader/scale_out.go
+++ b/internal/coordination/clusterleader/scale_out.go
@@ -84,7 +84,7 @@
 	slices.SortStableFunc(statuses, func(a, b messages.PartitionStatus) int {
 		return cmp.Compare(a.Partition, b.Partition)
 	})
-	maxInstances := s.maxRound() / max(1, len(statuses))
+	maxInstances := s.maxInstancesPerRound() / max(1, len(statuses))
 	for i := range statuses {
 		s.requestInstances(&statuses[i], maxInstances)
 	}
@@ -104,8 +104,8 @@
 	return false
 }
 
-// maxRound is how many instances are requested in one round.
-func (s *scaleOut) maxRound() int {
+// maxInstancesPerRound is how many instances are requested in one round.
+func (s *scaleOut) maxInstancesPerRound() int {
 	return max(minScaleOutRound, len(s.view.Cache().Machines)/scaleOutDivisor)
 }
 
