--- a/internal/coordination/clusterleader/scale_out.go
+++ b/internal/coordination/clusterleader/scale_out.go
@@ -22,8 +22,8 @@
 	// minInstancesPerRound and scaleOutDivisor bound the instances requested in one round: a part of
 	// the machines there are, so that a large fleet grows as quickly as a small one, and the
 	// capacity requests are looked at again before it doubles.
-	minInstancesPerRound = 200
-	scaleOutDivisor      = 10
+	minInstancesPerRound     = 200
+	instancesPerRoundDivisor = 10
 	// maxZoneProbes is how many instances of each kind are requested in a zone that is not
 	// reached, to find out when it is again. More would boot, and cost, without being reached.
 	maxZoneProbes = 1
@@ -106,7 +106,7 @@
 
 // maxInstancesPerRound is how many instances are requested in one round.
 func (s *scaleOut) maxInstancesPerRound() int {
-	return max(minInstancesPerRound, len(s.view.Cache().Machines)/scaleOutDivisor)
+	return max(minInstancesPerRound, len(s.view.Cache().Machines)/instancesPerRoundDivisor)
 }
 
 // requestInstances requests instances for what one partition lacks.
