--- a/internal/coordination/clusterleader/instance_requests.go
+++ b/internal/coordination/clusterleader/instance_requests.go
@@ -50,7 +50,7 @@
 	if s.view.CallStore(r, storage.Urgent, storeTimeout, func(reply *storage.Reply) {
 		s.pending.Finished(name)
 		if reply.Outcome == storage.OK {
-			s.provisioned(reply.Revision)
+			s.advanceProvisionedRevision(reply.Revision)
 			s.sendRequest(name, block, reply.Revision)
 		}
 	}) {
@@ -119,7 +119,7 @@
 	if !s.view.CallStore(r, storage.Urgent, storeTimeout, func(reply *storage.Reply) {
 		finish()
 		if reply.Outcome == storage.OK {
-			s.provisioned(reply.Revision)
+			s.advanceProvisionedRevision(reply.Revision)
 		}
 	}) {
 		finish()
--- a/internal/coordination/clusterleader/orphans.go
+++ b/internal/coordination/clusterleader/orphans.go
@@ -126,7 +126,7 @@
 		a.nextAt = a.view.Now() + adoptionInterval
 		if reply.Outcome == storage.OK || reply.Outcome == storage.Conflict {
 			a.pendingBlock = ""
-			a.scaling.provisioned(reply.Revision)
+			a.scaling.advanceProvisionedRevision(reply.Revision)
 		}
 	}) {
 		a.nextAt = a.view.Now() + adoptionInterval
--- a/internal/coordination/clusterleader/orphans_test.go
+++ b/internal/coordination/clusterleader/orphans_test.go
@@ -88,7 +88,9 @@
 		v.put(t, testKeys.Block("c1-1"), other)
 	}, adopted(0, "x", "y"), []string{"x", "y"}},
 	{"none while a request may have become a block that is not seen yet",
-		func(_ *testing.T, v *fakeView, a *orphanAdoption) { a.scaling.provisioned(v.cache.Revision + 1) },
+		func(_ *testing.T, v *fakeView, a *orphanAdoption) {
+			a.scaling.advanceProvisionedRevision(v.cache.Revision + 1)
+		},
 		nil, []string{"x", "y"}},
 	{"none before its time", func(_ *testing.T, v *fakeView, a *orphanAdoption) { a.nextAt = v.Time + 1 },
 		nil, []string{"x", "y"}},
--- a/internal/coordination/clusterleader/scale_out.go
+++ b/internal/coordination/clusterleader/scale_out.go
@@ -67,8 +67,8 @@
 	s.provisionedRevision = s.view.Cache().Revision
 }
 
-// provisioned notes the revision at which blocks were written.
-func (s *scaleOut) provisioned(revision uint64) {
+// advanceProvisionedRevision notes the revision at which blocks were written.
+func (s *scaleOut) advanceProvisionedRevision(revision uint64) {
 	s.provisionedRevision = max(s.provisionedRevision, revision)
 }
 
--- a/internal/coordination/clusterleader/scale_out_test.go
+++ b/internal/coordination/clusterleader/scale_out_test.go
@@ -79,15 +79,15 @@
 	{"nothing while a request is being written",
 		func(_ *testing.T, _ *fakeView, s *scaleOut) { s.pending.Started("c1-1", testKind) }, nil},
 	{"nothing on statuses from before the last round", func(_ *testing.T, v *fakeView, s *scaleOut) {
-		s.provisioned(7)
+		s.advanceProvisionedRevision(7)
 		s.peers.Receive(v.Time, status(n1, "z"))
 	}, nil},
 	{"whatever a peer says that leads no partition", func(_ *testing.T, v *fakeView, s *scaleOut) {
-		s.provisioned(7)
+		s.advanceProvisionedRevision(7)
 		s.peers.Receive(v.Time, status(n1))
 	}, []int{1}},
 	{"whatever a peer said long ago", func(_ *testing.T, v *fakeView, s *scaleOut) {
-		s.provisioned(7)
+		s.advanceProvisionedRevision(7)
 		s.peers.Receive(v.Time-statusLifetime-1, status(n1, "z"))
 	}, []int{1}},
 	{"nothing of an exhausted kind",
