--- a/internal/coordination/clusterleader/instance_requests.go
+++ b/internal/coordination/clusterleader/instance_requests.go
@@ -72,7 +72,7 @@
 		s.pending.Finished(name)
 		switch r.Outcome {
 		case messages.CloudOK, messages.CloudInsufficientCapacity:
-			s.granted(name, block, len(r.Names))
+			s.recordGrant(name, block, len(r.Names))
 			s.closeRequest(name, block, revision, r.Names)
 		case messages.CloudRejected, messages.CloudOutcomeUnknown:
 			s.pending.RetryAt(name, s.view.Now()+instanceRequestRetryInterval)
@@ -80,8 +80,8 @@
 	})
 }
 
-// granted notes how many instances the cloud had of those requested.
-func (s *scaleOut) granted(name string, block storage.BlockRecord, granted int) {
+// recordGrant notes how many instances the cloud had of those requested.
+func (s *scaleOut) recordGrant(name string, block storage.BlockRecord, granted int) {
 	kind := instanceKindOfBlock(block)
 	if granted < block.Requested {
 		s.capacity.Exhausted(kind, s.view.Now())
