--- a/internal/coordination/clusterleader/instance_requests.go
+++ b/internal/coordination/clusterleader/instance_requests.go
@@ -34,9 +34,9 @@
 	return open
 }
 
-// recordRequest writes a request down before it is sent, as a block without machines, so
+// persistRequest writes a request down before it is sent, as a block without machines, so
 // that a successor neither loses it nor requests for the same need twice.
-func (s *scaleOut) recordRequest(partition int, request provisioning.InstanceRequest) {
+func (s *scaleOut) persistRequest(partition int, request provisioning.InstanceRequest) {
 	name := s.term.uniqueName("c")
 	block := storage.BlockRecord{
 		Partition: partition, InstanceType: request.InstanceType, Zone: request.Zone, Spot: request.Spot,
--- a/internal/coordination/clusterleader/scale_out.go
+++ b/internal/coordination/clusterleader/scale_out.go
@@ -122,7 +122,7 @@
 		for r.Count > 0 && s.limiter.Allow(s.view.Now(), s.config.Settings.Cloud.RPS) {
 			part := r
 			part.Count = min(r.Count, s.view.MaxBlockMachines())
-			s.recordRequest(status.Partition, part)
+			s.persistRequest(status.Partition, part)
 			r.Count -= part.Count
 		}
 	}
