--- a/internal/coordination/clusterleader/machine_transfers.go
+++ b/internal/coordination/clusterleader/machine_transfers.go
@@ -38,13 +38,13 @@
 	t.nextAt = t.view.Now() + transferInterval
 	statuses := t.view.PartitionStatuses()
 	for i := range statuses {
-		needy := &statuses[i]
-		if len(needy.CapacityRequests) == 0 {
+		recipient := &statuses[i]
+		if len(recipient.CapacityRequests) == 0 {
 			continue
 		}
 		for j := range statuses {
-			if machine, ok := t.idleMachine(&statuses[j], needy); ok {
-				t.request(statuses[j].Partition, messages.MachineTransfer{Machine: machine, ToPartition: needy.Partition})
+			if machine, ok := t.idleMachine(&statuses[j], recipient); ok {
+				t.request(statuses[j].Partition, messages.MachineTransfer{Machine: machine, ToPartition: recipient.Partition})
 				return
 			}
 		}
