--- a/internal/coordination/clusterleader/archiver.go
+++ b/internal/coordination/clusterleader/archiver.go
@@ -40,7 +40,7 @@
 	return &archiver{view: view, config: cfg, keys: keys}
 }
 
-func (a *archiver) begin() { a.nextRunAt, a.inFlight, a.revisions = 0, false, revisionHistory{} }
+func (a *archiver) startTerm() { a.nextRunAt, a.inFlight, a.revisions = 0, false, revisionHistory{} }
 
 // tick moves the jobs that were over first, as long as there are more than are to be kept. None
 // is moved before everything of it is surely off the machines: until then its team's limit
--- a/internal/coordination/clusterleader/archiver_test.go
+++ b/internal/coordination/clusterleader/archiver_test.go
@@ -91,11 +91,11 @@
 		{"while the store cannot be reached",
 			func(_ *testing.T, v *fakeView, _ *archiver) { v.unreachable = true }},
 		{"before its time", func(_ *testing.T, v *fakeView, a *archiver) { a.nextRunAt = v.Time + 1 }},
-		{"before a term is old enough", func(_ *testing.T, _ *fakeView, a *archiver) { a.begin() }},
+		{"before a term is old enough", func(_ *testing.T, _ *fakeView, a *archiver) { a.startTerm() }},
 		{"while there are few jobs", func(_ *testing.T, _ *fakeView, a *archiver) { a.config.Settings.State.RPS = 0.009 }},
 		{"while all that are too many are newer than what is settled",
 			func(_ *testing.T, v *fakeView, a *archiver) {
-				a.begin()
+				a.startTerm()
 				a.revisions.observe(v.Time-300*micros.Second, 10, 300*micros.Second)
 			}},
 		{"while active jobs depend on the jobs that are over",
--- a/internal/coordination/clusterleader/block_pruning.go
+++ b/internal/coordination/clusterleader/block_pruning.go
@@ -32,7 +32,7 @@
 	return &blockPruning{view: view, keys: keys, terminated: terminated}
 }
 
-func (p *blockPruning) begin() { p.writeAfter = map[string]micros.Time{} }
+func (p *blockPruning) startTerm() { p.writeAfter = map[string]micros.Time{} }
 
 // tick writes the records of the blocks that have machines which are gone, as far as the
 // request budget allows.
--- a/internal/coordination/clusterleader/block_pruning_test.go
+++ b/internal/coordination/clusterleader/block_pruning_test.go
@@ -16,7 +16,7 @@
 	open.Requested = 3
 	v := newFakeView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2"), "b": block(0, "b1"), "r": open})
 	p := newBlockPruning(v, testKeys, provisioning.NewTerminatedInstances())
-	p.begin()
+	p.startTerm()
 	for _, machine := range gone {
 		p.terminated.Confirm(machine, v.Time)
 	}
--- a/internal/coordination/clusterleader/format_upgrade.go
+++ b/internal/coordination/clusterleader/format_upgrade.go
@@ -28,7 +28,7 @@
 	return &formatUpgrade{view: view, keys: keys, members: members}
 }
 
-func (u *formatUpgrade) begin() { u.inFlight = false }
+func (u *formatUpgrade) startTerm() { u.inFlight = false }
 
 // tick writes the format once every configured member was registered with a version that reads
 // it: until then an older one may still become partition leader, and would start a job without
--- a/internal/coordination/clusterleader/instance_listing.go
+++ b/internal/coordination/clusterleader/instance_listing.go
@@ -64,7 +64,7 @@
 		adoption: adoption, absent: provisioning.NewAbsentInstances()}
 }
 
-func (l *instanceListing) begin() {
+func (l *instanceListing) startTerm() {
 	l.inFlight = false
 	l.absent.Reset()
 }
--- a/internal/coordination/clusterleader/instance_listing_test.go
+++ b/internal/coordination/clusterleader/instance_listing_test.go
@@ -23,9 +23,9 @@
 	scaling := newScaleOut(v, cfg, testKeys, newTestPeers(0), term)
 	adoption := newOrphanAdoption(v, testKeys, term, terminated, scaling)
 	listing := newInstanceListing(v, cfg, term, terminated, termination, adoption)
-	termination.begin()
-	adoption.begin()
-	listing.begin()
+	termination.startTerm()
+	adoption.startTerm()
+	listing.startTerm()
 	return v, listing
 }
 
--- a/internal/coordination/clusterleader/instance_termination.go
+++ b/internal/coordination/clusterleader/instance_termination.go
@@ -50,7 +50,7 @@
 	return &instanceTermination{view: view, term: term, terminated: terminated, capacity: capacity, pruning: pruning}
 }
 
-func (t *instanceTermination) begin() { t.requested, t.inFlight = map[string]bool{}, false }
+func (t *instanceTermination) startTerm() { t.requested, t.inFlight = map[string]bool{}, false }
 
 // request terminates an instance whatever its partition's leader says; it returns false if
 // that was requested before.
--- a/internal/coordination/clusterleader/instance_termination_test.go
+++ b/internal/coordination/clusterleader/instance_termination_test.go
@@ -18,8 +18,8 @@
 	terminated := provisioning.NewTerminatedInstances()
 	pruning := newBlockPruning(v, testKeys, terminated)
 	termination := newInstanceTermination(v, newTestTerm(), terminated, provisioning.NewCapacityTracker(), pruning)
-	pruning.begin()
-	termination.begin()
+	pruning.startTerm()
+	termination.startTerm()
 	return v, termination
 }
 
--- a/internal/coordination/clusterleader/leader.go
+++ b/internal/coordination/clusterleader/leader.go
@@ -78,14 +78,14 @@
 	}
 	l.revision, l.acquiredAt, l.nameCounter = revision, l.view.Now(), 0
 	l.terminated.Reset()
-	l.assignment.begin()
-	l.scaling.begin()
-	l.termination.begin()
-	l.pruning.begin()
-	l.listing.begin()
-	l.adoption.begin()
-	l.archiver.begin()
-	l.formatUpgrade.begin()
+	l.assignment.startTerm()
+	l.scaling.startTerm()
+	l.termination.startTerm()
+	l.pruning.startTerm()
+	l.listing.startTerm()
+	l.adoption.startTerm()
+	l.archiver.startTerm()
+	l.formatUpgrade.startTerm()
 	l.view.Log(messages.LevelInfo, "cluster leadership acquired", "fencing_token", l.revision)
 }
 
--- a/internal/coordination/clusterleader/orphans.go
+++ b/internal/coordination/clusterleader/orphans.go
@@ -52,7 +52,7 @@
 	return &orphanAdoption{view: view, keys: keys, term: term, terminated: terminated, scaling: scaling}
 }
 
-func (a *orphanAdoption) begin() { a.orphans, a.pendingBlock = map[string]orphan{}, "" }
+func (a *orphanAdoption) startTerm() { a.orphans, a.pendingBlock = map[string]orphan{}, "" }
 
 // add notes a machine that is to be assigned to the partition that lacks most. It has had no
 // task: only machines of a block get any, and they leave it only when they are gone.
--- a/internal/coordination/clusterleader/orphans_test.go
+++ b/internal/coordination/clusterleader/orphans_test.go
@@ -18,7 +18,7 @@
 	term := newTestTerm()
 	scaling := newScaleOut(v, newTestConfig(t), testKeys, newTestPeers(0), term)
 	a := newOrphanAdoption(v, testKeys, term, provisioning.NewTerminatedInstances(), scaling)
-	a.begin()
+	a.startTerm()
 	return v, a
 }
 
--- a/internal/coordination/clusterleader/partition_assignment.go
+++ b/internal/coordination/clusterleader/partition_assignment.go
@@ -52,7 +52,7 @@
 	return &partitionAssignment{view: view, config: cfg, process: process, keys: keys, peers: peers, term: term}
 }
 
-func (a *partitionAssignment) begin() {
+func (a *partitionAssignment) startTerm() {
 	a.inFlight, a.isolatedAt = false, map[storage.Process]micros.Time{}
 }
 
--- a/internal/coordination/clusterleader/partition_assignment_test.go
+++ b/internal/coordination/clusterleader/partition_assignment_test.go
@@ -37,7 +37,7 @@
 	v.reachable = map[storage.Process]int{n1: 10, n2: 20}
 	peers := newTestPeers(v.Time, status(testProcess), status(n1), status(n2))
 	a := newPartitionAssignment(v, newTestConfig(t), testProcess, testKeys, peers, newTestTerm())
-	a.begin()
+	a.startTerm()
 	return v, a
 }
 
@@ -144,7 +144,7 @@
 	}
 	a.peers.Receive(v.Time, status(n1, "b"))
 	a.isolated(n1)
-	a.begin()
+	a.startTerm()
 	a.peers.Receive(v.Time, status(n1))
 	if a.isolated(n1) {
 		t.Error("the penalty outlasts the term")
--- a/internal/coordination/clusterleader/scale_out.go
+++ b/internal/coordination/clusterleader/scale_out.go
@@ -62,7 +62,7 @@
 		pending: provisioning.NewPendingRequests(), capacity: provisioning.NewCapacityTracker()}
 }
 
-func (s *scaleOut) begin() {
+func (s *scaleOut) startTerm() {
 	s.pending.Reset()
 	s.provisionedRevision = s.view.Cache().Revision
 }
--- a/internal/coordination/clusterleader/scale_out_test.go
+++ b/internal/coordination/clusterleader/scale_out_test.go
@@ -22,7 +22,7 @@
 	v.catalog = workload.Catalog{"m": {Name: "m", Zones: []string{"a"}, Capacity: workload.Resources{CPU: 2}, Price: 1}}
 	v.statuses = []messages.PartitionStatus{needing(0, 1)}
 	s := newScaleOut(v, newTestConfig(t), testKeys, newTestPeers(v.Time, status(testProcess)), newTestTerm())
-	s.begin()
+	s.startTerm()
 	return v, s
 }
 
