--- a/internal/coordination/clusterleader/leader.go
+++ b/internal/coordination/clusterleader/leader.go
@@ -1,6 +1,7 @@
-// Package clusterleader is what the cluster leader does besides leading partitions: it assigns
-// these and their machines, and it alone requests and terminates instances. Each duty is a type
-// in a file of its own, which begins anew with each term of leadership.
+// Package clusterleader implements what the elected cluster leader does besides leading partitions:
+// it assigns partitions and their machines, and it is the only process that requests and terminates
+// cloud instances. Each control loop is a type in its own file, and discards the operations in
+// progress at the start of each leadership term.
 package clusterleader
 
 import (
@@ -17,7 +18,7 @@
 	"pipitlatch/internal/storage"
 )
 
-// Leader does the duties of the cluster leader.
+// Leader runs the control loops of the cluster leader.
 type Leader struct {
 	view View
 	*leaderTerm
@@ -35,18 +36,18 @@
 
 // leaderTerm is one term of cluster leadership.
 type leaderTerm struct {
-	revision    uint64 // mod revision of the cluster leader's key under which it began
+	revision    uint64 // mod revision of the cluster leader's key; identifies the term
 	acquiredAt  micros.Time
 	nameCounter int // makes the names of instance requests and adopted blocks unique
 }
 
-// uniqueName is a name that no earlier term, and nothing else in this one, has used.
+// uniqueName returns a name that has not been used before, neither in this term nor in an earlier one.
 func (t *leaderTerm) uniqueName(prefix string) string {
 	t.nameCounter++
 	return fmt.Sprintf("%s%d-%d", prefix, t.revision, t.nameCounter)
 }
 
-// New returns the duties of a process that does not lead the cluster yet.
+// New returns the control loops of a process that has not become cluster leader yet.
 func New(view View, cfg *config.Config, process storage.Process, keys storage.Keys, peers *membership.Peers) *Leader {
 	term, terminated := &leaderTerm{}, provisioning.NewTerminatedInstances()
 	scaling := newScaleOut(view, cfg, keys, peers, term)
@@ -69,9 +70,9 @@
 	}
 }
 
-// Begin begins the term of leadership in which the cluster leader's key has a mod revision, unless
-// that has begun: all duties forget what was under way in an earlier one. What paces them, and
-// what is known of the cloud's capacity, they keep.
+// Begin starts the term identified by a mod revision of the cluster leader's key, unless it has
+// already started. All control loops discard the operations that were in progress in an earlier
+// term. They keep their rate limits and retry times, and what is known about the cloud's capacity.
 func (l *Leader) Begin(revision uint64) {
 	if l.revision == revision {
 		return
@@ -89,14 +90,14 @@
 	l.view.Log(messages.LevelInfo, "cluster leadership acquired", "fencing_token", l.revision)
 }
 
-// Revision is the mod revision of the cluster leader's key in the present or last term; 0: there
-// was none.
+// Revision returns the mod revision of the cluster leader's key in the current or most recent term,
+// or 0 if this process has not been cluster leader.
 func (l *Leader) Revision() uint64 { return l.revision }
 
-// AssignPartitions gives each partition a live leader.
+// AssignPartitions assigns a live leader to each partition that lacks one.
 func (l *Leader) AssignPartitions() { l.assignment.tick() }
 
-// Tick does the duties besides the assignment of partitions.
+// Tick runs all control loops except partition assignment.
 func (l *Leader) Tick() {
 	l.termination.tick()
 	l.listing.tick()
@@ -108,30 +109,30 @@
 	l.formatUpgrade.tick()
 }
 
-// RecentlyTerminated are the instances that peers are to be sent as gone.
+// RecentlyTerminated returns the terminated instances that status messages to peers report.
 func (l *Leader) RecentlyTerminated(now micros.Time) []string { return l.terminated.Recent(now) }
 
-// HeardFromUnmanaged takes a machine that sent a heartbeat and has no block. The heartbeat may be
-// a late copy from a machine that was terminated under an earlier cluster leader: as a machine
-// that had no task it holds up no planning, and as one that does not answer it is soon
-// terminated again.
+// HeardFromUnmanaged schedules the adoption of a machine that sent a heartbeat and belongs to no
+// block. The heartbeat may be a delayed copy from a machine that was terminated under an earlier
+// cluster leader. Adopting that one is harmless: it is recorded as never having had a task, so
+// planning does not wait for it, and since it does not respond it is soon terminated again.
 func (l *Leader) HeardFromUnmanaged(r *messages.Heartbeat) {
 	kind := provisioning.InstanceKind{InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot}
 	l.adoption.add(r.Machine, r.Address, kind)
 }
 
-// Transfers are what a member is to be asked for with the next status message.
+// Transfers returns the machine transfers to request from a member with the next status message.
 func (l *Leader) Transfers(member string) []messages.MachineTransfer {
 	return l.transfer.pending[member]
 }
 
-// TransfersSent notes that the status message was sent to all members.
+// TransfersSent clears the pending transfers after the status message was sent to all members.
 func (l *Leader) TransfersSent() { l.transfer.pending = nil }
 
 const (
-	// storeTimeout is how long the store's reply to a request is waited for.
+	// storeTimeout is how long to wait for the store's reply to a request.
 	storeTimeout = 2 * micros.Second
-	// statusLifetime is how old what a peer said of its partitions may be to be acted on.
+	// statusLifetime is the maximum age at which a peer's partition statuses are still acted on.
 	statusLifetime = 3 * micros.Second
 )
 
