--- a/internal/coordination/clusterleader/view.go
+++ b/internal/coordination/clusterleader/view.go
@@ -6,7 +6,8 @@
 	"pipitlatch/internal/storage"
 )
 
-// View is what the duties may ask of the core, all together. Each duty declares what it needs of it.
+// View is the part of the core that the control loops use. Each loop declares the methods that it
+// needs in an interface of its own.
 type View interface {
 	assignmentView
 	transferView
@@ -18,40 +19,41 @@
 	archiverView
 }
 
-// leaderView is what every duty may ask of the core.
+// leaderView is the part of the core that every control loop uses.
 type leaderView interface {
-	// Now is the steady time of this step.
+	// Now returns the monotonic time of the current step.
 	Now() micros.Time
-	// Log adds a record to the log; attributes are keys and values in turn.
+	// Log adds a record to the log; attributes are alternating keys and values.
 	Log(level int, message string, attributes ...any)
-	// CallStore sends a request to the key-value store. It returns false, and done is never
-	// called, if the request budget does not allow it now.
+	// CallStore sends a request to the key-value store. If the request budget does not allow it
+	// now, it returns false and never calls done.
 	CallStore(r *storage.Request, urgency storage.Urgency, timeout micros.Time, done func(*storage.Reply)) bool
-	// Cache is the present copy of the store.
+	// Cache returns the local copy of the store.
 	Cache() *storage.Cache
-	// LeaderCompare guards every transaction of the cluster leader: it may be applied late.
+	// LeaderCompare returns the comparison that guards every transaction of the cluster leader,
+	// since a delayed transaction could otherwise be applied after leadership was lost.
 	LeaderCompare() storage.Compare
 }
 
-// cloudView is the leaderView of a duty that calls the cloud.
+// cloudView extends leaderView for control loops that call the cloud.
 type cloudView interface {
 	leaderView
 	// CallCloud sends a request to the cloud.
 	CallCloud(call messages.CloudCall, done func(*messages.CloudReply))
 }
 
-// partitionsView is how the partitions and their leaders stand.
+// partitionsView gives the state of the partitions and their leaders.
 type partitionsView interface {
-	// PartitionCount is how many partitions there are.
+	// PartitionCount returns the number of partitions.
 	PartitionCount() int
-	// PartitionStatuses are what the present partition leaders last said.
+	// PartitionStatuses returns the latest statuses from the current partition leaders.
 	PartitionStatuses() []messages.PartitionStatus
 }
 
-// blockView writes the records of blocks.
+// blockView writes block records.
 type blockView interface {
-	// PutBlock adds the write of a block's record to a request.
+	// PutBlock adds a write of the block's record to the request.
 	PutBlock(r *storage.Request, name string, record storage.BlockRecord)
-	// MaxBlockMachines is how many machines a block may have.
+	// MaxBlockMachines returns the maximum number of machines in a block.
 	MaxBlockMachines() int
 }
