--- a/internal/coordination/clusterleader/archiver.go
+++ b/internal/coordination/clusterleader/archiver.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// archiveInterval bounds how often the records are looked through.
+	// archiveInterval is the minimum interval between scans of the job records.
 	archiveInterval = micros.Second
-	// archiveWriteDivisor is the part of the store's write limit that goes into it.
+	// archiveWriteDivisor limits archiving to this fraction of the store's write limit: one sixth.
 	archiveWriteDivisor = 6
 )
 
-// archiverView is what the archiver needs of the core.
+// archiverView is the part of the core that the archiver uses.
 type archiverView interface {
 	leaderView
-	// StoreReachable tells whether this controller can serve users now.
+	// StoreReachable reports whether this controller can currently serve users.
 	StoreReachable() bool
 }
 
-// archiver moves records of jobs that were over long ago out of every controller's memory. They
-// stay in the store under a key of their own and are read when somebody asks.
+// archiver moves the records of jobs that ended long ago out of every controller's memory. They
+// stay in the store under separate keys, from which they are read on demand.
 type archiver struct {
 	view   archiverView
 	config *config.Config
 	keys   storage.Keys
 
 	nextRunAt micros.Time
-	inFlight  bool // a transaction
+	inFlight  bool // whether a transaction has not been answered yet
 	revisions revisionHistory
 }
 
@@ -42,14 +42,14 @@
 
 func (a *archiver) startTerm() { a.nextRunAt, a.inFlight, a.revisions = 0, false, revisionHistory{} }
 
-// tick moves the jobs that were over first, as long as there are more than are to be kept. None
-// is moved before everything of it is surely off the machines: until then its team's limit
-// counts what its record says.
+// tick archives the jobs that ended first while more jobs are cached than the limit allows. A job is
+// archived only when all its tasks are certain to have left the machines: until then its record is
+// counted against its team's limit.
 func (a *archiver) tick() {
 	now, cache := a.view.Now(), a.view.Cache()
-	settled := 2*micros.FromSeconds(a.config.Settings.Workers.CancelS) + a.config.AgentLeaseExpiry()
-	a.revisions.observe(now, cache.Revision, settled)
-	revision, ok := a.revisions.revisionOlderThan(now, settled)
+	archiveDelay := 2*micros.FromSeconds(a.config.Settings.Workers.CancelS) + a.config.AgentLeaseExpiry()
+	a.revisions.observe(now, cache.Revision, archiveDelay)
+	revision, ok := a.revisions.revisionOlderThan(now, archiveDelay)
 	if !ok || a.inFlight || now < a.nextRunAt || !a.view.StoreReachable() {
 		return
 	}
@@ -66,8 +66,8 @@
 	}
 }
 
-// deleteOrphanedParts deletes parts of lists of dependencies that were written up to a revision
-// and that no job's record names; it returns false if there are none.
+// deleteOrphanedParts deletes the parts of dependency lists that were written at or before a revision
+// and belong to no unfinished job. It returns false if there are none.
 func (a *archiver) deleteOrphanedParts(revision uint64) bool {
 	orphaned := a.view.Cache().OrphanedDependencyParts(revision, a.config.Settings.StateLimits().TxnOps)
 	if len(orphaned) == 0 {
@@ -81,7 +81,7 @@
 	return true
 }
 
-// sendTransaction sends a transaction, and calls then when it is answered.
+// sendTransaction sends a transaction and calls then when it is answered.
 func (a *archiver) sendTransaction(r *storage.Request, then func()) {
 	a.inFlight = a.view.CallStore(r, storage.Deferrable, storeTimeout, func(*storage.Reply) {
 		a.inFlight = false
@@ -89,30 +89,32 @@
 	})
 }
 
-// jobsToArchive are the records of jobs that are over, the oldest first, as many as are too
-// many and one transaction can move.
+// jobsToArchive returns the terminal jobs in excess of the cache limit, oldest first and at most as
+// many as one transaction can move.
 func (a *archiver) jobsToArchive() []*storage.JobEntry {
 	cache := a.view.Cache()
 	var terminal []*storage.JobEntry
 	for id, e := range cache.Jobs {
-		// A dependency stays at hand while an unfinished job names it.
+		// A job stays cached while an unfinished job depends on it.
 		if e.Job.Phase != workload.Active && len(cache.Dependents[id]) == 0 {
 			terminal = append(terminal, e)
 		}
 	}
-	// Two operations a job, besides the guards.
+	// Each job takes two operations, not counting the comparisons.
 	count := min(len(terminal)-a.config.MaxCachedTerminalJobs(), a.config.Settings.StateLimits().TxnOps/2)
 	if count <= 0 {
 		return nil
 	}
-	// Jobs that one transaction ended have the same revision: without the id, map order would decide.
+	// Jobs that ended in the same transaction have the same revision. Comparing their IDs as well
+	// keeps the order independent of map iteration.
 	slices.SortFunc(terminal, func(x, y *storage.JobEntry) int {
 		return cmp.Or(cmp.Compare(x.ModRevision, y.ModRevision), cmp.Compare(x.Job.ID, y.Job.ID))
 	})
 	return terminal[:count]
 }
 
-// archiveRequest moves those records, ordered by revision, that are not newer than a revision.
+// archiveRequest returns the transaction that archives those entries that are not newer than a
+// revision. The entries are ordered by revision.
 func (a *archiver) archiveRequest(entries []*storage.JobEntry, revision uint64) *storage.Request {
 	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{a.view.LeaderCompare()}}
 	for _, e := range entries {
