--- a/internal/coordination/clusterleader/format_upgrade.go
+++ b/internal/coordination/clusterleader/format_upgrade.go
@@ -7,14 +7,14 @@
 	"pipitlatch/internal/storage"
 )
 
-// formatUpgradeInterval is how long after an attempt to write the format the next is made.
+// formatUpgradeInterval is the minimum interval between attempts to write the record format.
 const formatUpgradeInterval = micros.Second
 
-// formatUpgrade allows newer forms of records.
+// formatUpgrade raises the store's record format, which allows records to be written in newer forms.
 type formatUpgrade struct {
 	view    leaderView
 	keys    storage.Keys
-	members []string // all that are configured
+	members []string // all configured members
 
 	inFlight bool
 	retryAt  micros.Time
@@ -30,9 +30,9 @@
 
 func (u *formatUpgrade) startTerm() { u.inFlight = false }
 
-// tick writes the format once every configured member was registered with a version that reads
-// it: until then an older one may still become partition leader, and would start a job without
-// regard to its dependencies.
+// tick writes the record format once every configured member has registered with a version that reads
+// it. Until then, a member of an older version could still become partition leader, and would start
+// jobs without regard to their dependencies.
 func (u *formatUpgrade) tick() {
 	if u.view.Cache().Format >= storage.Format || u.inFlight || u.view.Now() < u.retryAt {
 		return
@@ -54,7 +54,7 @@
 	})
 }
 
-// allMembersReadFormat tells whether every configured member was registered with a version that
+// allMembersReadFormat reports whether every configured member has registered with a version that
 // reads this version's records.
 func (u *formatUpgrade) allMembersReadFormat() bool {
 	cache := u.view.Cache()
