--- a/internal/coordination/clusterleader/instance_listing.go
+++ b/internal/coordination/clusterleader/instance_listing.go
@@ -11,39 +11,42 @@
 )
 
 const (
-	// listPageSize is how many instances one page of the cloud's list has.
+	// listPageSize is the number of instances per page of the cloud's list.
 	listPageSize = 500
-	// listTimeout is how long a page is waited for.
+	// listTimeout is how long to wait for a page.
 	listTimeout = 3 * micros.Second
-	// minListInterval is how often the list is read where it has few pages.
+	// minListInterval is the interval between listings of a fleet that fits on a few pages.
 	minListInterval = 2 * micros.Second
-	// listRateShare is the part of the cloud's limit that lists may take: those of a large
-	// fleet have many pages, and instance requests and terminations need the rest.
+	// listRateShare is the fraction of the cloud's rate limit that listings may use: those of a
+	// large fleet have many pages, and instance requests and terminations need the rest.
 	listRateShare = 0.25
-	// orphanMinTerm and orphanMinAge are how long the cluster leader has to lead, and an
-	// instance to exist, before one without a record is taken for unmanaged: the record may be
-	// on its way.
+	// orphanMinTerm and orphanMinAge are the minimum age of the leadership term and of an instance
+	// for an instance without a record to count as unmanaged: its record may still be in flight.
 	orphanMinTerm = micros.Second
 	orphanMinAge  = 2 * micros.Second
-	// absenceMargin and absenceLags are how long a machine has to be absent from the list to be
-	// terminated: that margin, and so many times what the list lags.
+	// absenceMargin and absenceLags define how long a machine has to be absent from the list before
+	// it is terminated: the margin plus this multiple of the list's lag.
 	absenceMargin = 20 * micros.Second
 	absenceLags   = 4
-	// absentContactTimeout is how long an absent machine must not have been heard from.
+	// absentContactTimeout is how long ago the last contact with an absent machine has to be before
+	// it is terminated.
 	absentContactTimeout = 10 * micros.Second
 )
 
-// listingView is what the listing needs of the core.
+// listingView is the part of the core that instance listing uses.
 type listingView interface {
 	cloudView
-	// InstanceRunning lets the partition's leader know the address of a machine.
+	// InstanceRunning informs the partition's leader, if it is in this process, of the address of a
+	// running machine.
 	InstanceRunning(partition int, machine, address string)
-	// LastContact is when the machine was last heard from, if its partition's leader is here.
+	// LastContact returns the time of the last contact with the machine, or false if its partition's
+	// leader is not in this process.
 	LastContact(partition int, machine string) (micros.Time, bool)
 }
 
-// instanceListing compares the cloud's list of instances with the blocks' records. Absence from
-// a list proves nothing; a failed instance is terminated, and an unmanaged one is adopted.
+// instanceListing compares the cloud's list of instances with the block records. Failed instances
+// are terminated and unmanaged ones adopted. Absence from a list does not prove that an instance is
+// gone.
 type instanceListing struct {
 	view        listingView
 	config      *config.Config
@@ -69,7 +72,7 @@
 	l.absent.Reset()
 }
 
-// tick begins to read the list when it is time.
+// tick starts reading the list when the next listing is due.
 func (l *instanceListing) tick() {
 	if l.inFlight || l.view.Now() < l.nextAt {
 		return
@@ -78,13 +81,14 @@
 	l.readPage("", map[string]bool{})
 }
 
-// interval is how long the next reading of the list waits.
+// interval returns the time to wait before the next listing.
 func (l *instanceListing) interval() micros.Time {
 	pages := 1 + len(l.view.Cache().Machines)/listPageSize
 	return max(minListInterval, micros.FromSeconds(float64(pages)/(l.config.Settings.Cloud.RPS*listRateShare)))
 }
 
-// readPage reads the page after an instance, and then the following; listed gets the instances.
+// readPage reads the page that starts after an instance, and then all that follow. It adds the names
+// of the instances to listed.
 func (l *instanceListing) readPage(after string, listed map[string]bool) {
 	revision := l.term.revision
 	call := messages.CloudCall{Operation: messages.CloudList, After: after, Limit: listPageSize, Timeout: listTimeout}
@@ -110,7 +114,7 @@
 	})
 }
 
-// observe compares an instance of the list with its record.
+// observe compares a listed instance with its record.
 func (l *instanceListing) observe(instance *messages.Instance) {
 	if l.terminated.Contains(instance.Machine) {
 		return
@@ -132,9 +136,9 @@
 	}
 }
 
-// terminateAbsent terminates the machines that have been absent from the list for long and that
-// nobody hears from. Termination is what proves that they are gone; the cloud may not know their
-// names by now.
+// terminateAbsent terminates the machines that have been absent from the list for long and have not
+// been in contact recently. A successful termination is the proof that they are gone; the cloud may
+// no longer know their names.
 func (l *instanceListing) terminateAbsent(listed map[string]bool) {
 	now, machines := l.view.Now(), l.view.Cache().Machines
 	timeout := absenceLags*micros.FromSeconds(l.config.Settings.Cloud.ListLagS) + absenceMargin
