--- a/internal/coordination/clusterleader/instance_requests.go
+++ b/internal/coordination/clusterleader/instance_requests.go
@@ -8,16 +8,18 @@
 )
 
 const (
-	// instanceRequestTimeout is how long the cloud's answer to a request is waited for.
+	// instanceRequestTimeout is how long to wait for the cloud's reply to an instance request.
 	instanceRequestTimeout = 4 * micros.Second
-	// instanceRequestRetryInterval is how long after a request without an answer it is sent again.
+	// instanceRequestRetryInterval is the delay before a request that was rejected or got no reply is
+	// sent again.
 	instanceRequestRetryInterval = micros.Second
-	// closeRetryInterval is how long after a request was answered it is sent again, if its block
-	// was not written: the same name gives the same answer.
+	// closeRetryInterval is the delay before an answered request is sent again if its block could
+	// not be written: the cloud gives the same answer to a request of the same name.
 	closeRetryInterval = 200 * micros.Millisecond
 )
 
-// sendOpenRequests sends the requests that are written down and not answered yet, and counts them.
+// sendOpenRequests sends the recorded requests that have not been answered yet, and returns how many
+// there are.
 func (s *scaleOut) sendOpenRequests() int {
 	open := 0
 	blocks := s.view.Cache().Blocks
@@ -34,8 +36,8 @@
 	return open
 }
 
-// persistRequest writes a request down before it is sent, as a block without machines, so
-// that a successor neither loses it nor requests for the same need twice.
+// persistRequest records a request in the store before it is sent, as a block without machines, so
+// that a succeeding leader neither loses it nor requests instances for the same need twice.
 func (s *scaleOut) persistRequest(partition int, request provisioning.InstanceRequest) {
 	name := s.term.uniqueName("c")
 	block := storage.BlockRecord{
@@ -58,7 +60,7 @@
 	}
 }
 
-// sendRequest sends a request that was written down at a revision.
+// sendRequest sends a request to the cloud that was recorded at a revision of the store.
 func (s *scaleOut) sendRequest(name string, block storage.BlockRecord, revision uint64) {
 	kind := instanceKindOfBlock(block)
 	s.pending.Started(name, kind)
@@ -80,12 +82,12 @@
 	})
 }
 
-// recordGrant notes how many instances the cloud had of those requested.
+// recordGrant updates the capacity tracker with the number of instances that the cloud granted.
 func (s *scaleOut) recordGrant(name string, block storage.BlockRecord, granted int) {
 	kind := instanceKindOfBlock(block)
 	if granted < block.Requested {
 		s.capacity.Exhausted(kind, s.view.Now())
-		s.nextAt = s.view.Now() // what was missing may be had elsewhere
+		s.nextAt = s.view.Now() // instances of another kind may be available
 	} else {
 		s.capacity.Granted(kind, block.Requested)
 	}
@@ -93,11 +95,12 @@
 		"zone", block.Zone, "spot", block.Spot, "requested", block.Requested, "granted", granted)
 }
 
-// closeRequest turns a request that was answered into a block.
+// closeRequest replaces the record of an answered request with a block of the granted machines, or
+// deletes it if there are none.
 func (s *scaleOut) closeRequest(name string, block storage.BlockRecord, revision uint64, machines []string) {
 	block.Requested, block.Machines = 0, map[string]storage.MachineRecord{}
 	for _, machine := range machines {
-		// One that was heard from before the answer came was adopted already.
+		// A machine that sent a heartbeat before the answer arrived has already been adopted.
 		if _, recorded := s.view.Cache().Machines[machine]; !recorded {
 			block.Machines[machine] = storage.MachineRecord{}
 		}
@@ -126,10 +129,10 @@
 	}
 }
 
-// requestOpenFor tells whether a request for instances of the kind is open: a machine that is
-// heard from may be one of those it brings, up before the cloud's answer. It is taken into the
-// request's block then. Adopted as well, it would be in two blocks, and what one record says of
-// it (that it has had tasks) would be hidden by the other.
+// requestOpenFor reports whether a request for instances of the kind is open. An unmanaged machine of
+// that kind may belong to the request, having started before the cloud's answer arrived, and is then
+// added to the request's block. If it were adopted as well, it would be in two blocks, and one record
+// would hide what the other says about it (that it has had tasks).
 func (s *scaleOut) requestOpenFor(kind provisioning.InstanceKind) bool {
 	if s.pending.InFlightOf(kind) {
 		return true
@@ -142,7 +145,7 @@
 	return false
 }
 
-// instanceKindOfBlock is the kind of a block's machines.
+// instanceKindOfBlock returns the kind of a block's machines.
 func instanceKindOfBlock(b storage.BlockRecord) provisioning.InstanceKind {
 	return provisioning.InstanceKind{InstanceType: b.InstanceType, Zone: b.Zone, Spot: b.Spot}
 }
