--- a/internal/coordination/clusterleader/instance_termination.go
+++ b/internal/coordination/clusterleader/instance_termination.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// maxTerminations bounds the instances in one call.
+	// maxTerminations is the maximum number of instances in one call.
 	maxTerminations = 100
-	// terminateCallTimeout is how long the cloud's answer is waited for.
+	// terminateCallTimeout is how long to wait for the cloud's reply.
 	terminateCallTimeout = 3 * micros.Second
-	// terminationInterval is how long the next call waits after one, terminationRetryInterval
-	// after one that failed.
+	// terminationInterval is the delay between a successful call and the next one,
+	// terminationRetryInterval the delay after a failed call.
 	terminationInterval      = 200 * micros.Millisecond
 	terminationRetryInterval = micros.Second
 )
 
-// terminationView is what terminations need of the core.
+// terminationView is the part of the core that instance termination uses.
 type terminationView interface {
 	cloudView
 	partitionsView
-	// Isolated tells whether neither the store nor any peer has been heard of late.
+	// Isolated reports whether there was no recent contact with the store or any peer.
 	Isolated() bool
-	// MachineTerminated lets the partitions led here know that a machine is gone.
+	// MachineTerminated informs the partitions led by this process that a machine is terminated.
 	MachineTerminated(machine string)
-	// SendStatusSoon makes the next status message, which says what is gone, an early one.
+	// SendStatusSoon makes the next status message early; it reports the terminated machines.
 	SendStatusSoon()
 }
 
-// instanceTermination terminates the instances that partition leaders let go.
+// instanceTermination terminates the instances that partition leaders release.
 type instanceTermination struct {
 	view       terminationView
 	term       *leaderTerm
@@ -40,7 +40,7 @@
 	capacity   *provisioning.CapacityTracker
 	pruning    *blockPruning
 
-	requested map[string]bool // instances to terminate besides those that partition leaders ask for
+	requested map[string]bool // instances to terminate besides those that partition leaders release
 	inFlight  bool
 	retryAt   micros.Time
 }
@@ -52,8 +52,8 @@
 
 func (t *instanceTermination) startTerm() { t.requested, t.inFlight = map[string]bool{}, false }
 
-// request terminates an instance whatever its partition's leader says; it returns false if
-// that was requested before.
+// request schedules the termination of an instance, regardless of its partition's leader. It returns
+// false if that was already requested.
 func (t *instanceTermination) request(machine string) bool {
 	if t.requested[machine] {
 		return false
@@ -62,10 +62,11 @@
 	return true
 }
 
-// tick calls the cloud. Its success proves that the instances, and all on them, are gone.
+// tick terminates the next batch of instances. A successful call proves that the instances, and
+// everything that ran on them, are gone.
 func (t *instanceTermination) tick() {
-	// One that is cut off hears nobody, and what it asks of the cloud may be carried
-	// out when the cut ends: it would terminate machines that serve another by then.
+	// An isolated leader receives no statuses, and its calls to the cloud may be executed only when
+	// the network partition ends. They would terminate machines that another leader uses by then.
 	if t.inFlight || t.view.Now() < t.retryAt || t.view.Isolated() {
 		return
 	}
@@ -79,7 +80,7 @@
 	t.view.CallCloud(call, func(r *messages.CloudReply) { t.handleReply(names, revision, r) })
 }
 
-// nextBatch are the instances to terminate with one call.
+// nextBatch returns the instances to terminate with one call.
 func (t *instanceTermination) nextBatch() []string {
 	var names []string
 	add := func(name string) {
@@ -101,7 +102,7 @@
 	return names
 }
 
-// handleReply takes the cloud's answer to a call that was sent in a term.
+// handleReply handles the cloud's reply to a call that was sent in the term with the given revision.
 func (t *instanceTermination) handleReply(names []string, revision uint64, r *messages.CloudReply) {
 	t.inFlight = false
 	t.retryAt = t.view.Now() + terminationInterval
@@ -118,7 +119,7 @@
 	t.view.SendStatusSoon()
 }
 
-// markTerminated notes proof that an instance is gone.
+// markTerminated records that an instance is proven to be gone.
 func (t *instanceTermination) markTerminated(name string) {
 	t.terminated.Confirm(name, t.view.Now())
 	if machine, ok := t.view.Cache().Machines[name]; ok {
@@ -128,7 +129,7 @@
 	t.view.MachineTerminated(name)
 }
 
-// instanceKindOf is the kind of a recorded machine.
+// instanceKindOf returns the kind of a recorded machine.
 func instanceKindOf(m storage.Machine) provisioning.InstanceKind {
 	return provisioning.InstanceKind{InstanceType: m.InstanceType, Zone: m.Zone, Spot: m.Spot}
 }
