--- a/internal/coordination/clusterleader/machine_transfers.go
+++ b/internal/coordination/clusterleader/machine_transfers.go
@@ -9,16 +9,16 @@
 	"pipitlatch/internal/storage"
 )
 
-// transferInterval is how long after one transfer the next is looked for: by then the
-// partitions' statuses show it.
+// transferInterval is the minimum interval between searches for a machine to transfer: by then the
+// partitions' statuses reflect the previous transfer.
 const transferInterval = 2 * micros.Second
 
-// transferView is what transfers need of the core.
+// transferView is the part of the core that machine transfers use.
 type transferView interface {
 	partitionsView
 	Now() micros.Time
 	Cache() *storage.Cache
-	// SendStatusSoon makes the next status message, which carries transfers, an early one.
+	// SendStatusSoon makes the next status message early; it carries the transfers.
 	SendStatusSoon()
 }
 
@@ -30,7 +30,7 @@
 	nextAt  micros.Time
 }
 
-// tick asks for one transfer, if there is any to be made.
+// tick requests at most one transfer.
 func (t *machineTransfers) tick() {
 	if t.view.Now() < t.nextAt || t.view.PartitionCount() < 2 {
 		return
@@ -51,7 +51,7 @@
 	}
 }
 
-// idleMachine is a machine that one partition does not need and another can use.
+// idleMachine returns a machine that is idle in one partition and that another can use.
 func (t *machineTransfers) idleMachine(from, needy *messages.PartitionStatus) (string, bool) {
 	if from.Partition == needy.Partition || len(from.CapacityRequests) > 0 {
 		return "", false
@@ -65,7 +65,7 @@
 	return "", false
 }
 
-// request puts a transfer into the next status message to the partition's leader.
+// request adds a transfer to the next status message to the partition's leader.
 func (t *machineTransfers) request(from int, transfer messages.MachineTransfer) {
 	leader := t.view.Cache().Partitions[from].Value.Leader.Member
 	if t.pending == nil {
