--- a/internal/coordination/clusterleader/orphans.go
+++ b/internal/coordination/clusterleader/orphans.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// adoptionInterval lets unmanaged instances found one after the other share a block.
+	// adoptionInterval is the minimum interval between adoptions. It lets unmanaged instances that
+	// are found shortly after each other share a block.
 	adoptionInterval = 500 * micros.Millisecond
-	// adoptionTimeout is how long after a write without an answer the next is sent.
+	// adoptionTimeout is the delay before the next write after one that got no reply.
 	adoptionTimeout = storeTimeout + micros.Second
 )
 
-// adoptionView is what the adoption of orphans needs of the core.
+// adoptionView is the part of the core that orphan adoption uses.
 type adoptionView interface {
 	leaderView
 	blockView
-	// PartitionStatuses are what the present partition leaders last said.
+	// PartitionStatuses returns the latest statuses from the current partition leaders.
 	PartitionStatuses() []messages.PartitionStatus
-	// IsClusterLeader tells whether this process is the cluster leader.
+	// IsClusterLeader reports whether this process is the cluster leader.
 	IsClusterLeader() bool
 }
 
@@ -33,8 +34,8 @@
 	address string
 }
 
-// orphanAdoption writes unmanaged instances into blocks: those of an instance request executed
-// late, or one whose answer was lost.
+// orphanAdoption records unmanaged instances in blocks. They come from instance requests that the
+// cloud executed late or whose reply was lost.
 type orphanAdoption struct {
 	view       adoptionView
 	keys       storage.Keys
@@ -44,7 +45,7 @@
 
 	orphans      map[string]orphan
 	nextAt       micros.Time
-	pendingBlock string // of a block whose write was not answered
+	pendingBlock string // name of a block whose write was not answered
 }
 
 func newOrphanAdoption(view adoptionView, keys storage.Keys, term *leaderTerm,
@@ -54,8 +55,9 @@
 
 func (a *orphanAdoption) startTerm() { a.orphans, a.pendingBlock = map[string]orphan{}, "" }
 
-// add notes a machine that is to be assigned to the partition that lacks most. It has had no
-// task: only machines of a block get any, and they leave it only when they are gone.
+// add schedules a machine for adoption into the partition that lacks capacity for the most tasks. The
+// machine has had no task: only machines in a block get any, and they leave it only when they are
+// terminated.
 func (a *orphanAdoption) add(machine, address string, kind provisioning.InstanceKind) {
 	if a.terminated.Contains(machine) || !a.view.IsClusterLeader() ||
 		a.term.revision != a.view.Cache().ClusterLeader.ModRevision {
@@ -66,14 +68,14 @@
 	}
 }
 
-// tick writes a block of the orphans of one kind.
+// tick adopts the orphans of one kind, up to one block of them.
 func (a *orphanAdoption) tick() {
 	if len(a.orphans) == 0 || a.view.Now() < a.nextAt {
 		return
 	}
 	a.nextAt = a.view.Now() + adoptionInterval
 	if a.view.Cache().Revision < a.scaling.provisionedRevision {
-		return // an instance request may have become a block that is not seen yet
+		return // an instance request may have become a block that the cache does not have yet
 	}
 	blocks := a.groupIntoBlocks()
 	if kinds := slices.SortedFunc(maps.Keys(blocks), provisioning.InstanceKind.Compare); len(kinds) > 0 {
@@ -81,8 +83,8 @@
 	}
 }
 
-// groupIntoBlocks are those that the orphans may be written into, by kind. Those that are recorded by now,
-// or gone, are forgotten.
+// groupIntoBlocks returns a block of orphans for each kind. It removes the orphans that have been
+// recorded or terminated since they were added.
 func (a *orphanAdoption) groupIntoBlocks() map[provisioning.InstanceKind]storage.BlockRecord {
 	blocks := map[provisioning.InstanceKind]storage.BlockRecord{}
 	for _, name := range sortedKeys(a.orphans) {
@@ -108,9 +110,9 @@
 	return blocks
 }
 
-// adopt writes a block of orphans. One at a time, and one whose answer was lost again under its
-// own name until that is known to be taken: else both may be carried out, and a machine come
-// into two blocks.
+// adopt writes a block of orphans. Only one write is in flight at a time, and a write whose reply was
+// lost is repeated under the same name until that name is known to be taken. Otherwise both writes
+// could be applied, and a machine could be in two blocks.
 func (a *orphanAdoption) adopt(block storage.BlockRecord) {
 	if a.pendingBlock == "" {
 		a.pendingBlock = a.term.uniqueName("a")
@@ -133,7 +135,7 @@
 	}
 }
 
-// partitionWithMostDemand is the partition that lacks capacity for the most tasks.
+// partitionWithMostDemand returns the partition that lacks capacity for the most tasks.
 func (a *orphanAdoption) partitionWithMostDemand() int {
 	partition, most := 0, -1
 	for _, status := range a.view.PartitionStatuses() {
