--- a/internal/coordination/clusterleader/partition_assignment.go
+++ b/internal/coordination/clusterleader/partition_assignment.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// assignmentInterval is how long after an assignment the next may be written: until then
-	// the change stream has brought it.
+	// assignmentInterval is the minimum interval between assignments: by then the change stream has
+	// delivered the previous one.
 	assignmentInterval = 300 * micros.Millisecond
-	// unresponsiveTimeout is how long a member that is registered, but that the cluster leader does
-	// not hear, keeps its partitions.
+	// unresponsiveTimeout is how long a registered member keeps its partitions while the cluster
+	// leader receives no status from it.
 	unresponsiveTimeout = 6 * micros.Second
-	// isolationPenalty is how long a controller that could not hear its machines is given no
+	// isolationPenalty is how long a controller that was isolated from its machines is assigned no
 	// partition.
 	isolationPenalty = 30 * micros.Second
-	// minReachabilityGain is how many more machines another controller must reach at least, and
-	// an eighth of all, for a partition to change hands: that costs a second or two.
+	// minReachabilityGain is how many more machines, and reachabilityGainDivisor what fraction of all
+	// machines more (an eighth), another controller has to reach at least for a partition to be
+	// reassigned to it. Each reassignment costs one or two seconds.
 	minReachabilityGain     = 3
 	reachabilityGainDivisor = 8
 )
 
-// assignmentView is what the assignment of partitions needs of the core.
+// assignmentView is the part of the core that partition assignment uses.
 type assignmentView interface {
 	leaderView
 	PartitionCount() int
@@ -33,7 +34,7 @@
 	MachinesInUse(partition int) map[string]int
 }
 
-// partitionAssignment gives each partition a live leader.
+// partitionAssignment assigns a live leader to each partition.
 type partitionAssignment struct {
 	view    assignmentView
 	config  *config.Config
@@ -44,7 +45,7 @@
 
 	nextAt     micros.Time
 	inFlight   bool
-	isolatedAt map[storage.Process]micros.Time // partition leaders that lost their machines: when
+	isolatedAt map[storage.Process]micros.Time // when partition leaders were found isolated from machines
 }
 
 func newPartitionAssignment(view assignmentView, cfg *config.Config, process storage.Process, keys storage.Keys,
@@ -56,9 +57,9 @@
 	a.inFlight, a.isolatedAt = false, map[storage.Process]micros.Time{}
 }
 
-// tick writes the assignments that are missing. A partition leader that is registered but has
-// not been heard from by the cluster leader for long cannot say what it needs; its partitions
-// go to another.
+// tick writes the missing assignments. It also reassigns the partitions of a leader that is registered
+// but from which the cluster leader has received no status for long, since such a leader cannot
+// report what its partitions need.
 func (a *partitionAssignment) tick() {
 	if a.inFlight || a.view.Now() < a.nextAt {
 		return
@@ -75,8 +76,8 @@
 	})
 }
 
-// request writes as many assignments as one transaction takes. Each is guarded by the
-// registration that it was decided on.
+// request returns a transaction with as many of the assignments as fit. Each is guarded by the
+// partition record and the registration that the decision was based on.
 func (a *partitionAssignment) request(assignments []leadership.Assignment) *storage.Request {
 	cache := a.view.Cache()
 	r := &storage.Request{Kind: storage.Txn, Compares: []storage.Compare{a.view.LeaderCompare()}}
@@ -93,7 +94,8 @@
 	return r
 }
 
-// currentPeer is what a process last said; nil if it said nothing, or another run of its member did since.
+// currentPeer returns the latest status of a process, or nil if there is none or if a different
+// incarnation of its member has sent one since.
 func (a *partitionAssignment) currentPeer(p storage.Process) *membership.Peer {
 	if peer := a.peers.Latest(p.Member); peer != nil && peer.Status.From == p {
 		return peer
@@ -101,18 +103,19 @@
 	return nil
 }
 
-// unresponsive tells whether the process has not been heard from for long. At the beginning of a
-// term nobody counts as that yet.
+// unresponsive reports whether no status has been received from the process for long. At the beginning
+// of a term, no process counts as unresponsive.
 func (a *partitionAssignment) unresponsive(p storage.Process) bool {
 	now, peer := a.view.Now(), a.currentPeer(p)
 	heard := peer != nil && now-peer.ReceivedAt < unresponsiveTimeout
 	return !heard && now-a.term.acquiredAt > unresponsiveTimeout
 }
 
-// isolated tells whether a partition leader has lost machines, but not the store, while
-// another controller reaches clearly more of them: the partition goes there, long before
-// the agents' leases end. Two zones may not reach each other while a third reaches
-// both. One that lost a partition gets none for a while, so it does not go back and forth.
+// isolated reports whether a partition leader has lost contact with machines, but not with the store,
+// while another controller reaches significantly more of them. The partition is then reassigned long
+// before the agents' leases expire. This happens when two zones cannot reach each other but a third
+// reaches both. A process that lost a partition this way gets none for a while, so that partitions do
+// not move back and forth.
 func (a *partitionAssignment) isolated(p storage.Process) bool {
 	now := a.view.Now()
 	if at, ok := a.isolatedAt[p]; ok && now-at < isolationPenalty {
@@ -139,8 +142,8 @@
 	return false
 }
 
-// reachableByPeers is how many of the partition's machines the controller reaches that reaches
-// most of them besides its leader.
+// reachableByPeers returns the largest number of the partition's machines that any single controller
+// other than its leader reaches.
 func (a *partitionAssignment) reachableByPeers(leader storage.Process, partition int) int {
 	most := 0
 	for _, peer := range a.peers.All() {
@@ -152,7 +155,8 @@
 	return most
 }
 
-// minReassignmentGain is how many more machines a controller has to reach to be given the partition.
+// minReassignmentGain returns how many more machines than its leader another controller has to reach
+// for the partition to be reassigned to it.
 func (a *partitionAssignment) minReassignmentGain(partition int) int {
 	machines := 0
 	for _, inZone := range a.view.MachinesInUse(partition) {
