--- a/internal/coordination/clusterleader/revision_history.go
+++ b/internal/coordination/clusterleader/revision_history.go
@@ -2,22 +2,22 @@
 
 import "pipitlatch/internal/micros"
 
-// revisionInterval is how often a revision is dated.
+// revisionInterval is the minimum interval between recorded revisions.
 const revisionInterval = 10 * micros.Second
 
-// revisionHistory dates revisions of the store, to tell which are older than a time.
+// revisionHistory records when the store had which revision, to find revisions of a minimum age.
 type revisionHistory struct {
-	observed []datedRevision // in order
+	observed []datedRevision // oldest first
 }
 
-// datedRevision is a revision and when it was the last.
+// datedRevision is a revision and a time at which it was the latest.
 type datedRevision struct {
 	at       micros.Time
 	revision uint64
 }
 
-// observe dates the last revision, now and then. Of the revisions older than an age only the
-// last is kept.
+// observe records the latest revision once per revisionInterval. Of the revisions older than an age,
+// only the latest is kept.
 func (h *revisionHistory) observe(now micros.Time, revision uint64, age micros.Time) {
 	if n := len(h.observed); n == 0 || now-h.observed[n-1].at >= revisionInterval {
 		h.observed = append(h.observed, datedRevision{now, revision})
@@ -27,7 +27,7 @@
 	}
 }
 
-// revisionOlderThan is a revision that is older than an age; false if none is known to be.
+// revisionOlderThan returns a revision that is older than an age, or false if none is known.
 func (h *revisionHistory) revisionOlderThan(now, age micros.Time) (uint64, bool) {
 	if len(h.observed) == 0 || now-h.observed[0].at <= age {
 		return 0, false
