--- a/internal/coordination/clusterleader/leader_test.go
+++ b/internal/coordination/clusterleader/leader_test.go
@@ -20,7 +20,7 @@
 		}
 	}
 	if !seen["a7-1"] || !seen["c7-6"] {
-		t.Errorf("names %v, want them to have the prefix, the term's revision and a number", seen)
+		t.Errorf("names %v, want each to consist of prefix, term revision and counter", seen)
 	}
 }
 
@@ -39,16 +39,16 @@
 		t.Errorf("term %+v, provisioned at %d", *l.leaderTerm, l.scaling.provisionedRevision)
 	}
 	if l.terminated.Contains("m") || l.scaling.pending.InFlight() > 0 || l.adoption.pendingBlock != "" {
-		t.Error("something of an earlier term is left")
+		t.Error("state of an earlier term is left")
 	}
 	if l.assignment.inFlight || l.termination.inFlight || l.listing.inFlight || l.archiver.inFlight ||
 		l.formatUpgrade.inFlight {
-		t.Error("a call of an earlier term is waited for")
+		t.Error("a call of an earlier term still counts as in flight")
 	}
 	l.nameCounter = 3
 	l.Begin(7)
 	if l.nameCounter != 3 {
-		t.Error("the term was begun twice")
+		t.Error("the term was started twice")
 	}
 	if want := []string{"cluster leadership acquired"}; !slices.Equal(v.Messages, want) {
 		t.Errorf("log records %v, want %v", v.Messages, want)
@@ -69,17 +69,17 @@
 	}
 }
 
-func TestLeaderAdoptsUnmanagedMachinesThatAreHeard(t *testing.T) {
+func TestLeaderAdoptsUnmanagedMachinesThatSendHeartbeats(t *testing.T) {
 	v := newFakeView(t, nil)
 	l := New(v, newTestConfig(t), testProcess, testKeys, newTestPeers(0))
 	heartbeat := &messages.Heartbeat{Machine: "x", Address: "x:1", InstanceType: "m", Zone: "a"}
 	l.HeardFromUnmanaged(heartbeat)
 	if len(l.adoption.orphans) > 0 {
-		t.Error("adopted before the term has begun")
+		t.Error("adopted before the term has started")
 	}
 	l.Begin(leaderRevision)
 	l.HeardFromUnmanaged(heartbeat)
 	if got := l.adoption.orphans["x"]; got != (orphan{testKind, "x:1"}) {
-		t.Errorf("orphan %+v, want the machine that was heard", got)
+		t.Errorf("orphan %+v, want the machine that sent the heartbeat", got)
 	}
 }
