--- a/internal/coordination/clusterleader/fake_view_test.go
+++ b/internal/coordination/clusterleader/fake_view_test.go
@@ -14,11 +14,11 @@
 	"pipitlatch/internal/workload"
 )
 
-// fakeView stands in for the core around one duty of the cluster leader.
+// fakeView is a fake core for the test of a single control loop.
 type fakeView struct {
 	storetest.Environment
 	cache          *storage.Cache
-	revision       uint64 // of the record that was put last
+	revision       uint64 // of the latest record
 	cloudCalls     []cloudCall
 	catalog        workload.Catalog
 	partitionCount int
@@ -27,14 +27,14 @@
 	inUse          map[string]int
 	isolated       bool
 	follower       bool // the process is not the cluster leader
-	unreachable    bool // is the store
+	unreachable    bool // the store is unreachable
 	statusSoon     bool
 	terminated     []string
 	addresses      map[string]string
 	contacts       map[string]micros.Time
 }
 
-// cloudCall is a call to the cloud that waits for its reply.
+// cloudCall is a call to the cloud that has not been answered yet.
 type cloudCall struct {
 	messages.CloudCall
 	reply func(*messages.CloudReply)
@@ -48,10 +48,10 @@
 // leaderRevision is the mod revision of the cluster leader's key.
 const leaderRevision = 4
 
-// testKind is the kind of the blocks' machines.
+// testKind is the kind of the machines in block's records.
 var testKind = provisioning.InstanceKind{InstanceType: "m", Zone: "a"}
 
-// newFakeView is the view of a cluster leader whose cache has the given blocks, at time 1000 s.
+// newFakeView returns the view of a cluster leader whose cache has the given blocks, at time 1000 s.
 func newFakeView(t *testing.T, blocks map[string]storage.BlockRecord) *fakeView {
 	t.Helper()
 	v := &fakeView{cache: storage.NewCache(testKeys), partitionCount: 1, addresses: map[string]string{}}
@@ -63,7 +63,7 @@
 	return v
 }
 
-// put sets a record in the cache, at the next revision.
+// put writes a record to the cache, at the next revision.
 func (v *fakeView) put(t *testing.T, key string, value any) {
 	t.Helper()
 	v.revision++
@@ -73,7 +73,7 @@
 	}
 }
 
-// block is a record of a block of the duties' kind in a partition.
+// block returns the record of a block of testKind machines in a partition.
 func block(partition int, machines ...string) storage.BlockRecord {
 	b := storage.BlockRecord{Partition: partition, InstanceType: "m", Zone: "a"}
 	b.Machines = map[string]storage.MachineRecord{}
@@ -83,10 +83,10 @@
 	return b
 }
 
-// newTestTerm is a term of leadership that began long ago.
+// newTestTerm returns a leadership term that started long ago.
 func newTestTerm() *leaderTerm { return &leaderTerm{revision: leaderRevision} }
 
-// newTestConfig are settings for the duties.
+// newTestConfig returns the default test configuration.
 func newTestConfig(t *testing.T) *config.Config {
 	t.Helper()
 	cfg, err := config.Parse(configtest.Default().Platform(), nil)
@@ -96,7 +96,7 @@
 	return cfg
 }
 
-// takeCloudCall returns the only call to the cloud that has had no reply.
+// takeCloudCall removes and returns the only call to the cloud that has not been answered.
 func (v *fakeView) takeCloudCall(t *testing.T, operation messages.CloudOperation) cloudCall {
 	t.Helper()
 	if len(v.cloudCalls) != 1 || v.cloudCalls[0].Operation != operation {
@@ -107,7 +107,7 @@
 	return call
 }
 
-// requireNoCloudCall fails the test if a call to the cloud waits for a reply.
+// requireNoCloudCall fails the test if a call to the cloud has not been answered.
 func (v *fakeView) requireNoCloudCall(t *testing.T) {
 	t.Helper()
 	if len(v.cloudCalls) > 0 {
@@ -149,7 +149,7 @@
 	return at, ok
 }
 
-// newTestPeers are the peers of the duties' process, of which one sent a status at a time.
+// newTestPeers returns the peers of testProcess, which sent the given statuses at a time.
 func newTestPeers(at micros.Time, statuses ...*messages.PeerStatus) *membership.Peers {
 	peers := membership.NewPeers(testProcess.Member, nil)
 	for _, status := range statuses {
