--- a/internal/coordination/clusterleader/archiver_test.go
+++ b/internal/coordination/clusterleader/archiver_test.go
@@ -10,11 +10,11 @@
 	"pipitlatch/internal/workload"
 )
 
-// archivableRevision is the revision that the tests' archiver has dated long enough ago.
+// archivableRevision is the newest revision that is old enough to be archived in the tests.
 const archivableRevision = 13
 
-// newTestArchiver is an archiver that keeps two jobs that are over. The cache has one that is
-// active, and four that are over, of which the last is newer than the settled revision.
+// newTestArchiver returns an archiver that keeps two terminal jobs cached. The cache has one active
+// job and four terminal ones, of which the last is newer than archivableRevision.
 func newTestArchiver(t *testing.T) (*fakeView, *archiver) {
 	t.Helper()
 	v := newFakeView(t, nil)
@@ -24,7 +24,7 @@
 	applyJob(t, v.cache, "wk-000002", workload.Cancelled, 13)
 	applyJob(t, v.cache, "wk-000004", workload.Done, 14)
 	cfg := newTestConfig(t)
-	cfg.Settings.State.RPS = 0.005 // as many as a start reads in a second: two jobs
+	cfg.Settings.State.RPS = 0.005 // limits the cache to what a start reads in a second: two jobs
 	if kept := cfg.MaxCachedTerminalJobs(); kept != 2 {
 		t.Fatalf("%d jobs are kept, want 2", kept)
 	}
@@ -43,14 +43,14 @@
 	}
 }
 
-// takeArchiveRequest returns the call that moves jobs, and the keys that it deletes.
+// takeArchiveRequest returns the call that archives jobs, and the keys that it deletes.
 func takeArchiveRequest(t *testing.T, v *fakeView) (*storetest.Call, []string) {
 	t.Helper()
 	call := v.Take(t, storage.Txn)
 	return call, call.Request.Deletes
 }
 
-func TestArchiverMovesTheOldestJobsThatAreTooMany(t *testing.T) {
+func TestArchiverMovesOldestJobsAboveTheLimit(t *testing.T) {
 	v, a := newTestArchiver(t)
 	a.tick()
 	call, moved := takeArchiveRequest(t, v)
@@ -60,7 +60,7 @@
 	want := []storage.Compare{v.LeaderCompare(),
 		{Key: testKeys.Job("wk-000001"), ModRevision: 11}, {Key: testKeys.Job("wk-000002"), ModRevision: 13}}
 	if !slices.Equal(call.Request.Compares, want) {
-		t.Errorf("guards %+v, want %+v", call.Request.Compares, want)
+		t.Errorf("comparisons %+v, want %+v", call.Request.Compares, want)
 	}
 	var archived []string
 	for _, put := range call.Request.Puts {
@@ -74,9 +74,9 @@
 	}
 }
 
-func TestArchiverMovesAsManyAsATransactionTakes(t *testing.T) {
+func TestArchiverMovesAsManyJobsAsFitATransaction(t *testing.T) {
 	v, a := newTestArchiver(t)
-	a.config.Settings.State.TxnOps = 3 // and a job takes two
+	a.config.Settings.State.TxnOps = 3 // a job takes two
 	a.tick()
 	if _, moved := takeArchiveRequest(t, v); !slices.Equal(moved, []string{testKeys.Job("wk-000001")}) {
 		t.Errorf("moved %v, want the oldest", moved)
@@ -88,17 +88,17 @@
 		name   string
 		change func(*testing.T, *fakeView, *archiver)
 	}{
-		{"while the store cannot be reached",
+		{"while the store is unreachable",
 			func(_ *testing.T, v *fakeView, _ *archiver) { v.unreachable = true }},
-		{"before its time", func(_ *testing.T, v *fakeView, a *archiver) { a.nextRunAt = v.Time + 1 }},
-		{"before a term is old enough", func(_ *testing.T, _ *fakeView, a *archiver) { a.startTerm() }},
+		{"before the next run is due", func(_ *testing.T, v *fakeView, a *archiver) { a.nextRunAt = v.Time + 1 }},
+		{"at the beginning of a term", func(_ *testing.T, _ *fakeView, a *archiver) { a.startTerm() }},
 		{"while there are few jobs", func(_ *testing.T, _ *fakeView, a *archiver) { a.config.Settings.State.RPS = 0.009 }},
-		{"while all that are too many are newer than what is settled",
+		{"while all jobs above the limit are too recent",
 			func(_ *testing.T, v *fakeView, a *archiver) {
 				a.startTerm()
 				a.revisions.observe(v.Time-300*micros.Second, 10, 300*micros.Second)
 			}},
-		{"while active jobs depend on the jobs that are over",
+		{"while active jobs depend on the terminal jobs",
 			func(t *testing.T, v *fakeView, _ *archiver) {
 				applyJob(t, v.cache, "wk-000020", workload.Active, 15, "wk-000001", "wk-000002", "wk-000003")
 			}},
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestArchiverPausesForItsShareOfTheWrites(t *testing.T) {
+func TestArchiverKeepsToItsShareOfTheWriteLimit(t *testing.T) {
 	v, a := newTestArchiver(t)
 	a.tick()
 	call, _ := takeArchiveRequest(t, v)
@@ -124,7 +124,7 @@
 	v.RequireNoCall(t) // the first is in flight
 	a.config.Settings.State.WriteRPS = 4
 	call.Reply(storage.Reply{Outcome: storage.OK})
-	v.Time += 6*micros.Second - 1 // four writes, a sixth of four a second
+	v.Time += 6*micros.Second - 1 // four writes at a sixth of four per second
 	a.tick()
 	v.RequireNoCall(t)
 	v.Time++
@@ -142,11 +142,11 @@
 		t.Errorf("request %+v, want one that deletes %s only", call.Request, part)
 	}
 	if want := []storage.Compare{v.LeaderCompare()}; !slices.Equal(call.Request.Compares, want) {
-		t.Errorf("guards %+v, want %+v", call.Request.Compares, want)
+		t.Errorf("comparisons %+v, want %+v", call.Request.Compares, want)
 	}
 	call.Reply(storage.Reply{Outcome: storage.OK})
 	a.tick()
-	v.RequireNoCall(t) // paused
+	v.RequireNoCall(t) // before archiveInterval has passed
 	v.Time += archiveInterval
 	a.tick()
 	v.Take(t, storage.Txn)
