--- a/internal/coordination/clusterleader/block_pruning_test.go
+++ b/internal/coordination/clusterleader/block_pruning_test.go
@@ -9,43 +9,44 @@
 	"pipitlatch/internal/storage"
 )
 
-// newTestPruning is one with blocks a of two machines, b of one, and r of one and an open request.
-func newTestPruning(t *testing.T, gone ...string) (*fakeView, *blockPruning) {
+// newTestPruning returns a blockPruning with a block a of two machines, b of one machine, and r of one
+// machine and an open request. The given machines are terminated.
+func newTestPruning(t *testing.T, terminated ...string) (*fakeView, *blockPruning) {
 	t.Helper()
 	open := block(0, "r1")
 	open.Requested = 3
 	v := newFakeView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2"), "b": block(0, "b1"), "r": open})
 	p := newBlockPruning(v, testKeys, provisioning.NewTerminatedInstances())
 	p.startTerm()
-	for _, machine := range gone {
+	for _, machine := range terminated {
 		p.terminated.Confirm(machine, v.Time)
 	}
 	return v, p
 }
 
-func TestBlockPruningWritesWhatIsLeft(t *testing.T) {
+func TestBlockPruningWritesRemainingMachines(t *testing.T) {
 	rest := block(0)
 	rest.Requested = 3
 	tests := []struct {
-		name   string
-		gone   string
-		block  string
-		put    any // nil: the block is deleted
-		delete bool
+		name       string
+		terminated string
+		block      string
+		put        any // nil: the block is deleted
+		delete     bool
 	}{
-		{name: "a block with machines left", gone: "a1", block: "a", put: block(0, "a2")},
-		{name: "a block without any", gone: "b1", block: "b", delete: true},
-		{name: "a block without any and an open request", gone: "r1", block: "r", put: rest},
+		{name: "a block with remaining machines", terminated: "a1", block: "a", put: block(0, "a2")},
+		{name: "a block without machines", terminated: "b1", block: "b", delete: true},
+		{name: "a block without machines, with an open request", terminated: "r1", block: "r", put: rest},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			v, p := newTestPruning(t, test.gone)
+			v, p := newTestPruning(t, test.terminated)
 			p.tick()
 			r := v.Take(t, storage.Txn).Request
 			key := testKeys.Block(test.block)
 			want := []storage.Compare{v.LeaderCompare(), {Key: key, ModRevision: v.cache.Blocks[test.block].ModRevision}}
 			if !slices.Equal(r.Compares, want) {
-				t.Errorf("guards %+v, want %+v", r.Compares, want)
+				t.Errorf("comparisons %+v, want %+v", r.Compares, want)
 			}
 			if test.delete {
 				if !slices.Equal(r.Deletes, []string{key}) || len(r.Puts) > 0 {
@@ -60,13 +61,13 @@
 	}
 }
 
-func TestBlockPruningWritesNothingForMachinesWithoutRecord(t *testing.T) {
+func TestBlockPruningIgnoresUnrecordedMachines(t *testing.T) {
 	v, p := newTestPruning(t, "unrecorded")
 	p.tick()
 	v.RequireNoCall(t)
 }
 
-func TestBlockPruningPausesForEachBlock(t *testing.T) {
+func TestBlockPruningLimitsTheRatePerBlock(t *testing.T) {
 	v, p := newTestPruning(t, "a1")
 	p.tick()
 	call := v.Take(t, storage.Txn)
@@ -81,15 +82,15 @@
 	v.RequireNoCall(t)
 	v.Time++
 	p.tick()
-	v.Take(t, storage.Txn) // of a again; the write of b has had no answer
+	v.Take(t, storage.Txn) // of a again; the write of b has not been answered
 	v.Time += micros.Second + storeTimeout
 	p.tick()
 	if len(v.Calls) != 2 {
-		t.Errorf("%d requests once writes without an answer are surely over, want 2", len(v.Calls))
+		t.Errorf("%d requests after the time-out of unanswered writes, want 2", len(v.Calls))
 	}
 }
 
-func TestBlockPruningGoesOnWhenTheRequestBudgetAllows(t *testing.T) {
+func TestBlockPruningContinuesWhenTheRequestBudgetAllows(t *testing.T) {
 	v, p := newTestPruning(t, "a1")
 	v.OverBudget = true
 	p.tick()
