--- a/internal/coordination/clusterleader/format_upgrade_test.go
+++ b/internal/coordination/clusterleader/format_upgrade_test.go
@@ -9,7 +9,8 @@
 	"pipitlatch/internal/storage"
 )
 
-// newTestFormatUpgrade is that of a cluster of two members, both registered with this version.
+// newTestFormatUpgrade returns the formatUpgrade of a cluster of two members, both registered with
+// this version.
 func newTestFormatUpgrade(t *testing.T) (*fakeView, *formatUpgrade) {
 	t.Helper()
 	v := newFakeView(t, nil)
@@ -33,12 +34,12 @@
 		change func(*testing.T, *fakeView)
 		want   bool
 	}{
-		{"all of this version", func(*testing.T, *fakeView) {}, true},
+		{"all members of this version", func(*testing.T, *fakeView) {}, true},
 		{"the store has the format already",
 			func(t *testing.T, v *fakeView) { v.put(t, testKeys.Format(), map[string]int{"v": storage.Format}) }, false},
 		{"a peer of an older version",
 			func(t *testing.T, v *fakeView) { register(t, v, "n1", storage.Format-1) }, false},
-		{"this member of an older version, as its record tells",
+		{"this member registered with an older version",
 			func(t *testing.T, v *fakeView) { register(t, v, "n0", storage.Format-1) }, false},
 		{"a peer that is not registered",
 			func(_ *testing.T, v *fakeView) { delete(v.cache.Members, "n1") }, false},
@@ -54,7 +55,7 @@
 			}
 			r := v.Take(t, storage.Txn).Request
 			if want := []storage.Compare{v.LeaderCompare()}; !slices.Equal(r.Compares, want) {
-				t.Errorf("guards %+v, want %+v", r.Compares, want)
+				t.Errorf("comparisons %+v, want %+v", r.Compares, want)
 			}
 			if len(r.Puts) != 1 || r.Puts[0].Key != testKeys.Format() {
 				t.Errorf("puts %+v, want the format", r.Puts)
@@ -63,7 +64,7 @@
 	}
 }
 
-func TestFormatUpgradeIsRetriedAfterAPause(t *testing.T) {
+func TestFormatUpgradeRetriesAfterAnInterval(t *testing.T) {
 	v, u := newTestFormatUpgrade(t)
 	u.tick()
 	call := v.Take(t, storage.Txn)
