--- a/internal/coordination/clusterleader/instance_listing_test.go
+++ b/internal/coordination/clusterleader/instance_listing_test.go
@@ -11,7 +11,7 @@
 	"pipitlatch/internal/storage"
 )
 
-// newTestListing is that of a cluster leader with machines a1 and a2.
+// newTestListing returns the instanceListing of a cluster leader with machines a1 and a2.
 func newTestListing(t *testing.T) (*fakeView, *instanceListing) {
 	t.Helper()
 	v := newFakeView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2")})
@@ -29,14 +29,14 @@
 	return v, listing
 }
 
-// list plays the reading of a list of one page.
+// list runs a listing whose only page has the given instances.
 func list(t *testing.T, v *fakeView, l *instanceListing, instances ...messages.Instance) {
 	t.Helper()
 	l.tick()
 	v.takeCloudCall(t, messages.CloudList).reply(&messages.CloudReply{Outcome: messages.CloudOK, Instances: instances})
 }
 
-// listed are instances that run, and have for long.
+// listed returns instances that have been running for a long time.
 func listed(names ...string) []messages.Instance {
 	var instances []messages.Instance
 	for _, name := range names {
@@ -48,14 +48,14 @@
 
 var observationCases = []struct {
 	name      string
-	change    func(*fakeView, *instanceListing, *messages.Instance) // before the list with instance x comes
-	instance  string                                                // x
-	requested bool                                                  // is its termination
-	orphan    bool                                                  // is it adopted
-	address   string                                                // that its partition's leader gets to know
+	change    func(*fakeView, *instanceListing, *messages.Instance) // applied before the listing
+	instance  string                                                // name of the listed instance
+	requested bool                                                  // whether its termination is requested
+	orphan    bool                                                  // whether it is to be adopted
+	address   string                                                // reported to its partition's leader
 }{
 	{name: "a recorded machine", instance: "a1", address: "a1:1"},
-	{name: "a recorded machine that does not run yet", instance: "a1",
+	{name: "a recorded machine that is not running yet", instance: "a1",
 		change: func(_ *fakeView, _ *instanceListing, i *messages.Instance) { i.Running = false }},
 	{name: "a recorded machine without an address", instance: "a1",
 		change: func(_ *fakeView, _ *instanceListing, i *messages.Instance) { i.Address = "" }},
@@ -70,7 +70,7 @@
 		change: func(v *fakeView, l *instanceListing, _ *messages.Instance) {
 			l.term.acquiredAt = v.Time - orphanMinTerm
 		}},
-	{name: "an instance that is surely gone", instance: "x",
+	{name: "a terminated instance", instance: "x",
 		change: func(_ *fakeView, l *instanceListing, i *messages.Instance) {
 			i.Failed = true
 			l.terminated.Confirm("x", 0)
@@ -119,14 +119,14 @@
 		name     string
 		elapsed  micros.Time // between two lists without a2
 		contact  micros.Time // with a2, before the second list; 0: none
-		listed   []string    // by the second list
+		listed   []string    // in the second list
 		requests []string
 	}{
-		{name: "none in the list", elapsed: timeout + 1, listed: []string{"a1", "a2"}},
+		{name: "listed again", elapsed: timeout + 1, listed: []string{"a1", "a2"}},
 		{name: "absent, but not for long", elapsed: timeout, listed: []string{"a1"}},
 		{name: "absent for long", elapsed: timeout + 1, listed: []string{"a1"}, requests: []string{"a2"}},
-		{name: "absent, but heard from", elapsed: timeout + 1, contact: absentContactTimeout, listed: []string{"a1"}},
-		{name: "absent, and heard from long ago", elapsed: timeout + 1, contact: absentContactTimeout + 1,
+		{name: "absent, with recent contact", elapsed: timeout + 1, contact: absentContactTimeout, listed: []string{"a1"}},
+		{name: "absent, with contact long ago", elapsed: timeout + 1, contact: absentContactTimeout + 1,
 			listed: []string{"a1"}, requests: []string{"a2"}},
 	}
 	for _, test := range tests {
@@ -154,7 +154,7 @@
 	first.reply(&messages.CloudReply{Outcome: messages.CloudOK, Instances: listed("a1"), More: true})
 	second := v.takeCloudCall(t, messages.CloudList)
 	if second.After != "a1" {
-		t.Errorf("the second page begins after %q, want a1", second.After)
+		t.Errorf("the second page starts after %q, want a1", second.After)
 	}
 	second.reply(&messages.CloudReply{Outcome: messages.CloudOK, Instances: listed("a2")})
 	if len(l.termination.requested) > 0 {
@@ -176,9 +176,9 @@
 	v.takeCloudCall(t, messages.CloudList) // from the beginning
 }
 
-func TestInstanceListingPauses(t *testing.T) {
+func TestInstanceListingKeepsItsInterval(t *testing.T) {
 	v, l := newTestListing(t)
-	l.config.Settings.Cloud.RPS = 1 // so that a page is due every four seconds
+	l.config.Settings.Cloud.RPS = 1 // one page every four seconds
 	list(t, v, l, listed("a1", "a2")...)
 	v.Time += 4*micros.Second - 1
 	l.tick()
@@ -187,7 +187,7 @@
 	l.tick()
 	v.Time += 100 * micros.Second
 	l.tick()
-	v.takeCloudCall(t, messages.CloudList) // one only, as it has had no reply
+	v.takeCloudCall(t, messages.CloudList) // only one: it has not been answered
 }
 
 func TestInstanceListingOfAnEarlierTermIsIgnored(t *testing.T) {
