--- a/internal/coordination/clusterleader/instance_termination_test.go
+++ b/internal/coordination/clusterleader/instance_termination_test.go
@@ -11,7 +11,8 @@
 	"pipitlatch/internal/storage"
 )
 
-// newTestTermination is a cluster leader's with machines a1 and a2 in partition 0 and b1 in 1.
+// newTestTermination returns the instanceTermination of a cluster leader with machines a1 and a2 in
+// partition 0 and b1 in partition 1.
 func newTestTermination(t *testing.T) (*fakeView, *instanceTermination) {
 	t.Helper()
 	v := newFakeView(t, map[string]storage.BlockRecord{"a": block(0, "a1", "a2"), "b": block(1, "b1")})
@@ -23,12 +24,12 @@
 	return v, termination
 }
 
-// terminating is what a partition leader lets go.
+// terminating returns the status of a partition whose leader releases machines for termination.
 func terminating(partition int, machines ...string) messages.PartitionStatus {
 	return messages.PartitionStatus{Partition: partition, Terminate: machines}
 }
 
-func TestInstanceTerminationCallsForWhatIsLetGo(t *testing.T) {
+func TestInstanceTerminationTerminatesReleasedMachines(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*fakeView, *instanceTermination)
@@ -38,13 +39,13 @@
 		{"machines of the partition's own, each once", func(v *fakeView, _ *instanceTermination) {
 			v.statuses = []messages.PartitionStatus{terminating(1, "b1", "b1", "a1", "unrecorded"), terminating(0, "a2")}
 		}, []string{"b1", "a2"}},
-		{"what is requested besides, in order", func(v *fakeView, s *instanceTermination) {
+		{"other requested instances, in order", func(v *fakeView, s *instanceTermination) {
 			v.statuses = []messages.PartitionStatus{terminating(0, "a2")}
 			s.request("z")
 			s.request("unrecorded")
 			s.request("a2")
 		}, []string{"a2", "unrecorded", "z"}},
-		{"nothing that is gone", func(v *fakeView, s *instanceTermination) {
+		{"no terminated instance", func(v *fakeView, s *instanceTermination) {
 			v.statuses = []messages.PartitionStatus{terminating(0, "a1", "a2")}
 			s.terminated.Confirm("a1", v.Time)
 		}, []string{"a2"}},
@@ -73,7 +74,7 @@
 	}
 }
 
-func TestInstanceTerminationBoundsACall(t *testing.T) {
+func TestInstanceTerminationLimitsInstancesPerCall(t *testing.T) {
 	v, termination := newTestTermination(t)
 	for i := range maxTerminations + 1 {
 		termination.request(fmt.Sprintf("m%03d", i))
@@ -92,26 +93,26 @@
 	termination.tick()
 	v.takeCloudCall(t, messages.CloudTerminate).reply(&messages.CloudReply{Outcome: messages.CloudOK})
 	if !termination.terminated.Contains("a1") || !termination.terminated.Contains("unrecorded") {
-		t.Error("instances are not remembered as gone")
+		t.Error("instances are not recorded as terminated")
 	}
 	if want := []string{"a1", "unrecorded"}; !slices.Equal(v.terminated, want) {
-		t.Errorf("partitions got to know of %v, want %v", v.terminated, want)
+		t.Errorf("partitions were informed of %v, want %v", v.terminated, want)
 	}
 	if got := termination.capacity.Limit(testKind, v.Time); got != 1 {
-		t.Errorf("%d more instances of the kind are expected to be available, want 1", got)
+		t.Errorf("%d instances of the exhausted kind may be requested, want 1", got)
 	}
 	if len(termination.requested) > 0 || !v.statusSoon {
 		t.Errorf("still requested: %v; status soon: %v", termination.requested, v.statusSoon)
 	}
-	v.Take(t, storage.Txn) // of the pruned block
+	v.Take(t, storage.Txn) // prunes the block
 }
 
-func TestInstanceTerminationPausesAfterACall(t *testing.T) {
+func TestInstanceTerminationWaitsAfterACall(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		outcome messages.CloudOutcome
 		pause   micros.Time
-		gone    bool
+		proven  bool // whether the instance is proven to be gone
 	}{
 		{"that succeeded", messages.CloudOK, terminationInterval, true},
 		{"that failed", messages.CloudOutcomeUnknown, terminationRetryInterval, false},
@@ -126,8 +127,8 @@
 			termination.tick()
 			v.requireNoCloudCall(t) // the first is in flight
 			call.reply(&messages.CloudReply{Outcome: test.outcome})
-			if got := termination.terminated.Contains("x"); got != test.gone {
-				t.Errorf("gone: %v, want %v", got, test.gone)
+			if got := termination.terminated.Contains("x"); got != test.proven {
+				t.Errorf("recorded as terminated: %v, want %v", got, test.proven)
 			}
 			v.Time += test.pause - 1
 			termination.tick()
@@ -147,6 +148,6 @@
 	v.takeCloudCall(t, messages.CloudTerminate).reply(&messages.CloudReply{Outcome: messages.CloudOK})
 	v.RequireNoCall(t)
 	if !termination.terminated.Contains("a1") {
-		t.Error("the instance is not remembered as gone")
+		t.Error("the instance is not recorded as terminated")
 	}
 }
