--- a/internal/coordination/clusterleader/machine_transfers_test.go
+++ b/internal/coordination/clusterleader/machine_transfers_test.go
@@ -10,13 +10,14 @@
 	"pipitlatch/internal/storage"
 )
 
-// lacking is a partition that lacks capacity, for which spot instances will do or not.
+// lacking returns the status of a partition that lacks capacity; spot tells whether spot instances
+// are acceptable.
 func lacking(partition int, spot bool) messages.PartitionStatus {
 	requests := []provisioning.CapacityRequest{{Count: 1, Spot: spot}}
 	return messages.PartitionStatus{Partition: partition, CapacityRequests: requests}
 }
 
-// idle is a partition with idle machines.
+// idle returns the status of a partition with idle machines.
 func idle(partition int, machines ...string) messages.PartitionStatus {
 	return messages.PartitionStatus{Partition: partition, Idle: machines}
 }
@@ -26,20 +27,20 @@
 	statuses []messages.PartitionStatus
 	want     map[string][]messages.MachineTransfer
 }{
-	{"none where nothing is idle", []messages.PartitionStatus{lacking(0, false), idle(1)}, nil},
-	{"none where nothing is lacking", []messages.PartitionStatus{idle(0, "m0"), idle(1, "m1")}, nil},
-	{"one idle machine, to the partition that lacks", []messages.PartitionStatus{lacking(0, false), idle(1, "m1", "m1b")},
+	{"none if no machine is idle", []messages.PartitionStatus{lacking(0, false), idle(1)}, nil},
+	{"none if no partition lacks capacity", []messages.PartitionStatus{idle(0, "m0"), idle(1, "m1")}, nil},
+	{"one idle machine, to the partition that lacks capacity", []messages.PartitionStatus{lacking(0, false), idle(1, "m1", "m1b")},
 		map[string][]messages.MachineTransfer{"n1": {{Machine: "m1", ToPartition: 0}}}},
-	{"to the first that lacks, from the first that has",
+	{"to the first partition that lacks capacity, from the first with an idle machine",
 		[]messages.PartitionStatus{idle(0, "m0"), idle(1, "m1"), lacking(2, false), lacking(3, false)},
 		map[string][]messages.MachineTransfer{"n0": {{Machine: "m0", ToPartition: 2}}}},
 	{"no machine without a record", []messages.PartitionStatus{lacking(0, false), idle(1, "unrecorded", "m1")},
 		map[string][]messages.MachineTransfer{"n1": {{Machine: "m1", ToPartition: 0}}}},
-	{"no spot instance where it will not do", []messages.PartitionStatus{lacking(0, false), idle(1, "spot1", "m1")},
+	{"no spot instance if it is not acceptable", []messages.PartitionStatus{lacking(0, false), idle(1, "spot1", "m1")},
 		map[string][]messages.MachineTransfer{"n1": {{Machine: "m1", ToPartition: 0}}}},
-	{"a spot instance where it will do", []messages.PartitionStatus{lacking(0, true), idle(1, "spot1", "m1")},
+	{"a spot instance if it is acceptable", []messages.PartitionStatus{lacking(0, true), idle(1, "spot1", "m1")},
 		map[string][]messages.MachineTransfer{"n1": {{Machine: "spot1", ToPartition: 0}}}},
-	{"none from a partition that lacks itself", []messages.PartitionStatus{lacking(0, false),
+	{"none from a partition that lacks capacity itself", []messages.PartitionStatus{lacking(0, false),
 		{Partition: 1, Idle: []string{"m1"}, CapacityRequests: []provisioning.CapacityRequest{{Count: 1}}}}, nil},
 }
 
@@ -73,7 +74,7 @@
 	}
 }
 
-func TestMachineTransfersPause(t *testing.T) {
+func TestMachineTransfersKeepTheirInterval(t *testing.T) {
 	v := newTransferView(t)
 	v.statuses = []messages.PartitionStatus{lacking(0, false), idle(1, "m1")}
 	transfers := machineTransfers{view: v}
@@ -84,13 +85,13 @@
 		v.Time += step.after
 		transfers.tick()
 		if got := len(transfers.pending["n1"]); got != step.total {
-			t.Errorf("%d transfers after %d more, want %d", got, step.after, step.total)
+			t.Errorf("%d transfers after another %d µs, want %d", got, step.after, step.total)
 		}
 	}
 	v.partitionCount = 1
 	v.Time += transferInterval
 	transfers.tick()
 	if got := len(transfers.pending["n1"]); got != 2 {
-		t.Errorf("a transfer though there is one partition only")
+		t.Errorf("%d transfers, want no further one in a cluster with a single partition", got)
 	}
 }
