--- a/internal/coordination/clusterleader/orphans_test.go
+++ b/internal/coordination/clusterleader/orphans_test.go
@@ -11,7 +11,7 @@
 	"pipitlatch/internal/storage"
 )
 
-// newTestAdoption is that of a cluster leader with a machine a1.
+// newTestAdoption returns the orphanAdoption of a cluster leader with a machine a1.
 func newTestAdoption(t *testing.T) (*fakeView, *orphanAdoption) {
 	t.Helper()
 	v := newFakeView(t, map[string]storage.BlockRecord{"a": block(0, "a1")})
@@ -22,7 +22,7 @@
 	return v, a
 }
 
-// adopted is a block of orphans, each with its name as its address.
+// adopted returns the record of a block of orphans, each with its name as its address.
 func adopted(partition int, machines ...string) storage.BlockRecord {
 	b := block(partition)
 	for _, machine := range machines {
@@ -31,7 +31,7 @@
 	return b
 }
 
-func TestOrphanAdoptionTakes(t *testing.T) {
+func TestOrphanAdoptionAdd(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*fakeView, *orphanAdoption)
@@ -39,10 +39,10 @@
 		want   bool
 	}{
 		{"an unmanaged instance", func(*fakeView, *orphanAdoption) {}, "x", true},
-		{"not a recorded one", func(*fakeView, *orphanAdoption) {}, "a1", false},
-		{"not one that is gone", func(_ *fakeView, a *orphanAdoption) { a.terminated.Confirm("x", 0) }, "x", false},
+		{"no recorded machine", func(*fakeView, *orphanAdoption) {}, "a1", false},
+		{"no terminated instance", func(_ *fakeView, a *orphanAdoption) { a.terminated.Confirm("x", 0) }, "x", false},
 		{"none as a follower", func(v *fakeView, _ *orphanAdoption) { v.follower = true }, "x", false},
-		{"none before the term has begun", func(_ *fakeView, a *orphanAdoption) { a.term.revision-- }, "x", false},
+		{"none before the term has started", func(_ *fakeView, a *orphanAdoption) { a.term.revision-- }, "x", false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 			test.change(v, a)
 			a.add(test.orphan, test.orphan, testKind)
 			if _, got := a.orphans[test.orphan]; got != test.want {
-				t.Errorf("taken: %v, want %v", got, test.want)
+				t.Errorf("added: %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -59,22 +59,22 @@
 var adoptionCases = []struct {
 	name   string
 	change func(*testing.T, *fakeView, *orphanAdoption) // with orphans x and y
-	want   any                                          // the record written; nil: none
-	left   []string                                     // orphans that are still to be adopted
+	want   any                                          // the record written, or nil
+	left   []string                                     // remaining orphans
 }{
 	{"in one block", func(*testing.T, *fakeView, *orphanAdoption) {}, adopted(0, "x", "y"), []string{"x", "y"}},
-	{"as many as a block may have", func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.add("z", "z", testKind) },
+	{"as many machines as a block may have", func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.add("z", "z", testKind) },
 		adopted(0, "x", "y"), []string{"x", "y", "z"}},
-	{"in the partition that lacks most", func(_ *testing.T, v *fakeView, _ *orphanAdoption) {
+	{"in the partition that lacks capacity for the most tasks", func(_ *testing.T, v *fakeView, _ *orphanAdoption) {
 		v.statuses = []messages.PartitionStatus{needing(0, 1), needing(2, 3), needing(1, 2)}
 	}, adopted(2, "x", "y"), []string{"x", "y"}},
-	{"those of one kind, the first", func(_ *testing.T, _ *fakeView, a *orphanAdoption) {
+	{"only the first kind", func(_ *testing.T, _ *fakeView, a *orphanAdoption) {
 		a.add("b", "b", provisioning.InstanceKind{InstanceType: "n", Zone: "a"})
 	}, adopted(0, "x", "y"), []string{"b", "x", "y"}},
-	{"without those recorded by now", func(t *testing.T, v *fakeView, _ *orphanAdoption) {
+	{"without orphans recorded since", func(t *testing.T, v *fakeView, _ *orphanAdoption) {
 		v.put(t, testKeys.Block("b"), block(0, "x"))
 	}, adopted(0, "y"), []string{"y"}},
-	{"without those gone by now", func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.terminated.Confirm("y", 0) },
+	{"without orphans terminated since", func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.terminated.Confirm("y", 0) },
 		adopted(0, "x"), []string{"x"}},
 	{"none while a request for the kind is in flight",
 		func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.scaling.pending.Started("c1-1", testKind) },
@@ -87,12 +87,12 @@
 		other.Spot = true
 		v.put(t, testKeys.Block("c1-1"), other)
 	}, adopted(0, "x", "y"), []string{"x", "y"}},
-	{"none while a request may have become a block that is not seen yet",
+	{"none while a request may have become a block that is not cached yet",
 		func(_ *testing.T, v *fakeView, a *orphanAdoption) {
 			a.scaling.advanceProvisionedRevision(v.cache.Revision + 1)
 		},
 		nil, []string{"x", "y"}},
-	{"none before its time", func(_ *testing.T, v *fakeView, a *orphanAdoption) { a.nextAt = v.Time + 1 },
+	{"none before the next adoption is due", func(_ *testing.T, v *fakeView, a *orphanAdoption) { a.nextAt = v.Time + 1 },
 		nil, []string{"x", "y"}},
 }
 
@@ -114,7 +114,7 @@
 			r := v.Take(t, storage.Txn).Request
 			key := testKeys.Block("a4-1")
 			if want := []storage.Compare{v.LeaderCompare(), {Key: key}}; !slices.Equal(r.Compares, want) {
-				t.Errorf("guards %+v, want %+v", r.Compares, want)
+				t.Errorf("comparisons %+v, want %+v", r.Compares, want)
 			}
 			if len(r.Puts) != 1 || r.Puts[0].Key != key || string(r.Puts[0].Value) != string(storage.Encode(test.want)) {
 				t.Errorf("puts %+v, want %s", r.Puts, storage.Encode(test.want))
