--- a/internal/coordination/clusterleader/partition_assignment_test.go
+++ b/internal/coordination/clusterleader/partition_assignment_test.go
@@ -15,7 +15,8 @@
 	n2 = storage.Process{Member: "n2", Incarnation: "1"}
 )
 
-// status is a member's, which leads partition 0 if it has zones that it does not reach.
+// status returns the status of a member. If there are unreachable zones, the member reports them for
+// partition 0.
 func status(from storage.Process, unreachableZones ...string) *messages.PeerStatus {
 	s := &messages.PeerStatus{From: from, StoreReachable: true}
 	if len(unreachableZones) > 0 {
@@ -24,8 +25,8 @@
 	return s
 }
 
-// newTestAssignment is that of a cluster of three members of which n1 leads the only partition,
-// has 40 machines in use, and reaches 10 of them; n2 reaches 20.
+// newTestAssignment returns the partitionAssignment of a cluster of three members. n1 leads the only
+// partition, which has 40 machines in use; n1 reaches 10 of them and n2 reaches 20.
 func newTestAssignment(t *testing.T) (*fakeView, *partitionAssignment) {
 	t.Helper()
 	v := newFakeView(t, nil)
@@ -44,27 +45,27 @@
 var reassignmentCases = []struct {
 	name   string
 	change func(*fakeView, *partitionAssignment)
-	leader storage.Process // that the partition gets; zero: it keeps its own
+	leader storage.Process // the new leader; zero: the partition is not reassigned
 }{
-	{"a leader that is heard and reaches its machines", func(*fakeView, *partitionAssignment) {}, storage.Process{}},
+	{"a responsive leader that reaches its machines", func(*fakeView, *partitionAssignment) {}, storage.Process{}},
 	{"a leader that is not registered",
 		func(v *fakeView, _ *partitionAssignment) { delete(v.cache.Members, "n1") }, n2},
-	{"a leader that was just heard", func(v *fakeView, _ *partitionAssignment) { v.Time += unresponsiveTimeout - 1 },
+	{"a leader just before the time-out", func(v *fakeView, _ *partitionAssignment) { v.Time += unresponsiveTimeout - 1 },
 		storage.Process{}},
-	{"a leader that is not heard", func(v *fakeView, a *partitionAssignment) {
+	{"an unresponsive leader", func(v *fakeView, a *partitionAssignment) {
 		v.Time += unresponsiveTimeout
 		a.peers.Receive(v.Time, status(n2))
 	}, n2},
-	{"a leader that is not heard, at the beginning of a term", func(v *fakeView, a *partitionAssignment) {
+	{"an unresponsive leader at the beginning of a term", func(v *fakeView, a *partitionAssignment) {
 		v.Time += unresponsiveTimeout
 		a.peers.Receive(v.Time, status(n2))
 		a.term.acquiredAt = v.Time - unresponsiveTimeout
 	}, storage.Process{}},
-	{"a leader of whose member another run is heard", func(v *fakeView, a *partitionAssignment) {
+	{"a leader whose member sends statuses as another incarnation", func(v *fakeView, a *partitionAssignment) {
 		a.peers.Receive(v.Time, status(storage.Process{Member: "n1", Incarnation: "0"}))
 	}, n2},
 	{"an isolated leader", func(v *fakeView, a *partitionAssignment) { a.peers.Receive(v.Time, status(n1, "b")) }, n2},
-	{"an isolated leader, of which that is known from long ago", func(v *fakeView, a *partitionAssignment) {
+	{"an isolated leader whose status is outdated", func(v *fakeView, a *partitionAssignment) {
 		a.peers.Receive(v.Time-statusLifetime-1, status(n1, "b"))
 	}, storage.Process{}},
 	{"a leader that reaches all zones, though another reaches more machines", func(v *fakeView, a *partitionAssignment) {
@@ -72,25 +73,25 @@
 		s.Partitions[0].UnreachableZones = nil
 		a.peers.Receive(v.Time, s)
 	}, storage.Process{}},
-	{"a leader isolated from machines that no other reaches either", func(v *fakeView, a *partitionAssignment) {
+	{"a leader isolated from machines of which another reaches too few", func(v *fakeView, a *partitionAssignment) {
 		a.peers.Receive(v.Time, status(n1, "b"))
-		v.reachable[n2] = 14 // an eighth of 40 more is 15
+		v.reachable[n2] = 14 // 15 would be an eighth of the 40 machines more
 	}, storage.Process{}},
 	{"a leader isolated from an eighth of its machines", func(v *fakeView, a *partitionAssignment) {
 		a.peers.Receive(v.Time, status(n1, "b"))
 		v.reachable[n2] = 15
 	}, n2},
-	{"a leader isolated from two of few machines", func(v *fakeView, a *partitionAssignment) {
+	{"a leader isolated from two of twelve machines", func(v *fakeView, a *partitionAssignment) {
 		a.peers.Receive(v.Time, status(n1, "b"))
 		v.inUse, v.reachable[n2] = map[string]int{"a": 12}, 12
 	}, storage.Process{}},
-	{"a leader isolated from machines that one without the store reaches", func(v *fakeView, a *partitionAssignment) {
+	{"a leader isolated from machines that a controller without the store reaches", func(v *fakeView, a *partitionAssignment) {
 		a.peers.Receive(v.Time, status(n1, "b"))
 		s := status(n2)
 		s.StoreReachable = false
 		a.peers.Receive(v.Time, s)
 	}, storage.Process{}},
-	{"a leader isolated from machines that one without registration reaches", func(v *fakeView, a *partitionAssignment) {
+	{"a leader isolated from machines that an unregistered controller reaches", func(v *fakeView, a *partitionAssignment) {
 		a.peers.Receive(v.Time, status(n1, "b"))
 		delete(v.cache.Members, "n2")
 	}, storage.Process{}},
@@ -116,7 +117,7 @@
 				{Key: testKeys.Partition(0), ModRevision: v.cache.Partitions[0].ModRevision},
 				{Key: testKeys.Member("n2"), ModRevision: v.cache.Members["n2"].ModRevision}}
 			if !slices.Equal(r.Compares, want) {
-				t.Errorf("guards %+v, want %+v", r.Compares, want)
+				t.Errorf("comparisons %+v, want %+v", r.Compares, want)
 			}
 			record := storage.PartitionRecord{Leader: test.leader, FormerLeaders: []storage.Process{n1}}
 			if len(r.Puts) != 1 || string(r.Puts[0].Value) != string(storage.Encode(record)) {
@@ -151,7 +152,7 @@
 	}
 }
 
-func TestPartitionAssignmentPauses(t *testing.T) {
+func TestPartitionAssignmentLimitsSizeAndRate(t *testing.T) {
 	v, a := newTestAssignment(t)
 	v.partitionCount = 40
 	a.tick()
