--- a/internal/coordination/clusterleader/revision_history_test.go
+++ b/internal/coordination/clusterleader/revision_history_test.go
@@ -6,7 +6,7 @@
 	"pipitlatch/internal/micros"
 )
 
-func TestRevisionHistorySettled(t *testing.T) {
+func TestRevisionHistoryRevisionOlderThan(t *testing.T) {
 	const age = 30 * micros.Second
 	observation := func(seconds int64, revision uint64) datedRevision {
 		return datedRevision{micros.Time(seconds) * micros.Second, revision}
@@ -19,12 +19,12 @@
 		ok       bool
 	}{
 		{"none without an observation", nil, 100 * micros.Second, 0, false},
-		{"none that is just old enough", []datedRevision{observation(0, 5)}, age, 0, false},
+		{"none exactly at the age", []datedRevision{observation(0, 5)}, age, 0, false},
 		{"the first that is old enough", []datedRevision{observation(0, 5)}, age + 1, 5, true},
-		{"not one that was observed since", []datedRevision{observation(0, 5), observation(10, 6)}, age + 1, 5, true},
-		{"the last that is old enough",
+		{"not one that was recorded later", []datedRevision{observation(0, 5), observation(10, 6)}, age + 1, 5, true},
+		{"the latest that is old enough",
 			[]datedRevision{observation(0, 5), observation(10, 6), observation(45, 7)}, 45 * micros.Second, 6, true},
-		{"not one between two that are dated",
+		{"not one observed within revisionInterval of the previous one",
 			[]datedRevision{observation(0, 5), observation(9, 6), observation(45, 7)}, 45 * micros.Second, 5, true},
 	}
 	for _, test := range tests {
@@ -34,13 +34,13 @@
 				history.observe(o.at, o.revision, age)
 			}
 			if got, ok := history.revisionOlderThan(test.now, age); got != test.want || ok != test.ok {
-				t.Errorf("settled = %d, %v, want %d, %v", got, ok, test.want, test.ok)
+				t.Errorf("revisionOlderThan = %d, %v, want %d, %v", got, ok, test.want, test.ok)
 			}
 		})
 	}
 }
 
-func TestRevisionHistoryKeepsLittle(t *testing.T) {
+func TestRevisionHistoryLimitsItsSize(t *testing.T) {
 	const age = 30 * micros.Second
 	var history revisionHistory
 	for second := range micros.Time(1000) {
