--- a/internal/coordination/clusterleader/scale_out_test.go
+++ b/internal/coordination/clusterleader/scale_out_test.go
@@ -14,8 +14,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// newTestScaleOut is that of a cluster leader whose partition 0 lacks capacity for one task, and
-// whose cloud has one kind of instances for two.
+// newTestScaleOut returns the scaleOut of a cluster leader whose partition 0 lacks capacity for one
+// task. The cloud has one kind of instance, with room for two tasks.
 func newTestScaleOut(t *testing.T) (*fakeView, *scaleOut) {
 	t.Helper()
 	v := newFakeView(t, nil)
@@ -26,21 +26,21 @@
 	return v, s
 }
 
-// needing is a partition that lacks capacity for tasks.
+// needing returns the status of a partition that lacks capacity for a number of tasks.
 func needing(partition, count int) messages.PartitionStatus {
 	return messages.PartitionStatus{Partition: partition, CapacityRequests: []provisioning.CapacityRequest{
 		{Resources: workload.Resources{CPU: 1}, Count: count, Hold: micros.Second},
 	}}
 }
 
-// openBlock is the record of an instance request that has had no answer.
+// openBlock returns the record of an instance request that has not been answered.
 func openBlock(requested int) storage.BlockRecord {
 	b := block(0)
 	b.Requested, b.Machines = requested, nil
 	return b
 }
 
-// writtenRecords are the records that requests write, by key.
+// writtenRecords returns the records that the calls write, by key.
 func writtenRecords(calls []*storetest.Call) map[string]string {
 	records := map[string]string{}
 	for _, call := range calls {
@@ -54,21 +54,21 @@
 var scaleOutCases = []struct {
 	name   string
 	change func(*testing.T, *fakeView, *scaleOut)
-	want   []int // instances of each request that is recorded
+	want   []int // number of instances of each recorded request
 }{
-	{"for what is lacking", func(*testing.T, *fakeView, *scaleOut) {}, []int{1}},
-	{"in blocks of as many machines as one may have",
+	{"for the lacking capacity", func(*testing.T, *fakeView, *scaleOut) {}, []int{1}},
+	{"in blocks of the maximum size",
 		func(_ *testing.T, v *fakeView, _ *scaleOut) { v.statuses[0] = needing(0, 10) }, []int{2, 2, 1}},
 	{"as many as the cloud's rate limit allows", func(_ *testing.T, v *fakeView, _ *scaleOut) {
 		v.statuses[0] = needing(0, 100)
 	}, []int{2, 2, 2, 2}},
-	{"a part of the fleet at once, divided among the partitions", func(_ *testing.T, v *fakeView, s *scaleOut) {
+	{"up to the limit of a round, divided among the partitions", func(_ *testing.T, v *fakeView, s *scaleOut) {
 		v.statuses = []messages.PartitionStatus{needing(1, 1000), needing(0, 1000)}
 		s.config.Settings.Cloud.RPS = 1000
-	}, slices.Repeat([]int{2}, 20)}, // a fifth of 200, as there is one kind
+	}, slices.Repeat([]int{2}, 20)}, // a fifth of 200, as there is only one kind
 	{"nothing before the catalog is known",
 		func(_ *testing.T, v *fakeView, _ *scaleOut) { v.catalog = nil }, nil},
-	{"nothing before the pause is over", func(_ *testing.T, v *fakeView, s *scaleOut) { s.nextAt = v.Time + 1 }, nil},
+	{"nothing before the next round is due", func(_ *testing.T, v *fakeView, s *scaleOut) { s.nextAt = v.Time + 1 }, nil},
 	{"nothing at the beginning of a term", func(_ *testing.T, v *fakeView, s *scaleOut) {
 		s.term.acquiredAt = v.Time - minScaleOutTerm + 1
 	}, nil},
@@ -82,27 +82,27 @@
 		s.advanceProvisionedRevision(7)
 		s.peers.Receive(v.Time, status(n1, "z"))
 	}, nil},
-	{"whatever a peer says that leads no partition", func(_ *testing.T, v *fakeView, s *scaleOut) {
+	{"regardless of the status of a peer that leads no partition", func(_ *testing.T, v *fakeView, s *scaleOut) {
 		s.advanceProvisionedRevision(7)
 		s.peers.Receive(v.Time, status(n1))
 	}, []int{1}},
-	{"whatever a peer said long ago", func(_ *testing.T, v *fakeView, s *scaleOut) {
+	{"regardless of an outdated status", func(_ *testing.T, v *fakeView, s *scaleOut) {
 		s.advanceProvisionedRevision(7)
 		s.peers.Receive(v.Time-statusLifetime-1, status(n1, "z"))
 	}, []int{1}},
 	{"nothing of an exhausted kind",
 		func(_ *testing.T, v *fakeView, s *scaleOut) { s.capacity.Exhausted(testKind, v.Time) }, nil},
-	{"one to probe a zone that is not reached", func(_ *testing.T, v *fakeView, _ *scaleOut) {
+	{"one to probe an unreachable zone", func(_ *testing.T, v *fakeView, _ *scaleOut) {
 		v.statuses[0] = needing(0, 10)
 		v.statuses[0].UnreachableZones = []string{"a"}
 	}, []int{1}},
-	{"one to probe a zone where all machines are used", func(t *testing.T, v *fakeView, _ *scaleOut) {
+	{"one to probe an unreachable zone where all machines are used", func(t *testing.T, v *fakeView, _ *scaleOut) {
 		v.statuses[0].UnreachableZones = []string{"a"}
 		used := block(0)
 		used.Machines["used"] = storage.MachineRecord{Used: true}
 		v.put(t, testKeys.Block("b"), used)
 	}, []int{1}},
-	{"none to probe a zone while one is there", func(t *testing.T, v *fakeView, _ *scaleOut) {
+	{"none to probe an unreachable zone that has an unused machine", func(t *testing.T, v *fakeView, _ *scaleOut) {
 		v.statuses[0].UnreachableZones = []string{"a"}
 		v.put(t, testKeys.Block("b"), block(0, "unused"))
 	}, nil},
@@ -143,14 +143,14 @@
 	}
 }
 
-// sendFirstRequest plays a round until its request is with the cloud.
+// sendFirstRequest runs a round until its request has been sent to the cloud, and returns that call.
 func sendFirstRequest(t *testing.T, v *fakeView, s *scaleOut) cloudCall {
 	t.Helper()
 	s.tick()
 	call := v.Take(t, storage.Txn)
 	want := []storage.Compare{v.LeaderCompare(), {Key: testKeys.Block("c4-1")}}
 	if !slices.Equal(call.Request.Compares, want) {
-		t.Errorf("guards of the record %+v, want %+v", call.Request.Compares, want)
+		t.Errorf("comparisons of the record %+v, want %+v", call.Request.Compares, want)
 	}
 	call.Reply(storage.Reply{Outcome: storage.OK, Revision: 20})
 	request := v.takeCloudCall(t, messages.CloudRequestInstances)
@@ -160,17 +160,17 @@
 	return request
 }
 
-func TestScaleOutTurnsARequestIntoABlock(t *testing.T) {
+func TestScaleOutReplacesARequestWithABlock(t *testing.T) {
 	tests := []struct {
 		name      string
 		granted   []string
 		outcome   messages.CloudOutcome
-		put       string // record that is written; empty: the request is deleted
+		put       string // the record written; empty: the request is deleted
 		exhausted bool
 	}{
 		{"of the instances granted", []string{"x"}, messages.CloudOK, string(storage.Encode(block(0, "x"))), false},
-		{"without those adopted before", []string{"adopted"}, messages.CloudOK, "", false},
-		{"deleted where none was granted", nil, messages.CloudInsufficientCapacity, "", true},
+		{"without instances adopted before", []string{"adopted"}, messages.CloudOK, "", false},
+		{"deleted if none was granted", nil, messages.CloudInsufficientCapacity, "", true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -181,7 +181,7 @@
 			call := v.Take(t, storage.Txn)
 			want := []storage.Compare{v.LeaderCompare(), {Key: testKeys.Block("c4-1"), ModRevision: 20}}
 			if !slices.Equal(call.Request.Compares, want) {
-				t.Errorf("guards %+v, want %+v", call.Request.Compares, want)
+				t.Errorf("comparisons %+v, want %+v", call.Request.Compares, want)
 			}
 			if got := writtenRecords([]*storetest.Call{call})[testKeys.Block("c4-1")]; got != test.put {
 				t.Errorf("written %q, want %q", got, test.put)
@@ -197,13 +197,13 @@
 				t.Errorf("exhausted: %v, want %v", got, test.exhausted)
 			}
 			if got := s.nextAt == v.Time; got != test.exhausted {
-				t.Errorf("the next round is at once: %v, want %v", got, test.exhausted)
+				t.Errorf("the next round begins at once: %v, want %v", got, test.exhausted)
 			}
 		})
 	}
 }
 
-func TestScaleOutSendsARequestAgain(t *testing.T) {
+func TestScaleOutRetriesRequests(t *testing.T) {
 	t.Run("that the cloud did not answer", func(t *testing.T) {
 		v, s := newTestScaleOut(t)
 		request := sendFirstRequest(t, v, s)
@@ -241,6 +241,6 @@
 		v.RequireNoCall(t)
 		v.Time++
 		s.tick()
-		v.Take(t, storage.Txn) // but a new one
+		v.Take(t, storage.Txn) // a new request
 	})
 }
