--- a/internal/coordination/clusterleader/scale_out.go
+++ b/internal/coordination/clusterleader/scale_out.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// scaleOutInterval is how long a round waits after the last one, unless that was refused
-	// something.
+	// scaleOutInterval is the interval between rounds. The next round begins at once if the cloud
+	// granted fewer instances than were requested.
 	scaleOutInterval = 700 * micros.Millisecond
-	// minScaleOutTerm is how long the cluster leader has to lead before the first round.
+	// minScaleOutTerm is the minimum age of the leadership term for the first round.
 	minScaleOutTerm = 500 * micros.Millisecond
-	// minInstancesPerRound and scaleOutDivisor bound the instances requested in one round: a part of
-	// the machines there are, so that a large fleet grows as quickly as a small one, and the
-	// capacity requests are looked at again before it doubles.
+	// minInstancesPerRound and instancesPerRoundDivisor limit the instances requested in one round to
+	// a fraction of the existing machines, so that a large fleet grows as quickly as a small one and
+	// the capacity requests are evaluated again before the fleet doubles.
 	minInstancesPerRound     = 200
 	instancesPerRoundDivisor = 10
-	// maxZoneProbes is how many instances of each kind are requested in a zone that is not
-	// reached, to find out when it is again. More would boot, and cost, without being reached.
+	// maxZoneProbes is how many instances of each kind are requested in an unreachable zone, to
+	// detect when it is reachable again. More would boot, and cost money, without being reachable.
 	maxZoneProbes = 1
 )
 
-// scaleOutView is what scaling out needs of the core.
+// scaleOutView is the part of the core that scaling out uses.
 type scaleOutView interface {
 	cloudView
 	partitionsView
 	blockView
-	// Catalog are the instance types; nil as long as they are not known.
+	// Catalog returns the instance types, or nil if they are not known yet.
 	Catalog() workload.Catalog
 }
 
-// scaleOut requests instances for what the partitions lack, one round at a time: the next
-// round looks at what the last one brought.
+// scaleOut requests instances for the capacity that partitions lack. It works in rounds, of which each
+// takes the result of the previous one into account.
 type scaleOut struct {
 	view   scaleOutView
 	config *config.Config
@@ -51,8 +51,8 @@
 	limiter  provisioning.RequestLimiter
 	capacity *provisioning.CapacityTracker
 	nextAt   micros.Time
-	// provisionedRevision is the revision at which the last instance request was written down
-	// or became a block.
+	// provisionedRevision is the revision at which the last instance request was recorded or
+	// became a block.
 	provisionedRevision uint64
 }
 
@@ -67,12 +67,12 @@
 	s.provisionedRevision = s.view.Cache().Revision
 }
 
-// advanceProvisionedRevision notes the revision at which blocks were written.
+// advanceProvisionedRevision records the revision at which blocks were written.
 func (s *scaleOut) advanceProvisionedRevision(revision uint64) {
 	s.provisionedRevision = max(s.provisionedRevision, revision)
 }
 
-// tick sends the requests that are written down, and begins a round when there is none left.
+// tick sends the recorded requests, and starts a round when none of them is open.
 func (s *scaleOut) tick() {
 	open := s.sendOpenRequests()
 	now := s.view.Now()
@@ -91,9 +91,9 @@
 	s.nextAt = now + scaleOutInterval
 }
 
-// statusesOutdated tells whether what a partition leader lacks is from before the last round.
-// Only of those whose capacity requests are looked at: a former partition leader that is cut off
-// says nothing new for minutes, and nothing would be requested as long.
+// statusesOutdated reports whether a partition leader's capacity requests date from before the last
+// round. Only statuses recent enough to be acted on count: a former partition leader that is isolated
+// sends no new status for minutes, and would block all instance requests for as long.
 func (s *scaleOut) statusesOutdated() bool {
 	for _, peer := range s.peers.All() {
 		if s.view.Now()-peer.ReceivedAt <= statusLifetime && len(peer.Status.Partitions) > 0 &&
@@ -104,12 +104,12 @@
 	return false
 }
 
-// maxInstancesPerRound is how many instances are requested in one round.
+// maxInstancesPerRound returns the maximum number of instances requested in one round.
 func (s *scaleOut) maxInstancesPerRound() int {
 	return max(minInstancesPerRound, len(s.view.Cache().Machines)/instancesPerRoundDivisor)
 }
 
-// requestInstances requests instances for what one partition lacks.
+// requestInstances requests instances for the capacity that one partition lacks.
 func (s *scaleOut) requestInstances(status *messages.PartitionStatus, maxInstances int) {
 	requests := servicesFirst(status.CapacityRequests)
 	for i := range requests {
@@ -128,7 +128,7 @@
 	}
 }
 
-// servicesFirst are the requests of services, and then the others.
+// servicesFirst returns the capacity requests with those of services first.
 func servicesFirst(requests []provisioning.CapacityRequest) []provisioning.CapacityRequest {
 	var ordered []provisioning.CapacityRequest
 	for _, service := range []bool{true, false} {
@@ -141,7 +141,7 @@
 	return ordered
 }
 
-// limit is how many instances of a kind may be requested for a partition now.
+// limit returns how many instances of a kind may be requested for a partition now.
 func (s *scaleOut) limit(kind provisioning.InstanceKind, unreachableZones []string) int {
 	limit := s.capacity.Limit(kind, s.view.Now())
 	if slices.Contains(unreachableZones, kind.Zone) {
@@ -150,7 +150,8 @@
 	return limit
 }
 
-// zoneProbeLimit is how many instances of a kind may be requested in a zone that is not reached.
+// zoneProbeLimit returns how many instances of a kind may be requested in an unreachable zone: none
+// while the zone has an unused machine that serves as the probe.
 func (s *scaleOut) zoneProbeLimit(zone string) int {
 	for _, machine := range s.view.Cache().Machines {
 		if machine.Value.Zone == zone && !machine.Value.Used {
