--- a/internal/coordination/clusterleader/machine_transfers_test.go
+++ b/internal/coordination/clusterleader/machine_transfers_test.go
@@ -29,7 +29,8 @@
 }{
 	{"none if no machine is idle", []messages.PartitionStatus{lacking(0, false), idle(1)}, nil},
 	{"none if no partition lacks capacity", []messages.PartitionStatus{idle(0, "m0"), idle(1, "m1")}, nil},
-	{"one idle machine, to the partition that lacks capacity", []messages.PartitionStatus{lacking(0, false), idle(1, "m1", "m1b")},
+	{"one idle machine, to the partition that lacks capacity",
+		[]messages.PartitionStatus{lacking(0, false), idle(1, "m1", "m1b")},
 		map[string][]messages.MachineTransfer{"n1": {{Machine: "m1", ToPartition: 0}}}},
 	{"to the first partition that lacks capacity, from the first with an idle machine",
 		[]messages.PartitionStatus{idle(0, "m0"), idle(1, "m1"), lacking(2, false), lacking(3, false)},
--- a/internal/coordination/clusterleader/orphans_test.go
+++ b/internal/coordination/clusterleader/orphans_test.go
@@ -63,7 +63,8 @@
 	left   []string                                     // remaining orphans
 }{
 	{"in one block", func(*testing.T, *fakeView, *orphanAdoption) {}, adopted(0, "x", "y"), []string{"x", "y"}},
-	{"as many machines as a block may have", func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.add("z", "z", testKind) },
+	{"as many machines as a block may have",
+		func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.add("z", "z", testKind) },
 		adopted(0, "x", "y"), []string{"x", "y", "z"}},
 	{"in the partition that lacks capacity for the most tasks", func(_ *testing.T, v *fakeView, _ *orphanAdoption) {
 		v.statuses = []messages.PartitionStatus{needing(0, 1), needing(2, 3), needing(1, 2)}
@@ -74,7 +75,8 @@
 	{"without orphans recorded since", func(t *testing.T, v *fakeView, _ *orphanAdoption) {
 		v.put(t, testKeys.Block("b"), block(0, "x"))
 	}, adopted(0, "y"), []string{"y"}},
-	{"without orphans terminated since", func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.terminated.Confirm("y", 0) },
+	{"without orphans terminated since",
+		func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.terminated.Confirm("y", 0) },
 		adopted(0, "x"), []string{"x"}},
 	{"none while a request for the kind is in flight",
 		func(_ *testing.T, _ *fakeView, a *orphanAdoption) { a.scaling.pending.Started("c1-1", testKind) },
--- a/internal/coordination/clusterleader/partition_assignment_test.go
+++ b/internal/coordination/clusterleader/partition_assignment_test.go
@@ -85,7 +85,7 @@
 		a.peers.Receive(v.Time, status(n1, "b"))
 		v.inUse, v.reachable[n2] = map[string]int{"a": 12}, 12
 	}, storage.Process{}},
-	{"a leader isolated from machines that a controller without the store reaches", func(v *fakeView, a *partitionAssignment) {
+	{"a leader isolated from machines that one without the store reaches", func(v *fakeView, a *partitionAssignment) {
 		a.peers.Receive(v.Time, status(n1, "b"))
 		s := status(n2)
 		s.StoreReachable = false
