--- a/internal/coordination/clusterleader/leader.go
+++ b/internal/coordination/clusterleader/leader.go
@@ -72,7 +72,7 @@
 
 // Begin starts the term identified by a mod revision of the cluster leader's key, unless it has
 // already started. All control loops discard the operations that were in progress in an earlier
-// term. They keep their rate limits and retry times, and what is known about the cloud's capacity.
+// term. The pacing of calls to the cloud, and what is known about its capacity, are kept.
 func (l *Leader) Begin(revision uint64) {
 	if l.revision == revision {
 		return
