--- a/internal/coordination/clusterleader/archiver.go
+++ b/internal/coordination/clusterleader/archiver.go
@@ -13,7 +13,7 @@
 const (
 	// archiveInterval is the minimum interval between scans of the job records.
 	archiveInterval = micros.Second
-	// archiveWriteDivisor limits archiving to this fraction of the store's write limit: one sixth.
+	// archiveWriteDivisor limits archiving to a sixth of the store's write limit.
 	archiveWriteDivisor = 6
 )
 
