--- a/internal/coordination/admission_epochs_test.go
+++ b/internal/coordination/admission_epochs_test.go
@@ -41,7 +41,7 @@
 // before has ended and submissions are refused.
 func leadUnderOverload(c *Core, fencingToken uint64) {
 	c.cache.ClusterLeader = storage.Versioned[storage.Process]{Value: c.process, ModRevision: fencingToken}
-	c.leader.Begin(fencingToken)
+	c.leader.StartTerm(fencingToken)
 	c.now += 20 * micros.Second
 	for i := range 3000 {
 		c.fair.tracker.Asked(c.now, admission.Flow{Team: "alpha", Class: "c"}, fmt.Sprintf("wk-%06d", i))
@@ -137,7 +137,7 @@
 				t.Fatal("no epoch")
 			}
 			c.calls.CompleteStore(c.now, c.output.StoreCalls[0].Call, &storage.Reply{Outcome: storage.OK})
-			c.leader.Begin(test.fencingToken)
+			c.leader.StartTerm(test.fencingToken)
 			_, next := tickEpoch(t, c, c.now+epochCheckInterval)
 			if got := next != nil; got != test.want {
 				t.Errorf("written %v, want %v", got, test.want)
--- a/internal/coordination/cluster_leader.go
+++ b/internal/coordination/cluster_leader.go
@@ -10,7 +10,7 @@
 	if !c.isClusterLeader() {
 		return
 	}
-	c.leader.Begin(c.cache.ClusterLeader.ModRevision)
+	c.leader.StartTerm(c.cache.ClusterLeader.ModRevision)
 	if c.member.LeaseID() == 0 || !c.term.Valid(c.now) {
 		return
 	}
--- a/internal/coordination/clusterleader/leader.go
+++ b/internal/coordination/clusterleader/leader.go
@@ -70,10 +70,10 @@
 	}
 }
 
-// Begin starts the term identified by a mod revision of the cluster leader's key, unless it has
+// StartTerm starts the term identified by a mod revision of the cluster leader's key, unless it has
 // already started. All control loops discard the operations that were in progress in an earlier
 // term. The pacing of calls to the cloud, and what is known about its capacity, are kept.
-func (l *Leader) Begin(revision uint64) {
+func (l *Leader) StartTerm(revision uint64) {
 	if l.revision == revision {
 		return
 	}
--- a/internal/coordination/clusterleader/leader_test.go
+++ b/internal/coordination/clusterleader/leader_test.go
@@ -34,7 +34,7 @@
 	l.archiver.inFlight, l.formatUpgrade.inFlight = true, true
 	l.scaling.pending.Started("c1-1", testKind)
 	l.adoption.pendingBlock = "a1-1"
-	l.Begin(7)
+	l.StartTerm(7)
 	if l.Revision() != 7 || l.acquiredAt != v.Time || l.nameCounter != 0 || l.scaling.provisionedRevision != 8 {
 		t.Errorf("term %+v, provisioned at %d", *l.leaderTerm, l.scaling.provisionedRevision)
 	}
@@ -46,7 +46,7 @@
 		t.Error("a call of an earlier term still counts as in flight")
 	}
 	l.nameCounter = 3
-	l.Begin(7)
+	l.StartTerm(7)
 	if l.nameCounter != 3 {
 		t.Error("the term was started twice")
 	}
@@ -77,7 +77,7 @@
 	if len(l.adoption.orphans) > 0 {
 		t.Error("adopted before the term has started")
 	}
-	l.Begin(leaderRevision)
+	l.StartTerm(leaderRevision)
 	l.HeardFromUnmanaged(heartbeat)
 	if got := l.adoption.orphans["x"]; got != (orphan{testKind, "x:1"}) {
 		t.Errorf("orphan %+v, want the machine that sent the heartbeat", got)
