--- a/internal/coordination/clusterleader/leader.go
+++ b/internal/coordination/clusterleader/leader.go
@@ -112,11 +112,11 @@
 // RecentlyTerminated returns the terminated instances that status messages to peers report.
 func (l *Leader) RecentlyTerminated(now micros.Time) []string { return l.terminated.Recent(now) }
 
-// HeardFromUnmanaged schedules the adoption of a machine that sent a heartbeat and belongs to no
+// HandleUnmanagedHeartbeat schedules the adoption of a machine that sent a heartbeat and belongs to no
 // block. The heartbeat may be a delayed copy from a machine that was terminated under an earlier
 // cluster leader. Adopting that one is harmless: it is recorded as never having had a task, so
 // planning does not wait for it, and since it does not respond it is soon terminated again.
-func (l *Leader) HeardFromUnmanaged(r *messages.Heartbeat) {
+func (l *Leader) HandleUnmanagedHeartbeat(r *messages.Heartbeat) {
 	kind := provisioning.InstanceKind{InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot}
 	l.adoption.add(r.Machine, r.Address, kind)
 }
--- a/internal/coordination/clusterleader/leader_test.go
+++ b/internal/coordination/clusterleader/leader_test.go
@@ -73,12 +73,12 @@
 	v := newFakeView(t, nil)
 	l := New(v, newTestConfig(t), testProcess, testKeys, newTestPeers(0))
 	heartbeat := &messages.Heartbeat{Machine: "x", Address: "x:1", InstanceType: "m", Zone: "a"}
-	l.HeardFromUnmanaged(heartbeat)
+	l.HandleUnmanagedHeartbeat(heartbeat)
 	if len(l.adoption.orphans) > 0 {
 		t.Error("adopted before the term has started")
 	}
 	l.StartTerm(leaderRevision)
-	l.HeardFromUnmanaged(heartbeat)
+	l.HandleUnmanagedHeartbeat(heartbeat)
 	if got := l.adoption.orphans["x"]; got != (orphan{testKind, "x:1"}) {
 		t.Errorf("orphan %+v, want the machine that sent the heartbeat", got)
 	}
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -45,7 +45,7 @@
 	leader := c.cache.ClusterLeader
 	switch {
 	case c.isClusterLeader():
-		c.leader.HeardFromUnmanaged(in.Heartbeat)
+		c.leader.HandleUnmanagedHeartbeat(in.Heartbeat)
 		c.respondUnavailable(in.Request, unknownMachine)
 	case leader.ModRevision != 0 && leader.Value.Member != c.process.Member && !c.isolated():
 		c.redirectHeartbeat(in.Request, leader.Value.Member)
