--- a/internal/coordination/clusterleader/leader.go
+++ b/internal/coordination/clusterleader/leader.go
@@ -121,8 +121,8 @@
 	l.adoption.add(r.Machine, r.Address, kind)
 }
 
-// Transfers returns the machine transfers to request from a member with the next status message.
-func (l *Leader) Transfers(member string) []messages.MachineTransfer {
+// PendingTransfers returns the machine transfers to request from a member with the next status message.
+func (l *Leader) PendingTransfers(member string) []messages.MachineTransfer {
 	return l.transfer.pending[member]
 }
 
--- a/internal/coordination/clusterleader/leader_test.go
+++ b/internal/coordination/clusterleader/leader_test.go
@@ -60,11 +60,11 @@
 	l := New(v, newTestConfig(t), testProcess, testKeys, newTestPeers(0))
 	v.statuses = []messages.PartitionStatus{lacking(0, false), idle(1, "m1")}
 	l.transfer.tick()
-	if got := l.Transfers("n1"); len(got) != 1 || len(l.Transfers("n0")) > 0 {
-		t.Errorf("transfers of n1 %v, of n0 %v, want one of n1", got, l.Transfers("n0"))
+	if got := l.PendingTransfers("n1"); len(got) != 1 || len(l.PendingTransfers("n0")) > 0 {
+		t.Errorf("transfers of n1 %v, of n0 %v, want one of n1", got, l.PendingTransfers("n0"))
 	}
 	l.TransfersSent()
-	if got := l.Transfers("n1"); len(got) > 0 {
+	if got := l.PendingTransfers("n1"); len(got) > 0 {
 		t.Errorf("transfers %v, want none once they are sent", got)
 	}
 }
--- a/internal/coordination/status_messages.go
+++ b/internal/coordination/status_messages.go
@@ -41,11 +41,11 @@
 	status := c.composeStatus()
 	for _, peer := range c.config.Peers {
 		message := *status
-		message.Transfers = c.leader.Transfers(peer.Member)
+		message.Transfers = c.leader.PendingTransfers(peer.Member)
 		message.Cancelled, message.CancelledUpTo = c.cancellations.NoticesFor(c.lastStatus(peer.Member))
 		c.output.PeerMessages = append(c.output.PeerMessages, messages.PeerMessage{To: peer.Member, Status: &message})
 	}
-	for _, transfer := range c.leader.Transfers(c.process.Member) {
+	for _, transfer := range c.leader.PendingTransfers(c.process.Member) {
 		c.transferMachine(transfer)
 	}
 	c.leader.TransfersSent()
