--- a/internal/coordination/clusterleader/leader.go
+++ b/internal/coordination/clusterleader/leader.go
@@ -126,8 +126,8 @@
 	return l.transfer.pending[member]
 }
 
-// TransfersSent clears the pending transfers after the status message was sent to all members.
-func (l *Leader) TransfersSent() { l.transfer.pending = nil }
+// ClearPendingTransfers clears the pending transfers after the status message was sent to all members.
+func (l *Leader) ClearPendingTransfers() { l.transfer.pending = nil }
 
 const (
 	// storeTimeout is how long to wait for the store's reply to a request.
--- a/internal/coordination/clusterleader/leader_test.go
+++ b/internal/coordination/clusterleader/leader_test.go
@@ -63,7 +63,7 @@
 	if got := l.PendingTransfers("n1"); len(got) != 1 || len(l.PendingTransfers("n0")) > 0 {
 		t.Errorf("transfers of n1 %v, of n0 %v, want one of n1", got, l.PendingTransfers("n0"))
 	}
-	l.TransfersSent()
+	l.ClearPendingTransfers()
 	if got := l.PendingTransfers("n1"); len(got) > 0 {
 		t.Errorf("transfers %v, want none once they are sent", got)
 	}
--- a/internal/coordination/status_messages.go
+++ b/internal/coordination/status_messages.go
@@ -48,7 +48,7 @@
 	for _, transfer := range c.leader.PendingTransfers(c.process.Member) {
 		c.transferMachine(transfer)
 	}
-	c.leader.TransfersSent()
+	c.leader.ClearPendingTransfers()
 	c.receiveStatus(status)
 }
 
