--- a/internal/coordination/clusterleader/partition_assignment.go
+++ b/internal/coordination/clusterleader/partition_assignment.go
@@ -19,9 +19,9 @@
 	// isolationPenalty is how long a controller that was isolated from its machines is assigned no
 	// partition.
 	isolationPenalty = 30 * micros.Second
-	// minReachabilityGain is how many more machines, and reachabilityGainDivisor what fraction of all
-	// machines more (an eighth), another controller has to reach at least for a partition to be
-	// reassigned to it. Each reassignment costs one or two seconds.
+	// A partition is reassigned only to a controller that reaches at least minReachabilityGain more
+	// of its machines than its leader, and at least an eighth of them more (reachabilityGainDivisor):
+	// each reassignment costs one or two seconds.
 	minReachabilityGain     = 3
 	reachabilityGainDivisor = 8
 )
