--- a/internal/coordination/clusterleader/partition_assignment.go
+++ b/internal/coordination/clusterleader/partition_assignment.go
@@ -107,8 +107,8 @@
 // of a term, no process counts as unresponsive.
 func (a *partitionAssignment) unresponsive(p storage.Process) bool {
 	now, peer := a.view.Now(), a.currentPeer(p)
-	heard := peer != nil && now-peer.ReceivedAt < unresponsiveTimeout
-	return !heard && now-a.term.acquiredAt > unresponsiveTimeout
+	responsive := peer != nil && now-peer.ReceivedAt < unresponsiveTimeout
+	return !responsive && now-a.term.acquiredAt > unresponsiveTimeout
 }
 
 // isolated reports whether a partition leader has lost contact with machines, but not with the store,
