--- a/internal/coordination/clusterleader/fake_view_test.go
+++ b/internal/coordination/clusterleader/fake_view_test.go
@@ -48,7 +48,7 @@
 // leaderRevision is the mod revision of the cluster leader's key.
 const leaderRevision = 4
 
-// testKind is the kind of the machines in block's records.
+// testKind is the kind of the machines in the records that block returns.
 var testKind = provisioning.InstanceKind{InstanceType: "m", Zone: "a"}
 
 // newFakeView returns the view of a cluster leader whose cache has the given blocks, at time 1000 s.
