--- a/internal/coordination/clusterleader/revision_history_test.go
+++ b/internal/coordination/clusterleader/revision_history_test.go
@@ -19,7 +19,7 @@
 		ok       bool
 	}{
 		{"none without an observation", nil, 100 * micros.Second, 0, false},
-		{"none exactly at the age", []datedRevision{observation(0, 5)}, age, 0, false},
+		{"none exactly as old as the age", []datedRevision{observation(0, 5)}, age, 0, false},
 		{"the first that is old enough", []datedRevision{observation(0, 5)}, age + 1, 5, true},
 		{"not one that was recorded later", []datedRevision{observation(0, 5), observation(10, 6)}, age + 1, 5, true},
 		{"the latest that is old enough",
