--- a/internal/coordination/clusterleader/archiver_test.go
+++ b/internal/coordination/clusterleader/archiver_test.go
@@ -10,26 +10,26 @@
 	"pipitlatch/internal/workload"
 )
 
-// settledRevision is the revision that the tests' archiver has dated long enough ago.
-const settledRevision = 13
+// archivableRevision is the newest revision that is old enough to be archived in the tests.
+const archivableRevision = 13
 
-// newTestArchiver is an archiver that keeps two jobs that are over. The cache has one that is
-// active, and four that are over, of which the last is newer than the settled revision.
-func newTestArchiver(t *testing.T) (*dutyView, *archiver) {
+// newTestArchiver returns an archiver that keeps two terminal jobs cached. The cache has one active
+// job and four terminal ones, of which the last is newer than archivableRevision.
+func newTestArchiver(t *testing.T) (*fakeView, *archiver) {
 	t.Helper()
-	v := newDutyView(t, nil)
+	v := newFakeView(t, nil)
 	applyJob(t, v.cache, "wk-000009", workload.Active, 10)
 	applyJob(t, v.cache, "wk-000001", workload.Done, 11)
 	applyJob(t, v.cache, "wk-000003", workload.Done, 13)
 	applyJob(t, v.cache, "wk-000002", workload.Cancelled, 13)
 	applyJob(t, v.cache, "wk-000004", workload.Done, 14)
-	cfg := dutyConfig(t)
-	cfg.Settings.State.RPS = 0.005 // as many as a start reads in a second: two jobs
+	cfg := newTestConfig(t)
+	cfg.Settings.State.RPS = 0.005 // limits the cache to what a start reads in a second: two jobs
 	if kept := cfg.MaxCachedTerminalJobs(); kept != 2 {
 		t.Fatalf("%d jobs are kept, want 2", kept)
 	}
-	a := newArchiver(v, cfg, dutyKeys)
-	a.revisions.observe(v.Time-300*micros.Second, settledRevision, 300*micros.Second)
+	a := newArchiver(v, cfg, testKeys)
+	a.revisions.observe(v.Time-300*micros.Second, archivableRevision, 300*micros.Second)
 	return v, a
 }
 
@@ -37,36 +37,36 @@
 	dependencies ...string) {
 	t.Helper()
 	job := &workload.Job{ID: id, Team: "alpha", Class: "c", Tasks: 1, Phase: phase, DependsOn: dependencies}
-	item := storage.Item{Key: dutyKeys.Job(id), Value: storage.Encode(job), ModRevision: revision}
+	item := storage.Item{Key: testKeys.Job(id), Value: storage.Encode(job), ModRevision: revision}
 	if _, _, err := cache.Apply(item); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// takeMoved returns the call that moves jobs, and the keys that it deletes.
-func takeMoved(t *testing.T, v *dutyView) (*storetest.Call, []string) {
+// takeArchiveRequest returns the call that archives jobs, and the keys that it deletes.
+func takeArchiveRequest(t *testing.T, v *fakeView) (*storetest.Call, []string) {
 	t.Helper()
 	call := v.Take(t, storage.Txn)
 	return call, call.Request.Deletes
 }
 
-func TestArchiverMovesTheOldestJobsThatAreTooMany(t *testing.T) {
+func TestArchiverMovesOldestJobsAboveTheLimit(t *testing.T) {
 	v, a := newTestArchiver(t)
 	a.tick()
-	call, moved := takeMoved(t, v)
-	if want := []string{dutyKeys.Job("wk-000001"), dutyKeys.Job("wk-000002")}; !slices.Equal(moved, want) {
+	call, moved := takeArchiveRequest(t, v)
+	if want := []string{testKeys.Job("wk-000001"), testKeys.Job("wk-000002")}; !slices.Equal(moved, want) {
 		t.Errorf("moved %v, want %v", moved, want)
 	}
 	want := []storage.Compare{v.LeaderCompare(),
-		{Key: dutyKeys.Job("wk-000001"), ModRevision: 11}, {Key: dutyKeys.Job("wk-000002"), ModRevision: 13}}
+		{Key: testKeys.Job("wk-000001"), ModRevision: 11}, {Key: testKeys.Job("wk-000002"), ModRevision: 13}}
 	if !slices.Equal(call.Request.Compares, want) {
-		t.Errorf("guards %+v, want %+v", call.Request.Compares, want)
+		t.Errorf("comparisons %+v, want %+v", call.Request.Compares, want)
 	}
 	var archived []string
 	for _, put := range call.Request.Puts {
 		archived = append(archived, put.Key)
 	}
-	if want := []string{dutyKeys.Archive("wk-000001"), dutyKeys.Archive("wk-000002")}; !slices.Equal(archived, want) {
+	if want := []string{testKeys.Archive("wk-000001"), testKeys.Archive("wk-000002")}; !slices.Equal(archived, want) {
 		t.Errorf("archived %v, want %v", archived, want)
 	}
 	if call.Urgency != storage.Deferrable {
@@ -74,11 +74,11 @@
 	}
 }
 
-func TestArchiverMovesAsManyAsATransactionTakes(t *testing.T) {
+func TestArchiverMovesAsManyJobsAsFitATransaction(t *testing.T) {
 	v, a := newTestArchiver(t)
-	a.config.Settings.State.TxnOps = 3 // and a job takes two
+	a.config.Settings.State.TxnOps = 3 // a job takes two
 	a.tick()
-	if _, moved := takeMoved(t, v); !slices.Equal(moved, []string{dutyKeys.Job("wk-000001")}) {
+	if _, moved := takeArchiveRequest(t, v); !slices.Equal(moved, []string{testKeys.Job("wk-000001")}) {
 		t.Errorf("moved %v, want the oldest", moved)
 	}
 }
@@ -86,24 +86,24 @@
 func TestArchiverMovesNothing(t *testing.T) {
 	tests := []struct {
 		name   string
-		change func(*testing.T, *dutyView, *archiver)
+		change func(*testing.T, *fakeView, *archiver)
 	}{
-		{"while the store cannot be reached",
-			func(_ *testing.T, v *dutyView, _ *archiver) { v.unreachable = true }},
-		{"before its time", func(_ *testing.T, v *dutyView, a *archiver) { a.nextRunAt = v.Time + 1 }},
-		{"before a term is old enough", func(_ *testing.T, _ *dutyView, a *archiver) { a.begin() }},
-		{"while there are few jobs", func(_ *testing.T, _ *dutyView, a *archiver) { a.config.Settings.State.RPS = 0.009 }},
-		{"while all that are too many are newer than what is settled",
-			func(_ *testing.T, v *dutyView, a *archiver) {
-				a.begin()
+		{"while the store is unreachable",
+			func(_ *testing.T, v *fakeView, _ *archiver) { v.unreachable = true }},
+		{"before the next run is due", func(_ *testing.T, v *fakeView, a *archiver) { a.nextRunAt = v.Time + 1 }},
+		{"at the beginning of a term", func(_ *testing.T, _ *fakeView, a *archiver) { a.startTerm() }},
+		{"while there are few jobs", func(_ *testing.T, _ *fakeView, a *archiver) { a.config.Settings.State.RPS = 0.009 }},
+		{"while all jobs above the limit are too recent",
+			func(_ *testing.T, v *fakeView, a *archiver) {
+				a.startTerm()
 				a.revisions.observe(v.Time-300*micros.Second, 10, 300*micros.Second)
 			}},
-		{"while active jobs depend on the jobs that are over",
-			func(t *testing.T, v *dutyView, _ *archiver) {
+		{"while active jobs depend on the terminal jobs",
+			func(t *testing.T, v *fakeView, _ *archiver) {
 				applyJob(t, v.cache, "wk-000020", workload.Active, 15, "wk-000001", "wk-000002", "wk-000003")
 			}},
 		{"while the request budget does not allow it",
-			func(_ *testing.T, v *dutyView, _ *archiver) { v.OverBudget = true }},
+			func(_ *testing.T, v *fakeView, _ *archiver) { v.OverBudget = true }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -115,16 +115,16 @@
 	}
 }
 
-func TestArchiverPausesForItsShareOfTheWrites(t *testing.T) {
+func TestArchiverKeepsToItsShareOfTheWriteLimit(t *testing.T) {
 	v, a := newTestArchiver(t)
 	a.tick()
-	call, _ := takeMoved(t, v)
+	call, _ := takeArchiveRequest(t, v)
 	v.Time += 10 * micros.Second
 	a.tick()
 	v.RequireNoCall(t) // the first is in flight
 	a.config.Settings.State.WriteRPS = 4
 	call.Reply(storage.Reply{Outcome: storage.OK})
-	v.Time += 6*micros.Second - 1 // four writes, a sixth of four a second
+	v.Time += 6*micros.Second - 1 // four writes at a sixth of four per second
 	a.tick()
 	v.RequireNoCall(t)
 	v.Time++
@@ -134,7 +134,7 @@
 
 func TestArchiverDeletesOrphanedPartsOfDependencyListsFirst(t *testing.T) {
 	v, a := newTestArchiver(t)
-	part := dutyKeys.DependencyPart("wk-000050", "x.1", 0)
+	part := testKeys.DependencyPart("wk-000050", "x.1", 0)
 	v.put(t, part, []string{"wk-000001"})
 	a.tick()
 	call := v.Take(t, storage.Txn)
@@ -142,11 +142,11 @@
 		t.Errorf("request %+v, want one that deletes %s only", call.Request, part)
 	}
 	if want := []storage.Compare{v.LeaderCompare()}; !slices.Equal(call.Request.Compares, want) {
-		t.Errorf("guards %+v, want %+v", call.Request.Compares, want)
+		t.Errorf("comparisons %+v, want %+v", call.Request.Compares, want)
 	}
 	call.Reply(storage.Reply{Outcome: storage.OK})
 	a.tick()
-	v.RequireNoCall(t) // paused
+	v.RequireNoCall(t) // before archiveInterval has passed
 	v.Time += archiveInterval
 	a.tick()
 	v.Take(t, storage.Txn)
--- a/internal/coordination/clusterleader/format_upgrade_test.go
+++ b/internal/coordination/clusterleader/format_upgrade_test.go
@@ -9,39 +9,40 @@
 	"pipitlatch/internal/storage"
 )
 
-// newTestFormatUpgrade is that of a cluster of two members, both registered with this version.
-func newTestFormatUpgrade(t *testing.T) (*dutyView, *formatUpgrade) {
+// newTestFormatUpgrade returns the formatUpgrade of a cluster of two members, both registered with
+// this version.
+func newTestFormatUpgrade(t *testing.T) (*fakeView, *formatUpgrade) {
 	t.Helper()
-	v := newDutyView(t, nil)
+	v := newFakeView(t, nil)
 	for _, member := range []string{"n0", "n1"} {
 		register(t, v, member, storage.Format)
 	}
-	cfg := dutyConfig(t)
+	cfg := newTestConfig(t)
 	cfg.Peers = []config.Peer{{Member: "n1"}}
-	return v, newFormatUpgrade(v, cfg, dutyProcess, dutyKeys)
+	return v, newFormatUpgrade(v, cfg, testProcess, testKeys)
 }
 
-func register(t *testing.T, v *dutyView, member string, format int) {
+func register(t *testing.T, v *fakeView, member string, format int) {
 	t.Helper()
-	v.put(t, dutyKeys.Member(member),
+	v.put(t, testKeys.Member(member),
 		storage.Registration{Process: storage.Process{Member: member, Incarnation: "1"}, Format: format})
 }
 
 func TestFormatUpgradeWaitsForAllMembers(t *testing.T) {
 	tests := []struct {
 		name   string
-		change func(*testing.T, *dutyView)
+		change func(*testing.T, *fakeView)
 		want   bool
 	}{
-		{"all of this version", func(*testing.T, *dutyView) {}, true},
+		{"all members of this version", func(*testing.T, *fakeView) {}, true},
 		{"the store has the format already",
-			func(t *testing.T, v *dutyView) { v.put(t, dutyKeys.Format(), map[string]int{"v": storage.Format}) }, false},
+			func(t *testing.T, v *fakeView) { v.put(t, testKeys.Format(), map[string]int{"v": storage.Format}) }, false},
 		{"a peer of an older version",
-			func(t *testing.T, v *dutyView) { register(t, v, "n1", storage.Format-1) }, false},
-		{"this member of an older version, as its record tells",
-			func(t *testing.T, v *dutyView) { register(t, v, "n0", storage.Format-1) }, false},
+			func(t *testing.T, v *fakeView) { register(t, v, "n1", storage.Format-1) }, false},
+		{"this member registered with an older version",
+			func(t *testing.T, v *fakeView) { register(t, v, "n0", storage.Format-1) }, false},
 		{"a peer that is not registered",
-			func(_ *testing.T, v *dutyView) { delete(v.cache.Members, "n1") }, false},
+			func(_ *testing.T, v *fakeView) { delete(v.cache.Members, "n1") }, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -54,16 +55,16 @@
 			}
 			r := v.Take(t, storage.Txn).Request
 			if want := []storage.Compare{v.LeaderCompare()}; !slices.Equal(r.Compares, want) {
-				t.Errorf("guards %+v, want %+v", r.Compares, want)
+				t.Errorf("comparisons %+v, want %+v", r.Compares, want)
 			}
-			if len(r.Puts) != 1 || r.Puts[0].Key != dutyKeys.Format() {
+			if len(r.Puts) != 1 || r.Puts[0].Key != testKeys.Format() {
 				t.Errorf("puts %+v, want the format", r.Puts)
 			}
 		})
 	}
 }
 
-func TestFormatUpgradeIsRetriedAfterAPause(t *testing.T) {
+func TestFormatUpgradeRetriesAfterAnInterval(t *testing.T) {
 	v, u := newTestFormatUpgrade(t)
 	u.tick()
 	call := v.Take(t, storage.Txn)
--- a/internal/coordination/clusterleader/leader_test.go
+++ b/internal/coordination/clusterleader/leader_test.go
@@ -20,35 +20,35 @@
 		}
 	}
 	if !seen["a7-1"] || !seen["c7-6"] {
-		t.Errorf("names %v, want them to have the prefix, the term's revision and a number", seen)
+		t.Errorf("names %v, want each to consist of prefix, term revision and counter", seen)
 	}
 }
 
 func TestLeaderBeginsATermOnce(t *testing.T) {
-	v := newDutyView(t, nil)
+	v := newFakeView(t, nil)
 	v.cache.Revision = 8
-	l := New(v, dutyConfig(t), dutyProcess, dutyKeys, newDutyPeers(0))
+	l := New(v, newTestConfig(t), testProcess, testKeys, newTestPeers(0))
 	l.nameCounter = 3
 	l.terminated.Confirm("m", 0)
 	l.assignment.inFlight, l.termination.inFlight, l.listing.inFlight = true, true, true
 	l.archiver.inFlight, l.formatUpgrade.inFlight = true, true
-	l.scaling.pending.Started("c1-1", dutyKind)
-	l.adoption.name = "a1-1"
-	l.Begin(7)
+	l.scaling.pending.Started("c1-1", testKind)
+	l.adoption.pendingBlock = "a1-1"
+	l.StartTerm(7)
 	if l.Revision() != 7 || l.acquiredAt != v.Time || l.nameCounter != 0 || l.scaling.provisionedRevision != 8 {
 		t.Errorf("term %+v, provisioned at %d", *l.leaderTerm, l.scaling.provisionedRevision)
 	}
-	if l.terminated.Contains("m") || l.scaling.pending.InFlight() > 0 || l.adoption.name != "" {
-		t.Error("something of an earlier term is left")
+	if l.terminated.Contains("m") || l.scaling.pending.InFlight() > 0 || l.adoption.pendingBlock != "" {
+		t.Error("state of an earlier term is left")
 	}
 	if l.assignment.inFlight || l.termination.inFlight || l.listing.inFlight || l.archiver.inFlight ||
 		l.formatUpgrade.inFlight {
-		t.Error("a call of an earlier term is waited for")
+		t.Error("a call of an earlier term still counts as in flight")
 	}
 	l.nameCounter = 3
-	l.Begin(7)
+	l.StartTerm(7)
 	if l.nameCounter != 3 {
-		t.Error("the term was begun twice")
+		t.Error("the term was started twice")
 	}
 	if want := []string{"cluster leadership acquired"}; !slices.Equal(v.Messages, want) {
 		t.Errorf("log records %v, want %v", v.Messages, want)
@@ -57,29 +57,29 @@
 
 func TestLeaderKeepsTransfersUntilTheyAreSent(t *testing.T) {
 	v := newTransferView(t)
-	l := New(v, dutyConfig(t), dutyProcess, dutyKeys, newDutyPeers(0))
+	l := New(v, newTestConfig(t), testProcess, testKeys, newTestPeers(0))
 	v.statuses = []messages.PartitionStatus{lacking(0, false), idle(1, "m1")}
 	l.transfer.tick()
-	if got := l.Transfers("n1"); len(got) != 1 || len(l.Transfers("n0")) > 0 {
-		t.Errorf("transfers of n1 %v, of n0 %v, want one of n1", got, l.Transfers("n0"))
+	if got := l.PendingTransfers("n1"); len(got) != 1 || len(l.PendingTransfers("n0")) > 0 {
+		t.Errorf("transfers of n1 %v, of n0 %v, want one of n1", got, l.PendingTransfers("n0"))
 	}
-	l.TransfersSent()
-	if got := l.Transfers("n1"); len(got) > 0 {
+	l.ClearPendingTransfers()
+	if got := l.PendingTransfers("n1"); len(got) > 0 {
 		t.Errorf("transfers %v, want none once they are sent", got)
 	}
 }
 
-func TestLeaderAdoptsUnmanagedMachinesThatAreHeard(t *testing.T) {
-	v := newDutyView(t, nil)
-	l := New(v, dutyConfig(t), dutyProcess, dutyKeys, newDutyPeers(0))
+func TestLeaderAdoptsUnmanagedMachinesThatSendHeartbeats(t *testing.T) {
+	v := newFakeView(t, nil)
+	l := New(v, newTestConfig(t), testProcess, testKeys, newTestPeers(0))
 	heartbeat := &messages.Heartbeat{Machine: "x", Address: "x:1", InstanceType: "m", Zone: "a"}
-	l.HeardFromUnmanaged(heartbeat)
+	l.HandleUnmanagedHeartbeat(heartbeat)
 	if len(l.adoption.orphans) > 0 {
-		t.Error("adopted before the term has begun")
+		t.Error("adopted before the term has started")
 	}
-	l.Begin(leaderRevision)
-	l.HeardFromUnmanaged(heartbeat)
-	if got := l.adoption.orphans["x"]; got != (orphan{dutyKind, "x:1"}) {
-		t.Errorf("orphan %+v, want the machine that was heard", got)
+	l.StartTerm(leaderRevision)
+	l.HandleUnmanagedHeartbeat(heartbeat)
+	if got := l.adoption.orphans["x"]; got != (orphan{testKind, "x:1"}) {
+		t.Errorf("orphan %+v, want the machine that sent the heartbeat", got)
 	}
 }
