--- a/internal/coordination/archived_jobs.go
+++ b/internal/coordination/archived_jobs.go
@@ -7,52 +7,53 @@
 )
 
 const (
-	// maxArchivedCache bounds the records read from the archive that are kept: a submission that
-	// names many such jobs gets on from one repeat to the next.
-	maxArchivedCache = 4096
-	// archiveReadTimeout is how long a record from the archive is waited for.
+	// maxCachedArchivedJobs limits the cache of records read from the archive. With the cache, a
+	// submission with many archived dependencies makes progress each time it is retried.
+	maxCachedArchivedJobs = 4096
+	// archiveReadTimeout is the timeout for reading one record from the archive.
 	archiveReadTimeout = micros.Second
 )
 
-// lookupArchived looks a job up that is not in memory, and calls then with its record, nil
-// if there is none. The cache must be fresh: a job that was open or kept then, and
-// is in the archive now, is found; one that is neither was never accepted.
-func (c *Core) lookupArchived(id string, then func(e *storage.JobEntry, ok bool)) {
+// lookupArchivedJob looks up a job that is not in the cache and passes its record to callback, or
+// nil if the archive has no such job; ok is false if the archive could not be read. The caller must
+// have brought the cache up to date first: only then does a job that is neither cached nor archived
+// count as never accepted, since a job may move from the cache to the archive but not back.
+func (c *Core) lookupArchivedJob(id string, callback func(e *storage.JobEntry, ok bool)) {
 	if !c.cache.Archived {
-		then(nil, true) // nothing was ever moved
+		callback(nil, true) // no job has been archived yet
 		return
 	}
 	if e := c.archivedJobs[id]; e != nil {
-		then(e, true) // it cannot change any more
+		callback(e, true) // archived records are immutable
 		return
 	}
 	request := &storage.Request{Kind: storage.Get, Key: c.keys.Archive(id)}
 	if !c.callStore(request, storage.Deferrable, archiveReadTimeout, func(r *storage.Reply) {
 		switch {
 		case r.Outcome == storage.NotFound:
-			then(nil, true)
+			callback(nil, true)
 		case r.Outcome == storage.OK && len(r.Items) == 1:
 			e, err := storage.DecodeJob(r.Items[0])
 			if err != nil {
 				c.log(messages.LevelWarn, "undecodable record", "err", err)
 			} else {
-				c.keepArchived(id, e)
+				c.cacheArchivedJob(id, e)
 			}
-			then(e, err == nil)
+			callback(e, err == nil)
 		default:
-			then(nil, false)
+			callback(nil, false)
 		}
 	}) {
-		then(nil, false)
+		callback(nil, false)
 	}
 }
 
-func (c *Core) keepArchived(id string, e *storage.JobEntry) {
-	if len(c.archivedJobs) >= maxArchivedCache {
+func (c *Core) cacheArchivedJob(id string, e *storage.JobEntry) {
+	if len(c.archivedJobs) >= maxCachedArchivedJobs {
 		clear(c.archivedJobs)
 	}
 	c.archivedJobs[id] = e
 }
 
-// CachedJobs is how many jobs this controller keeps in memory.
+// CachedJobs returns the number of jobs in this controller's cache.
 func (c *Core) CachedJobs() int { return len(c.cache.Jobs) }
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -128,7 +128,7 @@
 		if !p.dependencies.beginLookup(id, p.core.now) {
 			continue
 		}
-		p.core.lookupArchived(id, func(entry *storage.JobEntry, ok bool) {
+		p.core.lookupArchivedJob(id, func(entry *storage.JobEntry, ok bool) {
 			p.dependencies.endLookup()
 			if ok && entry != nil {
 				p.core.cache.Resolve(id, entry.Job.Phase)
@@ -182,7 +182,7 @@
 		then(c.cache == cache) // a cache of a new snapshot knows nothing of what was read
 		return
 	}
-	c.lookupArchived(ids[0], func(entry *storage.JobEntry, ok bool) {
+	c.lookupArchivedJob(ids[0], func(entry *storage.JobEntry, ok bool) {
 		if !ok {
 			then(false)
 			return
--- a/internal/coordination/lookup.go
+++ b/internal/coordination/lookup.go
@@ -56,7 +56,7 @@
 // respondArchivedStatusOr answers with the state of a job that ended long ago, or calls notFound if
 // the archive has none. The cache must be as new as the question.
 func (c *Core) respondArchivedStatusOr(request messages.RequestID, id string, notFound func()) {
-	c.lookupArchived(id, func(entry *storage.JobEntry, ok bool) {
+	c.lookupArchivedJob(id, func(entry *storage.JobEntry, ok bool) {
 		switch {
 		case !ok:
 			c.respondUnavailable(request, storeUnavailable)
--- a/internal/coordination/submission_dependencies.go
+++ b/internal/coordination/submission_dependencies.go
@@ -86,7 +86,7 @@
 
 // checkArchivedDependency looks up a dependency that the cache does not have, and then the others.
 func (s *submission) checkArchivedDependency(id string, others []string) {
-	s.core.lookupArchived(id, func(entry *storage.JobEntry, ok bool) {
+	s.core.lookupArchivedJob(id, func(entry *storage.JobEntry, ok bool) {
 		switch {
 		case !ok:
 			s.respondUnavailable(storeUnavailable)
