--- a/internal/coordination/cancel_request.go
+++ b/internal/coordination/cancel_request.go
@@ -6,10 +6,10 @@
 	"pipitlatch/internal/workload"
 )
 
-// maxCancelRetries is how often a cancellation is tried again with a newer copy of the job's record.
+// maxCancelRetries limits how often a cancellation is retried with a newer copy of the job's record.
 const maxCancelRetries = 3
 
-// cancelRequest is a user's request to cancel a job, while it is being carried out.
+// cancelRequest is a user's request to cancel a job, while it is in progress.
 type cancelRequest struct {
 	core        *Core
 	request     messages.RequestID
@@ -17,33 +17,35 @@
 	retriesLeft int
 }
 
-// cancel carries a user's cancellation out: it writes the job's tombstone on condition that the
-// record is as the cache has it, so that done and cancelled exclude each other.
+// cancel processes a user's request to cancel a job. It writes the job's tombstone on condition that
+// the stored record still has the cached mod revision, so that a job cannot become both done and
+// cancelled.
 func (c *Core) cancel(in *messages.Cancel) {
 	r := &cancelRequest{core: c, request: in.Request, id: in.ID, retriesLeft: maxCancelRetries}
-	r.try()
+	r.attemptCancel()
 }
 
-func (r *cancelRequest) try() {
+func (r *cancelRequest) attemptCancel() {
 	if r.core.respondIfFinal(r.request, r.id) {
 		return
 	}
 	if entry := r.core.cache.Jobs[r.id]; entry != nil {
 		r.writeTombstone(entry)
 	} else {
-		r.waitForJob()
+		r.handleUncachedJob()
 	}
 }
 
-// retry tries again with the cache as it is now.
+// retry makes another attempt based on the current cache.
 func (r *cancelRequest) retry() {
 	r.retriesLeft--
-	r.try()
+	r.attemptCancel()
 }
 
-// waitForJob brings the cache up to this moment, as it does not have the job: it was accepted by
-// another controller just now, is in the archive, or does not exist.
-func (r *cancelRequest) waitForJob() {
+// handleUncachedJob brings the cache up to date, and then retries if the job has appeared or answers
+// from the archive otherwise. A job that is not cached may have just been accepted by another
+// controller, may have been archived, or may not exist.
+func (r *cancelRequest) handleUncachedJob() {
 	r.core.replica.LinearizableRead(func(ok bool) {
 		switch {
 		case !ok || r.retriesLeft <= 0:
@@ -56,7 +58,7 @@
 	})
 }
 
-// writeTombstone writes that the job is cancelled, provided that its record has not changed.
+// writeTombstone marks the job as cancelled in the store, provided that its record has not changed.
 func (r *cancelRequest) writeTombstone(entry *storage.JobEntry) {
 	c := r.core
 	key := c.keys.Job(r.id)
@@ -64,14 +66,14 @@
 		Kind:     storage.Txn,
 		Compares: []storage.Compare{{Key: key, ModRevision: entry.ModRevision}},
 		Puts:     []storage.Put{{Key: key, Value: storage.Encode(entry.Job.Tombstone(workload.Cancelled))}},
-		Deletes:  c.completedSegmentKeys(r.id, entry), // nobody needs them any more
-	}, storage.Urgent, storeTimeout, r.tombstoneWritten)
+		Deletes:  c.completedSegmentKeys(r.id, entry), // obsolete once the job has ended
+	}, storage.Urgent, storeTimeout, r.handleWriteReply)
 	if !sent {
 		c.respondWritesExhausted(r.request)
 	}
 }
 
-func (r *cancelRequest) tombstoneWritten(reply *storage.Reply) {
+func (r *cancelRequest) handleWriteReply(reply *storage.Reply) {
 	switch {
 	case reply.Outcome == storage.OK:
 		r.core.noteOwnCancellation(r.id, reply.Revision)
--- a/internal/coordination/cancel_request_test.go
+++ b/internal/coordination/cancel_request_test.go
@@ -9,7 +9,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// conflictingStore refuses the first writes of a job as conflicts. It keeps the compares of all.
+// conflictingStore rejects the first writes of a job's record as conflicts, and records the compares
+// of every write.
 type conflictingStore struct {
 	emptyStore
 	key       string
@@ -28,17 +29,18 @@
 	return &storage.Reply{Outcome: storage.OK, Revision: 50}
 }
 
-func TestCancellationIsTriedAgainAfterAConflict(t *testing.T) {
+func TestCancelRetriesAfterConflict(t *testing.T) {
 	tests := []struct {
 		name       string
-		conflicts  int // until a write succeeds
+		conflicts  int // number of conflicts before a write succeeds
 		wantWrites int
 		want       messages.ResponseKind
 	}{
-		{name: "none", wantWrites: 1, want: messages.JobFound},
-		{name: "one", conflicts: 1, wantWrites: 2, want: messages.JobFound},
-		{name: "as many as retries", conflicts: maxCancelRetries, wantWrites: 1 + maxCancelRetries, want: messages.JobFound},
-		{name: "more than retries", conflicts: maxCancelRetries + 1, wantWrites: 1 + maxCancelRetries,
+		{name: "no conflict", wantWrites: 1, want: messages.JobFound},
+		{name: "one conflict", conflicts: 1, wantWrites: 2, want: messages.JobFound},
+		{name: "as many conflicts as retries", conflicts: maxCancelRetries, wantWrites: 1 + maxCancelRetries,
+			want: messages.JobFound},
+		{name: "more conflicts than retries", conflicts: maxCancelRetries + 1, wantWrites: 1 + maxCancelRetries,
 			want: messages.ServiceUnavailable},
 	}
 	for _, test := range tests {
@@ -48,18 +50,18 @@
 			store := &conflictingStore{key: c.keys.Job(job.ID), conflicts: test.conflicts}
 			responses := requestAndWait(c, &messages.Cancel{Request: 1, ID: job.ID}, store.reply)
 			if len(responses) != 1 || responses[0].Kind != test.want {
-				t.Fatalf("%+v, want kind %d", responses, test.want)
+				t.Fatalf("got responses %+v, want one of kind %d", responses, test.want)
 			}
 			if test.want == messages.JobFound && responses[0].Job.Phase != workload.Cancelled {
-				t.Errorf("phase %d", responses[0].Job.Phase)
+				t.Errorf("got phase %d, want %d", responses[0].Job.Phase, workload.Cancelled)
 			}
 			if len(store.writes) != test.wantWrites {
-				t.Errorf("%d writes, want %d", len(store.writes), test.wantWrites)
+				t.Errorf("got %d writes, want %d", len(store.writes), test.wantWrites)
 			}
 			want := []storage.Compare{{Key: store.key, ModRevision: 11}}
 			for _, compares := range store.writes {
 				if !slices.Equal(compares, want) {
-					t.Errorf("compares %+v, want %+v", compares, want)
+					t.Errorf("got compares %+v, want %+v", compares, want)
 				}
 			}
 		})
@@ -68,15 +70,15 @@
 
 func TestUnknownJobsAreNotFound(t *testing.T) {
 	tests := map[string]messages.Input{
-		"looked up": &messages.Lookup{Request: 1, ID: "wk-000009"},
-		"cancelled": &messages.Cancel{Request: 1, ID: "wk-000009"},
+		"lookup": &messages.Lookup{Request: 1, ID: "wk-000009"},
+		"cancel": &messages.Cancel{Request: 1, ID: "wk-000009"},
 	}
 	for name, request := range tests {
 		t.Run(name, func(t *testing.T) {
 			c, store := newServing(t), &emptyStore{}
 			responses := requestAndWait(c, request, store.reply)
 			if len(responses) != 1 || responses[0].Kind != messages.JobNotFound {
-				t.Errorf("%+v", responses)
+				t.Errorf("got responses %+v, want one of kind %d", responses, messages.JobNotFound)
 			}
 		})
 	}
