--- a/internal/coordination/completion.go
+++ b/internal/coordination/completion.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// completedWriteInterval is how often completed tasks of a job that goes on are stored. Until
-	// then the agents keep showing them, so that a crash loses nothing.
+	// completedWriteInterval is the interval between writes of the completed tasks of an unfinished
+	// job. Agents keep reporting a completed task until it is stored, so that a crash of the partition
+	// leader loses nothing.
 	completedWriteInterval = 1500 * micros.Millisecond
-	// completedRetryInterval is how long after a write that failed the next one may follow.
+	// completedRetryInterval is the delay before the next write after a failed one.
 	completedRetryInterval = 300 * micros.Millisecond
 )
 
-// completionState is which tasks of a job were seen to complete by this partition leader, and what
-// of that is still to be stored. What is stored already comes with the job's record, and is passed
-// in as a bitmap, nil if there is none.
+// completionState tracks which tasks of a job this partition leader has observed to complete, and which
+// of these remain to be stored. The tasks already stored come with the job's record; methods take them
+// as a bitmap, which is nil if none are stored.
 type completionState struct {
 	tasks         int
-	observed      *workload.Bitmap // tasks that were seen to complete, stored since or not
-	dirtySegments map[int]bool     // segments with observed tasks that are not known to be stored
+	observed      *workload.Bitmap // tasks observed to complete, whether stored since or not
+	dirtySegments map[int]bool     // segments with observed tasks not known to be stored
 	writeInFlight bool
-	nextWriteAt   micros.Time // 0: nothing was to be written yet
+	nextWriteAt   micros.Time // 0: nothing has needed writing yet
 }
 
-// completedWrite is what one write of completed tasks holds.
+// completedWrite describes the contents of one write of completed tasks.
 type completedWrite struct {
-	segments  []int            // in ascending order; none if the job is done
-	completed *workload.Bitmap // all tasks that are completed as of the write
-	jobDone   bool             // the write says that the job is done, instead of its tasks
+	segments  []int            // in ascending order; empty if the job is done
+	completed *workload.Bitmap // all tasks completed as of the write
+	jobDone   bool             // the write marks the job as done instead of storing its tasks
 }
 
 func newCompletionState(tasks int) completionState {
@@ -41,18 +42,18 @@
 	}
 }
 
-// observe records a completed task that is not stored, and marks its segment as to be written.
+// observe records a completed task that is not stored yet, and marks its segment as dirty.
 func (s *completionState) observe(task int, smallSegments bool) {
 	s.observed.Add(task)
 	s.dirtySegments[workload.Segment(task, smallSegments)] = true
 }
 
-// taskCompleted tells whether a task is completed, stored or not.
+// taskCompleted reports whether a task is completed, stored or not.
 func (s *completionState) taskCompleted(task int, stored *workload.Bitmap) bool {
 	return s.observed.Has(task) || bitmapHas(stored, task)
 }
 
-// count is how many tasks are completed, stored or not.
+// count returns the number of completed tasks, stored or not.
 func (s *completionState) count(stored *workload.Bitmap) int {
 	count := s.observed.Len()
 	if stored == nil {
@@ -67,14 +68,15 @@
 	return count
 }
 
-// writePending tells whether something is to be written and no write stands in the way now.
-func (s *completionState) writePending(now micros.Time) bool {
+// writeDue reports whether there are dirty segments to write, the write interval has passed, and no
+// other write is in flight.
+func (s *completionState) writeDue(now micros.Time) bool {
 	return !s.writeInFlight && len(s.dirtySegments) > 0 && now >= s.nextWriteAt
 }
 
-// delayFirstWrite tells whether a pending write is the first of its job, and puts it off for an
-// interval: tasks that complete together are to be written together. That the job is done is
-// written at once.
+// delayFirstWrite delays the first write of a job by one write interval, so that tasks that complete at
+// about the same time are written together, and reports whether it did. The write that marks the job as
+// done is never delayed.
 func (s *completionState) delayFirstWrite(now micros.Time) bool {
 	if s.nextWriteAt != 0 {
 		return false
@@ -83,8 +85,7 @@
 	return true
 }
 
-// nextWrite is the write of the first dirty segments, at most so many, with all that is completed
-// in them.
+// nextWrite returns a write of the first maxSegments dirty segments with all their completed tasks.
 func (s *completionState) nextWrite(stored *workload.Bitmap, maxSegments int) completedWrite {
 	w := completedWrite{completed: workload.NewBitmap(s.tasks)}
 	for t := range s.tasks {
@@ -97,9 +98,9 @@
 	return w
 }
 
-// writeEnded records that a write was answered, and whether the store carried it out. A segment
-// in which more tasks completed meanwhile stays dirty.
-func (s *completionState) writeEnded(w completedWrite, persisted bool, now micros.Time) {
+// finishWrite records the outcome of a write. A segment in which more tasks completed while the write
+// was in flight stays dirty.
+func (s *completionState) finishWrite(w completedWrite, persisted bool, now micros.Time) {
 	s.writeInFlight = false
 	if !persisted {
 		s.nextWriteAt = now + completedRetryInterval
@@ -111,14 +112,14 @@
 		return
 	}
 	for _, segment := range w.segments {
-		if !s.hasMoreThan(w, segment) {
+		if !s.observedSince(w, segment) {
 			delete(s.dirtySegments, segment)
 		}
 	}
 }
 
-// hasMoreThan tells whether tasks of a segment were seen to complete that are not in a write.
-func (s *completionState) hasMoreThan(w completedWrite, segment int) bool {
+// observedSince reports whether tasks of a segment were observed to complete after a write was prepared.
+func (s *completionState) observedSince(w completedWrite, segment int) bool {
 	for t := s.observed.Next(0); t >= 0; t = s.observed.Next(t + 1) {
 		if workload.InSegment(t, segment) && !w.completed.Has(t) {
 			return true
@@ -127,7 +128,7 @@
 	return false
 }
 
-// includes tells whether the write stores that a task is completed.
+// includes reports whether the write stores a task as completed.
 func (w completedWrite) includes(task int) bool {
 	if w.jobDone {
 		return true
@@ -140,14 +141,15 @@
 	return false
 }
 
-// usesSmallSegments tells whether completed tasks are written in small segments: where a large one
-// would not fit a value at its worst, as soon as no older version is registered, which reads large
-// segments only.
+// usesSmallSegments reports whether completed tasks are written in small segments. They are needed where
+// the worst-case encoding of a large segment exceeds the store's value size, but older versions can read
+// large segments only, so they are used only after all members have registered with a version that reads
+// the current record format.
 func (c *Core) usesSmallSegments() bool {
 	return c.cache.Format >= storage.Format && c.config.Settings.MaxValue() < workload.LargeSegmentBytes
 }
 
-// completeTask records a completed task. Its attempt is forgotten once that is stored.
+// completeTask records a completed task. Its attempt is dropped once the completion is stored.
 func (p *partitionLeader) completeTask(a *attempt) {
 	j, task := a.job, a.id.Task
 	if j.activeAttempts[task] == a {
@@ -161,10 +163,10 @@
 	j.completion.observe(task, p.core.usesSmallSegments())
 }
 
-// persistCompleted writes the completed tasks of a job to the store if that is due, or, when all
-// are completed, that the job is done.
+// persistCompleted writes the completed tasks of a job to the store if a write is due. If all tasks of
+// an array are completed, it marks the job as done instead.
 func (p *partitionLeader) persistCompleted(j *job) {
-	if !j.completion.writePending(p.core.now) || !p.core.term.Valid(p.core.now) {
+	if !j.completion.writeDue(p.core.now) || !p.core.term.Valid(p.core.now) {
 		return
 	}
 	jobDone := j.Kind == workload.Array && j.completedCount() == j.Tasks
@@ -185,14 +187,14 @@
 	}
 	j.completion.writeInFlight = p.core.callStore(r, urgency, storeTimeout, func(reply *storage.Reply) {
 		persisted := reply.Outcome == storage.OK
-		j.completion.writeEnded(write, persisted, p.core.now)
+		j.completion.finishWrite(write, persisted, p.core.now)
 		if persisted {
-			p.completedPersisted(j, write)
+			p.markPersisted(j, write)
 		}
 	})
 }
 
-// putJobDone adds to a transaction that a job is done; its completed segments are needed no more.
+// putJobDone adds to a transaction the writes that mark a job as done and delete its completed segments.
 func (p *partitionLeader) putJobDone(r *storage.Request, j *job) {
 	done := j.Tombstone(workload.Done)
 	done.CompletedAt = p.core.wall
@@ -200,8 +202,8 @@
 	r.Deletes = append(r.Deletes, p.core.completedSegmentKeys(j.ID, j.record)...)
 }
 
-// completedSegmentKeys are the keys of a job's stored segments, to be deleted with the write that
-// ends the job: as many as one transaction has room for beside the job's record.
+// completedSegmentKeys returns the keys of a job's stored segments, which are deleted in the transaction
+// that ends the job. It returns no more than fit into one transaction along with the job's record.
 func (c *Core) completedSegmentKeys(id string, record *storage.JobEntry) []string {
 	var keys []string
 	for _, segment := range sortedKeys(record.CompletedRevisions) {
@@ -212,20 +214,20 @@
 	return keys
 }
 
-// putCompletedSegments adds completed segments to a transaction.
+// putCompletedSegments adds the writes of completed segments to a transaction.
 func (p *partitionLeader) putCompletedSegments(r *storage.Request, j *job, write completedWrite) {
 	for _, segment := range write.segments {
 		key := p.core.keys.CompletedSegment(j.ID, segment)
-		// The segment's own revision keeps a late copy of an older write from taking completed
-		// tasks back.
+		// Comparing the segment's revision prevents an older write that is applied late from
+		// overwriting newer completions.
 		r.Compares = append(r.Compares, storage.Compare{Key: key, ModRevision: j.record.CompletedRevisions[segment]})
 		r.Puts = append(r.Puts, storage.Put{Key: key, Value: storage.Encode(write.completed.Ranges(segment))})
 	}
 }
 
-// completedPersisted records what is in the store now. The change stream brings the same to the
-// cache; the agents may forget the attempts.
-func (p *partitionLeader) completedPersisted(j *job, write completedWrite) {
+// markPersisted marks the attempts whose completion a successful write has stored, so that agents may
+// forget them. The cache receives the write through the change stream.
+func (p *partitionLeader) markPersisted(j *job, write completedWrite) {
 	for a := range j.attempts {
 		if a.state == messages.Exited && write.includes(a.id.Task) {
 			a.persisted = true
