--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -7,26 +7,26 @@
 	"pipitlatch/internal/workload"
 )
 
-// Jobs with dependencies. What a job depends on never changes, so that it may start, and that it is
-// cancelled with one of its dependencies, are functions of records (storage.Cache), the same on
-// every controller. Nothing here believes more than the change stream shows: that the tasks of a
-// dependency ended is not enough, its record has to say so.
+// This file handles jobs with dependencies. A job's dependencies never change, so whether it may start
+// and whether it is cancelled with one of its dependencies are functions of the stored records
+// (storage.Cache) and the same on every controller. Decisions are based only on what the change stream
+// shows: a dependency counts as done when its record says so, not when all its tasks have ended.
 
 const (
-	// dependencyLookupInterval is how often a dependency is looked up that is not cached.
+	// dependencyLookupInterval is the interval between lookups of a dependency that is not cached.
 	dependencyLookupInterval = 2 * micros.Second
-	// maxDependencyLookups bounds the look-ups in flight.
+	// maxDependencyLookups limits the number of lookups in flight.
 	maxDependencyLookups = 2
-	// dependencyWriteInterval is how often cancellations with a dependency are written.
+	// dependencyWriteInterval is the interval between writes of jobs cancelled with a dependency.
 	dependencyWriteInterval = 300 * micros.Millisecond
 )
 
-// dependencyState is what a partition leader still has to find out, and to write, about jobs with
-// dependencies.
+// dependencyState tracks the dependencies that a partition leader has yet to look up, and the jobs
+// cancelled with a dependency whose records it has yet to write.
 type dependencyState struct {
-	unresolved      map[string]micros.Time // dependencies that are not cached, and when to look them up again
+	unresolved      map[string]micros.Time // uncached dependencies, with the time of their next lookup
 	lookupsInFlight int
-	cancelled       map[string]bool // jobs cancelled with a dependency, which their records do not say yet
+	cancelled       map[string]bool // jobs cancelled with a dependency, but not yet in their records
 	writeInFlight   bool
 	nextWriteAt     micros.Time
 }
@@ -38,15 +38,15 @@
 	}
 }
 
-// addUnresolved records a dependency that is to be looked up. One that was looked up keeps the time
-// of its next look-up.
+// addUnresolved records a dependency to be looked up. If it is already recorded, the time of its next
+// lookup stays the same.
 func (s *dependencyState) addUnresolved(id string) { s.unresolved[id] = max(s.unresolved[id], 1) }
 
-// lookupAvailable tells whether one more look-up may be in flight.
+// lookupAvailable reports whether another lookup may be started.
 func (s *dependencyState) lookupAvailable() bool { return s.lookupsInFlight < maxDependencyLookups }
 
-// lookupCandidates are the dependencies that may have to be looked up, in order, if any look-up may
-// be sent now.
+// lookupCandidates returns the unresolved dependencies in order of their ids, or nil if no lookup may be
+// started now.
 func (s *dependencyState) lookupCandidates() []string {
 	if len(s.unresolved) == 0 || !s.lookupAvailable() {
 		return nil
@@ -54,8 +54,8 @@
 	return sortedKeys(s.unresolved)
 }
 
-// beginLookup tells whether a dependency is to be looked up now, and counts that look-up as in
-// flight until endLookup.
+// beginLookup reports whether a dependency should be looked up now. If so, the lookup counts as in flight
+// until endLookup is called.
 func (s *dependencyState) beginLookup(id string, now micros.Time) bool {
 	if s.unresolved[id] > now || !s.lookupAvailable() {
 		return false
@@ -67,17 +67,18 @@
 
 func (s *dependencyState) endLookup() { s.lookupsInFlight-- }
 
-// addCancelled records a job whose cancellation with a dependency is to be written.
+// addCancelled records a job whose cancellation with a dependency has to be written.
 func (s *dependencyState) addCancelled(id string) { s.cancelled[id] = true }
 
-// writePending tells whether cancellations are to be written and no write stands in the way now.
-func (s *dependencyState) writePending(now micros.Time) bool {
+// writeDue reports whether there are cancellations to write, the write interval has passed, and no other
+// write is in flight.
+func (s *dependencyState) writeDue(now micros.Time) bool {
 	return len(s.cancelled) > 0 && !s.writeInFlight && now >= s.nextWriteAt
 }
 
-// nextCancellations are the records of the jobs to be written as cancelled, at most so many, in the
-// order of their ids. Jobs whose records in the cache say that they have ended are forgotten.
-func (s *dependencyState) nextCancellations(cached map[string]*storage.JobEntry, most int) []*storage.JobEntry {
+// nextCancellations returns the entries of up to limit jobs to be written as cancelled, in order of their
+// ids. Jobs that have ended according to the cache, or are no longer cached, are dropped.
+func (s *dependencyState) nextCancellations(cached map[string]*storage.JobEntry, limit int) []*storage.JobEntry {
 	var entries []*storage.JobEntry
 	for _, id := range sortedKeys(s.cancelled) {
 		entry := cached[id]
@@ -85,14 +86,14 @@
 			delete(s.cancelled, id)
 			continue
 		}
-		if len(entries) < most {
+		if len(entries) < limit {
 			entries = append(entries, entry)
 		}
 	}
 	return entries
 }
 
-// updateDependencies lets a job start once all its dependencies are done.
+// updateDependencies unblocks a job once all its dependencies are done.
 func (p *partitionLeader) updateDependencies(j *job) {
 	if !j.blockedByDependencies {
 		return
@@ -104,8 +105,8 @@
 	if blocked {
 		return
 	}
-	// Times other than the due date count from now, or from when the last of them was done as its
-	// record tells.
+	// All times of the job except its due date count from when it became ready: the latest completion
+	// time in the records of its dependencies, or now where a record with that time is not cached.
 	j.blockedByDependencies, j.readySince = false, j.Submitted
 	for _, id := range j.record.Dependencies {
 		if entry := p.core.cache.Jobs[id]; entry != nil && entry.Job.CompletedAt > 0 {
@@ -118,10 +119,10 @@
 	p.core.log(messages.LevelDebug, "job dependencies satisfied", "job", j.ID)
 }
 
-// lookUpDependencies reads the archived records of dependencies that are not cached.
+// lookUpDependencies reads the archived records of unresolved dependencies.
 func (p *partitionLeader) lookUpDependencies() {
 	for _, id := range p.dependencies.lookupCandidates() {
-		if !awaitsResolution(p.core.cache, id) {
+		if !needsResolution(p.core.cache, id) {
 			delete(p.dependencies.unresolved, id)
 			continue
 		}
@@ -138,15 +139,16 @@
 	}
 }
 
-// awaitsResolution tells whether a job depends on one of which the cache knows nothing.
-func awaitsResolution(cache *storage.Cache, id string) bool {
+// needsResolution reports whether other jobs depend on this one and the cache does not know its outcome.
+func needsResolution(cache *storage.Cache, id string) bool {
 	return cache.Jobs[id] == nil && len(cache.Dependents[id]) > 0 && cache.ArchivedPhases[id] == workload.Active
 }
 
-// persistDependencyCancellations writes that jobs are cancelled with one of their dependencies, one
-// transaction at a time: every controller says so already.
+// persistDependencyCancellations marks jobs that are cancelled with a dependency as cancelled in the
+// store, one transaction at a time. This is not urgent, since every controller already reports them as
+// cancelled.
 func (p *partitionLeader) persistDependencyCancellations() {
-	if !p.dependencies.writePending(p.core.now) {
+	if !p.dependencies.writeDue(p.core.now) {
 		return
 	}
 	maxOperations := p.core.config.Settings.StateLimits().TxnOps
@@ -169,33 +171,33 @@
 	})
 }
 
-// resolveDependencies reads the archived records of the dependencies of a job, direct or through
-// others, and calls then when it is known whether the job is cancelled with one of them. Without
-// this a controller that began after they were archived would call a job queued that another calls
-// cancelled.
-func (c *Core) resolveDependencies(id string, then func(ok bool)) {
-	c.readArchivedDependencies(c.cache, c.cache.Unresolved(id), then)
+// resolveDependencies reads the archived records of a job's unresolved dependencies, direct or
+// transitive, and calls callback when it is known whether the job is cancelled with one of them.
+// Otherwise a controller that started after they were archived would report a job as queued that other
+// controllers report as cancelled.
+func (c *Core) resolveDependencies(id string, callback func(ok bool)) {
+	c.readArchivedDependencies(c.cache, c.cache.Unresolved(id), callback)
 }
 
-func (c *Core) readArchivedDependencies(cache *storage.Cache, ids []string, then func(ok bool)) {
+func (c *Core) readArchivedDependencies(cache *storage.Cache, ids []string, callback func(ok bool)) {
 	if len(ids) == 0 || c.cache != cache {
-		then(c.cache == cache) // a cache of a new snapshot knows nothing of what was read
+		callback(c.cache == cache) // a cache loaded from a new snapshot lacks the phases read so far
 		return
 	}
 	c.lookupArchivedJob(ids[0], func(entry *storage.JobEntry, ok bool) {
 		if !ok {
-			then(false)
+			callback(false)
 			return
 		}
 		if entry != nil && c.cache == cache {
 			cache.Resolve(ids[0], entry.Job.Phase)
 			c.reevaluateAffected()
 		}
-		c.readArchivedDependencies(cache, ids[1:], then)
+		c.readArchivedDependencies(cache, ids[1:], callback)
 	})
 }
 
-// reevaluateAffected looks at the jobs again for which something changed with another job.
+// reevaluateAffected reevaluates the jobs that may start or are cancelled because another job changed.
 func (c *Core) reevaluateAffected() {
 	for _, id := range c.cache.TakeAffected() {
 		c.jobChanged(id)
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -9,7 +9,7 @@
 	"pipitlatch/internal/workload"
 )
 
-func TestDependencyLookupsAreBoundedAndPaced(t *testing.T) {
+func TestDependencyLookupsAreLimited(t *testing.T) {
 	const now = 10 * micros.Second
 	s := newDependencyState()
 	for _, id := range []string{"c", "a", "b"} {
@@ -28,27 +28,27 @@
 		act  func()
 		want []string
 	}{
-		{name: "at first as many as may be in flight, in order", act: func() { send(now) }, want: []string{"a", "b"}},
-		{name: "none while these are in flight", act: func() { send(now) }},
-		{name: "the next once one ended", act: func() { s.endLookup(); send(now) }, want: []string{"c"}},
-		{name: "none again before its interval is over", act: func() {
+		{name: "as many as allowed in flight, in order", act: func() { send(now) }, want: []string{"a", "b"}},
+		{name: "no further lookup while these are in flight", act: func() { send(now) }},
+		{name: "next lookup once one has ended", act: func() { s.endLookup(); send(now) }, want: []string{"c"}},
+		{name: "not repeated within the interval", act: func() {
 			s.endLookup()
 			s.endLookup()
-			s.addUnresolved("a") // does not bring its time forward
+			s.addUnresolved("a") // does not move the next lookup forward
 			send(now + dependencyLookupInterval - 1)
 		}},
-		{name: "again after the interval", act: func() { send(now + dependencyLookupInterval) }, want: []string{"a", "b"}},
+		{name: "repeated after the interval", act: func() { send(now + dependencyLookupInterval) }, want: []string{"a", "b"}},
 	}
 	for _, step := range steps {
 		sent = nil
 		step.act()
 		if !slices.Equal(sent, step.want) {
-			t.Fatalf("%s: looked up %v, want %v", step.name, sent, step.want)
+			t.Fatalf("%s: got lookups of %v, want %v", step.name, sent, step.want)
 		}
 	}
 }
 
-func TestNextCancellationsAreThoseThatTheCacheShowsAsActive(t *testing.T) {
+func TestNextCancellationsContainsActiveCachedJobs(t *testing.T) {
 	cached := map[string]*storage.JobEntry{
 		"b":    {Job: &workload.Job{ID: "b"}},
 		"a":    {Job: &workload.Job{ID: "a"}},
@@ -57,15 +57,15 @@
 	tests := []struct {
 		name      string
 		cancelled []string
-		most      int
+		limit     int
 		want      []string
 		wantLeft  []string
 	}{
-		{name: "in order", cancelled: []string{"b", "a"}, most: 12, want: []string{"a", "b"}, wantLeft: []string{"a", "b"}},
-		{name: "as many as fit", cancelled: []string{"b", "a"}, most: 1, want: []string{"a"}, wantLeft: []string{"a", "b"}},
-		{name: "ended jobs are forgotten", cancelled: []string{"done", "a"}, most: 12,
+		{name: "in order", cancelled: []string{"b", "a"}, limit: 12, want: []string{"a", "b"}, wantLeft: []string{"a", "b"}},
+		{name: "limited", cancelled: []string{"b", "a"}, limit: 1, want: []string{"a"}, wantLeft: []string{"a", "b"}},
+		{name: "ended jobs are dropped", cancelled: []string{"done", "a"}, limit: 12,
 			want: []string{"a"}, wantLeft: []string{"a"}},
-		{name: "archived jobs are forgotten", cancelled: []string{"archived"}, most: 12},
+		{name: "archived jobs are dropped", cancelled: []string{"archived"}, limit: 12},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -74,39 +74,39 @@
 				s.addCancelled(id)
 			}
 			var got []string
-			for _, entry := range s.nextCancellations(cached, test.most) {
+			for _, entry := range s.nextCancellations(cached, test.limit) {
 				got = append(got, entry.Job.ID)
 			}
 			if !slices.Equal(got, test.want) {
-				t.Errorf("to be written %v, want %v", got, test.want)
+				t.Errorf("got cancellations of %v, want %v", got, test.want)
 			}
 			if left := sortedKeys(s.cancelled); !slices.Equal(left, test.wantLeft) {
-				t.Errorf("left %v, want %v", left, test.wantLeft)
+				t.Errorf("got remaining jobs %v, want %v", left, test.wantLeft)
 			}
 		})
 	}
 }
 
-func TestCancellationWriteIsPendingOnlyWhileNothingStandsInItsWay(t *testing.T) {
+func TestCancellationWriteDue(t *testing.T) {
 	const now = 10 * micros.Second
 	tests := []struct {
 		name   string
 		change func(s *dependencyState)
 		want   bool
 	}{
-		{name: "a cancelled job", change: func(*dependencyState) {}, want: true},
+		{name: "cancelled job", change: func(*dependencyState) {}, want: true},
 		{name: "nothing to write", change: func(s *dependencyState) { clear(s.cancelled) }},
-		{name: "a write in flight", change: func(s *dependencyState) { s.writeInFlight = true }},
-		{name: "just before its time", change: func(s *dependencyState) { s.nextWriteAt = now + 1 }},
-		{name: "at its time", change: func(s *dependencyState) { s.nextWriteAt = now }, want: true},
+		{name: "write in flight", change: func(s *dependencyState) { s.writeInFlight = true }},
+		{name: "just before the next write time", change: func(s *dependencyState) { s.nextWriteAt = now + 1 }},
+		{name: "at the next write time", change: func(s *dependencyState) { s.nextWriteAt = now }, want: true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			s := newDependencyState()
 			s.addCancelled("a")
 			test.change(&s)
-			if got := s.writePending(now); got != test.want {
-				t.Errorf("pending %v, want %v", got, test.want)
+			if got := s.writeDue(now); got != test.want {
+				t.Errorf("got due %v, want %v", got, test.want)
 			}
 		})
 	}
