--- a/internal/coordination/lookup.go
+++ b/internal/coordination/lookup.go
@@ -6,14 +6,13 @@
 	"pipitlatch/internal/workload"
 )
 
-// lookup answers a user's question for a job's state.
+// lookup responds to a user's request for the status of a job.
 func (c *Core) lookup(in *messages.Lookup) {
 	c.respondStatusOr(in.Request, in.ID, func() { c.respondNotFound(in.Request) })
 }
 
-// respondStatusOr answers with the job's state as it is at this moment, or calls notFound if there
-// is no such job. What can never change is answered from the cache at once; anything else takes a
-// linearizable read.
+// respondStatusOr responds with the current status of a job, or calls notFound if there is no such job.
+// A final status is served from the cache immediately; any other requires a linearizable read.
 func (c *Core) respondStatusOr(request messages.RequestID, id string, notFound func()) {
 	if c.respondIfFinal(request, id) {
 		return
@@ -30,7 +29,8 @@
 	})
 }
 
-// respondIfFinal answers from what can never change, if the cache has it, and tells whether it did.
+// respondIfFinal responds with the cached status of a job if that can no longer change, and reports whether
+// it did.
 func (c *Core) respondIfFinal(request messages.RequestID, id string) bool {
 	entry := c.cache.Jobs[id]
 	if entry == nil || (entry.Job.Phase == workload.Active && !entry.CancelledByDependency) {
@@ -40,8 +40,8 @@
 	return true
 }
 
-// respondCachedStatus answers with the state of a job that the cache has, once it is known whether
-// the job is cancelled with one of its dependencies.
+// respondCachedStatus responds with the status of a cached job, once it is known whether the job is
+// cancelled with one of its dependencies.
 func (c *Core) respondCachedStatus(request messages.RequestID, id string) {
 	c.resolveDependencies(id, func(ok bool) {
 		entry := c.cache.Jobs[id]
@@ -53,8 +53,8 @@
 	})
 }
 
-// respondArchivedStatusOr answers with the state of a job that ended long ago, or calls notFound if
-// the archive has none. The cache must be as new as the question.
+// respondArchivedStatusOr responds with the status of an archived job, or calls notFound if the archive
+// has no such job. The cache must be at least as recent as the request.
 func (c *Core) respondArchivedStatusOr(request messages.RequestID, id string, notFound func()) {
 	c.lookupArchivedJob(id, func(entry *storage.JobEntry, ok bool) {
 		switch {
@@ -72,15 +72,15 @@
 	c.respond(messages.Response{Request: request, Kind: messages.JobFound, Job: c.jobStatus(entry)})
 }
 
-// jobStatus is what a user is told of a job. Progress is what the partition leader last said of it,
-// and never less than what is stored.
+// jobStatus returns the status of a job as reported to users. The progress is what the partition leader
+// reported last, but at least what is stored.
 func (c *Core) jobStatus(entry *storage.JobEntry) messages.JobStatus {
 	status := messages.JobStatus{ID: entry.Job.ID, Phase: entry.Job.Phase}
 	if entry.CancelledByDependency {
 		status.Phase = workload.Cancelled
 	}
 	switch status.Phase {
-	case workload.Cancelled: // how far it came is of no use any more
+	case workload.Cancelled: // progress is not reported for cancelled jobs
 	case workload.Done:
 		status.Done = entry.Job.Tasks
 	case workload.Active:
