--- a/internal/coordination/oversized.go
+++ b/internal/coordination/oversized.go
@@ -5,8 +5,9 @@
 	"pipitlatch/internal/workload"
 )
 
-// oversizedMachine finds the most expensive machine that is kept for so few replicas that
-// smaller ones would do for much less, and that the arrays do not need; nil: there is none.
+// oversizedMachine returns the most expensive on-demand machine whose service replicas could run on
+// smaller machines at a saving of at least the lowest on-demand price, and whose capacity arrays do not
+// need. It returns nil if there is none.
 func (p *partitionLeader) oversizedMachine(service *job) *machine {
 	if service == nil {
 		return nil
@@ -20,15 +21,15 @@
 			p.core.now-m.lifecycle.addedAt < minMachineAge {
 			continue
 		}
-		replicas, besidesReplicas := replicaLoad(m)
-		if replicas == 0 || arraysNeed(arrays, load.capacity-load.services-besidesReplicas) {
+		replicas, otherCPU := replicaLoad(m)
+		if replicas == 0 || arraysNeed(arrays, load.capacity-load.services-otherCPU) {
 			continue
 		}
 		if found != nil && m.instanceType.Price <= found.instanceType.Price {
 			continue
 		}
 		for _, t := range p.core.catalog.Types() {
-			saved, smaller := savedByReplacing(m.instanceType, t, service, replicas)
+			saved, smaller := replacementSavings(m.instanceType, t, service, replicas)
 			if smaller && service.AllowsInstanceType(t.Name) && saved >= lowestPrice {
 				found = m
 				break
@@ -38,9 +39,10 @@
 	return found
 }
 
-// savedByReplacing is what it saves to run a number of replicas on machines of a smaller
-// instance type; ok is false if the other type is none.
-func savedByReplacing(large, smaller *workload.InstanceType, service *job, replicas int) (saved float64, ok bool) {
+// replacementSavings returns how much is saved by replacing a large machine with machines of a smaller
+// instance type. These must have room for its replicas and one extra, so that one may be lost. ok is
+// false if that type is not smaller or has no room for a replica.
+func replacementSavings(large, smaller *workload.InstanceType, service *job, replicas int) (saved float64, ok bool) {
 	perMachine := int(service.Resources.Count(smaller.Capacity))
 	if perMachine == 0 || smaller.Capacity.CPU >= large.Capacity.CPU {
 		return 0, false
@@ -49,22 +51,22 @@
 	return large.Price - float64(machines)*smaller.Price, true
 }
 
-// replicaLoad is how many replicas are on a machine, and the CPU that they do not use.
-func replicaLoad(m *machine) (replicas int, besides int64) {
-	besides = m.instanceType.Capacity.CPU
+// replicaLoad returns the number of service replicas on a machine, and the CPU that they do not use.
+func replicaLoad(m *machine) (replicas int, otherCPU int64) {
+	otherCPU = m.instanceType.Capacity.CPU
 	for _, a := range m.attempts {
 		if a.isReplica() {
 			replicas++
-			besides -= a.resources.CPU
+			otherCPU -= a.resources.CPU
 		}
 	}
-	return replicas, besides
+	return replicas, otherCPU
 }
 
-// arraysNeed tells whether the CPU that arrays use would take more than most of what is there.
+// arraysNeed reports whether arrays use more than 80% of the CPU that would be available to them.
 func arraysNeed(arrays, available int64) bool { return arrays > available*8/10 }
 
-// lowestPrice is the lowest price of an ordinary machine.
+// lowestPrice returns the lowest on-demand price in the catalog.
 func (p *partitionLeader) lowestPrice() float64 {
 	lowest := 0.0
 	for _, t := range p.core.catalog.Types() {
@@ -75,10 +77,10 @@
 	return lowest
 }
 
-// cpuLoad is the CPU that arrays and services use, and all there is.
+// cpuLoad is the CPU used by arrays and by services, and the total capacity.
 type cpuLoad struct{ arrays, services, capacity int64 }
 
-// cpuLoad is that of the machines that take tasks.
+// cpuLoad returns the CPU load of the schedulable machines.
 func (p *partitionLeader) cpuLoad() cpuLoad {
 	var load cpuLoad
 	for _, m := range p.machines {
