--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -126,7 +126,7 @@
 			return
 		}
 		cpu := m.instanceType.Capacity.CPU
-		if arraysNeed(p.consolidation.recentArrayCPU, load.capacity-cpu-load.services) ||
+		if exceedsArrayLoadLimit(p.consolidation.recentArrayCPU, load.capacity-cpu-load.services) ||
 			p.requestedForArrays(m) || survey.missing(m) > 0 {
 			continue
 		}
--- a/internal/coordination/oversized.go
+++ b/internal/coordination/oversized.go
@@ -22,7 +22,7 @@
 			continue
 		}
 		replicas, otherCPU := replicaLoad(m)
-		if replicas == 0 || arraysNeed(arrays, load.capacity-load.services-otherCPU) {
+		if replicas == 0 || exceedsArrayLoadLimit(arrays, load.capacity-load.services-otherCPU) {
 			continue
 		}
 		if found != nil && m.instanceType.Price <= found.instanceType.Price {
@@ -63,8 +63,8 @@
 	return replicas, otherCPU
 }
 
-// arraysNeed reports whether arrays use more than 80% of the CPU that would be available to them.
-func arraysNeed(arrays, available int64) bool { return arrays > available*8/10 }
+// exceedsArrayLoadLimit reports whether arrays use more than 80% of the CPU that would be available to them.
+func exceedsArrayLoadLimit(arrays, available int64) bool { return arrays > available*8/10 }
 
 // lowestPrice returns the lowest on-demand price in the catalog.
 func (p *partitionLeader) lowestPrice() float64 {
