--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -89,7 +89,7 @@
 	// A replica is away for as long as its image takes to arrive: an expensive machine is
 	// worth that, others wait for capacity where the image is.
 	withoutImage := p.core.now-m.drain.since > imageWaitTimeout &&
-		m.instanceType.Price > expensiveFactor*p.lowestPrice()
+		m.instanceType.Price > expensiveFactor*p.lowestOnDemandPrice()
 	for _, id := range sortedAttempts(m) {
 		a := m.attempts[id]
 		if a.state != messages.Running || a.stop.ordered || !a.isReplica() {
--- a/internal/coordination/oversized.go
+++ b/internal/coordination/oversized.go
@@ -14,7 +14,7 @@
 	}
 	load := p.cpuLoad()
 	arrays := max(load.arrays, p.consolidation.recentArrayCPU)
-	lowestPrice := p.lowestPrice()
+	lowestPrice := p.lowestOnDemandPrice()
 	var found *machine
 	for _, m := range p.machines {
 		if m.instanceType == nil || m.record.Spot || !p.schedulable(m) ||
@@ -66,8 +66,8 @@
 // exceedsArrayLoadLimit reports whether arrays use more than 80% of the CPU that would be available to them.
 func exceedsArrayLoadLimit(arrays, available int64) bool { return arrays > available*8/10 }
 
-// lowestPrice returns the lowest on-demand price in the catalog.
-func (p *partitionLeader) lowestPrice() float64 {
+// lowestOnDemandPrice returns the lowest on-demand price in the catalog.
+func (p *partitionLeader) lowestOnDemandPrice() float64 {
 	lowest := 0.0
 	for _, t := range p.core.catalog.Types() {
 		if lowest == 0 || t.Price < lowest {
