--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -117,7 +117,7 @@
 
 // drainSurplus drains machines that are not needed until a number of them are draining.
 func (p *partitionLeader) drainSurplus(draining, limit int) {
-	load := p.cpuLoad()
+	load := p.measureCPULoad()
 	p.consolidation.observeArrays(load.arrays, len(p.machines))
 	candidates := p.consolidationCandidates()
 	survey := p.surveyHeadroom(false)
--- a/internal/coordination/oversized.go
+++ b/internal/coordination/oversized.go
@@ -12,7 +12,7 @@
 	if service == nil {
 		return nil
 	}
-	load := p.cpuLoad()
+	load := p.measureCPULoad()
 	arrays := max(load.arrays, p.consolidation.recentArrayCPU)
 	lowestPrice := p.lowestOnDemandPrice()
 	var found *machine
@@ -80,8 +80,8 @@
 // cpuLoad is the CPU used by arrays and by services, and the total capacity.
 type cpuLoad struct{ arrays, services, capacity int64 }
 
-// cpuLoad returns the CPU load of the schedulable machines.
-func (p *partitionLeader) cpuLoad() cpuLoad {
+// measureCPULoad returns the CPU load of the schedulable machines.
+func (p *partitionLeader) measureCPULoad() cpuLoad {
 	var load cpuLoad
 	for _, m := range p.machines {
 		if m.instanceType == nil || !p.schedulable(m) {
