--- a/internal/coordination/submission.go
+++ b/internal/coordination/submission.go
@@ -8,10 +8,10 @@
 	"pipitlatch/internal/workload"
 )
 
-// submission is a user's request to accept a job, while it is being carried out: it is checked,
-// admitted, its dependencies are looked up, and its record is written, by which it is accepted.
-// Whatever it is refused for, a job that was accepted before is answered with its state instead:
-// submissions are idempotent.
+// submission is a user's request to accept a job, while it is in progress. The job is checked and
+// admitted, its dependencies are looked up, and its record is written; that write accepts the job.
+// Submissions are idempotent: whatever the reason for a rejection, a job that was accepted before is
+// answered with its status instead.
 type submission struct {
 	core         *Core
 	request      messages.RequestID
@@ -20,7 +20,7 @@
 	dependencies submittedDependencies
 }
 
-// submit carries a user's submission out.
+// submit processes a user's submission.
 func (c *Core) submit(in *messages.Submit) {
 	s := &submission{core: c, request: in.Request, id: in.ID, job: in.Job}
 	switch {
@@ -29,39 +29,40 @@
 	case c.cache.Jobs[in.ID] != nil:
 		s.respondDuplicate()
 	case in.Job == nil:
-		// A job that was accepted before is answered with its state whatever the repeated
-		// submission looks like, so faults are told only after its record was looked up.
+		// A repeated submission of an accepted job is answered with the job's status even if it is
+		// malformed, so faults are reported only after the job has been looked up.
 		s.respondStatusOr(func() { s.respondMalformed(in.Fault) })
 	case !c.storeReachable():
 		s.respondUnavailable(storeUnavailable)
 	default:
-		s.checkSchedulable()
+		s.checkAndAdmit()
 	}
 }
 
-// checkSchedulable refuses a job that can never run, and asks for the admission of any other.
-func (s *submission) checkSchedulable() {
+// checkAndAdmit rejects a job that can never run, and requests admission of any other.
+func (s *submission) checkAndAdmit() {
 	if reason := s.core.checkSchedulable(s.job); reason != schedulable {
 		s.rejectUnschedulable(reason)
 		return
 	}
-	s.core.admit(s.request, s.job, s.admitted)
+	s.core.admit(s.request, s.job, s.handleAdmission)
 }
 
-// admitted accepts a job that was admitted. A job with dependencies does not keep the urgency: its
-// record is written after they were looked up.
-func (s *submission) admitted(urgency storage.Urgency) {
+// handleAdmission accepts an admitted job. The urgency does not apply to a job with dependencies, whose
+// record is written only after these have been looked up.
+func (s *submission) handleAdmission(urgency storage.Urgency) {
 	s.job.Submitted = s.core.wall
 	s.core.pruneInstanceTypes(s.job)
 	if len(s.job.DependsOn) > 0 {
 		s.acceptWithDependencies()
 		return
 	}
-	s.accept(urgency)
+	s.writeRecord(urgency)
 }
 
-// accept writes the job's record, by which it is accepted, under further compares.
-func (s *submission) accept(urgency storage.Urgency, compares ...storage.Compare) {
+// writeRecord writes the job's record, which accepts the job. The write succeeds only if the job has no
+// record yet, archived or not, and the given compares hold.
+func (s *submission) writeRecord(urgency storage.Urgency, compares ...storage.Compare) {
 	c := s.core
 	key, value := c.keys.Job(s.id), storage.Encode(s.job)
 	if len(value) > c.config.Settings.MaxValue() {
@@ -72,14 +73,14 @@
 		Kind:     storage.Txn,
 		Compares: append([]storage.Compare{{Key: key}, {Key: c.keys.Archive(s.id)}}, compares...),
 		Puts:     []storage.Put{{Key: key, Value: value}},
-	}, urgency, storeTimeout, s.recordWritten)
+	}, urgency, storeTimeout, s.handleWriteReply)
 	if !sent {
 		c.countShed()
 		c.respondWritesExhausted(s.request)
 	}
 }
 
-func (s *submission) recordWritten(reply *storage.Reply) {
+func (s *submission) handleWriteReply(reply *storage.Reply) {
 	if reply.Outcome == storage.OK {
 		s.core.countAccepted(s.job)
 		s.core.respond(messages.Response{
@@ -99,12 +100,12 @@
 	s.respondUnavailable(storeUnavailable)
 }
 
-// respondDuplicate answers with the state of a job that was accepted before.
+// respondDuplicate responds with the status of a job that was accepted before.
 func (s *submission) respondDuplicate() {
 	s.respondStatusOr(func() { s.respondUnavailable(concurrentChange) })
 }
 
-// rejectUnschedulable refuses a job that can never run, unless it was accepted before.
+// rejectUnschedulable rejects a job that can never run, unless it was accepted before.
 func (s *submission) rejectUnschedulable(reason unschedulableReason) {
 	s.respondStatusOr(func() {
 		s.core.respond(messages.Response{Request: s.request, Kind: messages.JobUnschedulable, Text: reason.String()})
@@ -123,7 +124,7 @@
 	s.core.respondStatusOr(s.request, s.id, notFound)
 }
 
-// checkSchedulable says why a job can never run, or that it is schedulable.
+// checkSchedulable returns the reason why a job can never run, or schedulable if it can.
 func (c *Core) checkSchedulable(j *workload.Job) unschedulableReason {
 	team := c.teams[j.Team]
 	switch {
@@ -137,8 +138,8 @@
 	return schedulable
 }
 
-// pruneInstanceTypes leaves out of a job's record what says nothing: instance types that do not
-// exist, or on which its tasks do not fit.
+// pruneInstanceTypes removes instance types from a job that do not exist or on which its tasks do not
+// fit, as well as duplicates.
 func (c *Core) pruneInstanceTypes(j *workload.Job) {
 	j.InstanceTypes = slices.DeleteFunc(slices.Clone(j.InstanceTypes), func(name string) bool {
 		instanceType := c.catalog.Types()[name]
--- a/internal/coordination/submission_dependencies.go
+++ b/internal/coordination/submission_dependencies.go
@@ -105,7 +105,7 @@
 	if s.dependencies.cancelled {
 		s.job = s.job.Tombstone(workload.Cancelled)
 		s.job.Submitted = s.core.wall
-		s.accept(storage.Prompt)
+		s.writeRecord(storage.Prompt)
 		return
 	}
 	s.job.DependsOn = s.dependencies.unfinished
@@ -118,7 +118,7 @@
 	c, job := s.core, s.job
 	maxValue := c.config.Settings.MaxValue()
 	if len(storage.Encode(job)) <= maxValue-acceptedRecordReserve {
-		s.accept(storage.Prompt)
+		s.writeRecord(storage.Prompt)
 		return
 	}
 	c.dependencyLists++
@@ -141,7 +141,7 @@
 	c := s.core
 	if len(parts) == 0 {
 		firstPart := c.keys.DependencyPart(s.id, s.job.DependencyListName, 0)
-		s.accept(storage.Prompt, storage.Compare{Key: firstPart, ModRevision: firstRevision})
+		s.writeRecord(storage.Prompt, storage.Compare{Key: firstPart, ModRevision: firstRevision})
 		return
 	}
 	count := partsPerTransaction(parts, c.config.Settings.StateLimits().TxnOps)
