--- a/internal/coordination/submission_test.go
+++ b/internal/coordination/submission_test.go
@@ -11,7 +11,7 @@
 	"pipitlatch/internal/workload"
 )
 
-// newServing is a core that serves users, without fair admission.
+// newServing returns a core that serves users, without fair admission.
 func newServing(t *testing.T) *Core {
 	t.Helper()
 	c := newFair(t)
@@ -20,7 +20,7 @@
 	return c
 }
 
-// cacheJob puts a job's record into the core's cache.
+// cacheJob adds a job's record to the core's cache.
 func cacheJob(t *testing.T, c *Core, job *workload.Job, modRevision uint64) {
 	t.Helper()
 	item := storage.Item{Key: c.keys.Job(job.ID), Value: storage.Encode(job), ModRevision: modRevision}
@@ -29,8 +29,8 @@
 	}
 }
 
-// emptyStore responses reads of a store that has nothing but what is cached, and carries transactions
-// out. It keeps the transactions.
+// emptyStore simulates a store without any records beyond those in the cache: reads find nothing,
+// transactions succeed and are recorded. Other requests get no reply.
 type emptyStore struct{ transactions []*storage.Request }
 
 func (s *emptyStore) reply(r *storage.Request) *storage.Reply {
@@ -44,8 +44,8 @@
 	return &storage.Reply{Outcome: storage.OK, Revision: 50}
 }
 
-// written is the record of a job as the first transaction with it wrote it; nil: none did.
-func (s *emptyStore) written(t *testing.T, key string) *workload.Job {
+// writtenRecord returns the job's record from the first transaction that wrote it, or nil if none did.
+func (s *emptyStore) writtenRecord(t *testing.T, key string) *workload.Job {
 	t.Helper()
 	for _, r := range s.transactions {
 		for _, put := range r.Puts {
@@ -62,13 +62,13 @@
 	return nil
 }
 
-// submitAndWait submits a job and waits for the response.
+// submitAndWait submits a job and returns the responses, see requestAndWait.
 func submitAndWait(c *Core, job *workload.Job, reply func(*storage.Request) *storage.Reply) []messages.Response {
 	return requestAndWait(c, &messages.Submit{Request: 1, ID: job.ID, Job: job}, reply)
 }
 
-// requestAndWait takes a user's request, completes the requests to the store that follow, and lets
-// time pass until there is a response.
+// requestAndWait sends a user's request to the core, completes the resulting store calls, and advances
+// time until there is a response, for at most a second.
 func requestAndWait(c *Core, request messages.Input, reply func(*storage.Request) *storage.Reply) []messages.Response {
 	var responses []messages.Response
 	inputs := []messages.Input{request}
@@ -87,19 +87,19 @@
 	return responses
 }
 
-func TestSubmissionsThatCanNeverRunAreRefusedWithTheReason(t *testing.T) {
+func TestUnschedulableSubmissionIsRejectedWithReason(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(j *workload.Job)
 		want   string
 	}{
-		{name: "quota", change: func(j *workload.Job) { j.Team = "limited" }, want: "needs more than the team's limit"},
-		{name: "team", change: func(j *workload.Job) { j.Team = "nobody" }, want: "unknown team"},
-		{name: "instance types", change: func(j *workload.Job) { j.Resources.CPU = 9000 },
+		{name: "team limit", change: func(j *workload.Job) { j.Team = "limited" }, want: "needs more than the team's limit"},
+		{name: "unknown team", change: func(j *workload.Job) { j.Team = "nobody" }, want: "unknown team"},
+		{name: "no fitting instance type", change: func(j *workload.Job) { j.Resources.CPU = 9000 },
 			want: "a task fits no allowed machine type"},
-		{name: "record", change: func(j *workload.Job) { j.Image = strings.Repeat("i", 20<<10) },
+		{name: "record too large", change: func(j *workload.Job) { j.Image = strings.Repeat("i", 20<<10) },
 			want: "its description is too long to be kept"},
-		{name: "itself", change: func(j *workload.Job) { j.DependsOn = []string{j.ID} }, want: "it waits on itself"},
+		{name: "self-dependency", change: func(j *workload.Job) { j.DependsOn = []string{j.ID} }, want: "it waits on itself"},
 		{name: "unknown dependency", change: func(j *workload.Job) { j.DependsOn = []string{"wk-000001", "wk-000099"} },
 			want: "it waits on a job that was never accepted: wk-000099"},
 		{name: "service as dependency", change: func(j *workload.Job) { j.DependsOn = []string{"wk-000002"} },
@@ -117,16 +117,16 @@
 			test.change(job)
 			responses := submitAndWait(c, job, store.reply)
 			if len(responses) != 1 || responses[0].Kind != messages.JobUnschedulable || responses[0].Text != test.want {
-				t.Errorf("%+v, want %q", responses, test.want)
+				t.Errorf("got responses %+v, want one with text %q", responses, test.want)
 			}
-			if record := store.written(t, c.keys.Job(job.ID)); record != nil {
-				t.Errorf("written: %+v", record)
+			if record := store.writtenRecord(t, c.keys.Job(job.ID)); record != nil {
+				t.Errorf("rejected job was written: %+v", record)
 			}
 		})
 	}
 }
 
-func TestRefusedDuplicateIsAnsweredWithItsState(t *testing.T) {
+func TestRejectedDuplicateReturnsJobStatus(t *testing.T) {
 	c := newServing(t)
 	job := testJob(7)
 	c.cache.Archived = true
@@ -140,11 +140,11 @@
 		return (&emptyStore{}).reply(r)
 	})
 	if len(responses) != 1 || responses[0].Kind != messages.JobFound || responses[0].Job.Phase != workload.Done {
-		t.Errorf("%+v", responses)
+		t.Errorf("got responses %+v, want one that the job is done", responses)
 	}
 }
 
-func TestAcceptedRecordNamesUnfinishedDependenciesOnly(t *testing.T) {
+func TestAcceptedRecordListsOnlyUnfinishedDependencies(t *testing.T) {
 	tests := []struct {
 		name         string
 		dependencies []string
@@ -165,20 +165,21 @@
 			job.DependsOn = test.dependencies
 			responses := submitAndWait(c, job, store.reply)
 			if len(responses) != 1 || responses[0].Kind != messages.JobAccepted || responses[0].Job.Phase != test.wantPhase {
-				t.Errorf("%+v", responses)
+				t.Errorf("got responses %+v, want one that the job was accepted in phase %d", responses, test.wantPhase)
 			}
-			record := store.written(t, c.keys.Job(job.ID))
+			record := store.writtenRecord(t, c.keys.Job(job.ID))
 			if record == nil {
-				t.Fatal("no record was written")
+				t.Fatal("job record was not written")
 			}
 			if record.Phase != test.wantPhase || !slices.Equal(record.DependsOn, test.want) {
-				t.Errorf("record in phase %d with %v, want %d with %v", record.Phase, record.DependsOn, test.wantPhase, test.want)
+				t.Errorf("got record in phase %d with dependencies %v, want phase %d with %v",
+					record.Phase, record.DependsOn, test.wantPhase, test.want)
 			}
 		})
 	}
 }
 
-func TestDependenciesWaitForTheLastOlderMember(t *testing.T) {
+func TestDependenciesRequireAllMembersUpgraded(t *testing.T) {
 	c, store := newServing(t), &emptyStore{}
 	cacheJob(t, c, testJob(1), 11)
 	c.cache.Format = storage.Format - 1
@@ -187,14 +188,14 @@
 	responses := submitAndWait(c, job, store.reply)
 	const want = "an older version is still running"
 	if len(responses) != 1 || responses[0].Kind != messages.ServiceUnavailable || responses[0].Text != want {
-		t.Errorf("%+v", responses)
+		t.Errorf("got responses %+v, want one with text %q", responses, want)
 	}
-	if record := store.written(t, c.keys.Job(job.ID)); record != nil {
-		t.Errorf("written: %+v", record)
+	if record := store.writtenRecord(t, c.keys.Job(job.ID)); record != nil {
+		t.Errorf("rejected job was written: %+v", record)
 	}
 }
 
-func TestSubmissionOfAnotherControllerAtTheSameTimeIsTriedAgain(t *testing.T) {
+func TestConcurrentSubmissionIsAskedToRetry(t *testing.T) {
 	c, store := newServing(t), &emptyStore{}
 	responses := submitAndWait(c, testJob(7), func(r *storage.Request) *storage.Reply {
 		if r.Kind == storage.Txn {
@@ -203,27 +204,27 @@
 		return store.reply(r)
 	})
 	if len(responses) != 1 || responses[0].Kind != messages.ServiceUnavailable || responses[0].Text != "try again" {
-		t.Errorf("%+v", responses)
+		t.Errorf("got responses %+v, want one with text %q", responses, "try again")
 	}
 }
 
 func TestPartsPerTransaction(t *testing.T) {
 	part := func(size int) storage.Put { return storage.Put{Value: make([]byte, size)} }
 	tests := []struct {
-		name  string
-		parts []storage.Put
-		most  int
-		want  int
+		name          string
+		parts         []storage.Put
+		maxOperations int
+		want          int
 	}{
-		{name: "all", parts: []storage.Put{part(10), part(10)}, most: 12, want: 2},
-		{name: "as many as operations", parts: []storage.Put{part(10), part(10), part(10)}, most: 2, want: 2},
-		{name: "as many as bytes", parts: []storage.Put{part(maxPartTxnBytes), part(1)}, most: 12, want: 1},
-		{name: "one at least", parts: []storage.Put{part(maxPartTxnBytes + 1), part(1)}, most: 12, want: 1},
+		{name: "all parts", parts: []storage.Put{part(10), part(10)}, maxOperations: 12, want: 2},
+		{name: "limited by operations", parts: []storage.Put{part(10), part(10), part(10)}, maxOperations: 2, want: 2},
+		{name: "limited by size", parts: []storage.Put{part(maxPartTxnBytes), part(1)}, maxOperations: 12, want: 1},
+		{name: "at least one part", parts: []storage.Put{part(maxPartTxnBytes + 1), part(1)}, maxOperations: 12, want: 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := partsPerTransaction(test.parts, test.most); got != test.want {
-				t.Errorf("%d, want %d", got, test.want)
+			if got := partsPerTransaction(test.parts, test.maxOperations); got != test.want {
+				t.Errorf("got %d parts, want %d", got, test.want)
 			}
 		})
 	}
