--- a/internal/coordination/cancel_request_test.go
+++ b/internal/coordination/cancel_request_test.go
@@ -45,7 +45,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, job := newServing(t), testJob(7)
+			c, job := newServingCore(t), testJob(7)
 			cacheJob(t, c, job, 11)
 			store := &conflictingStore{key: c.keys.Job(job.ID), conflicts: test.conflicts}
 			responses := requestAndWait(c, &messages.Cancel{Request: 1, ID: job.ID}, store.reply)
@@ -75,7 +75,7 @@
 	}
 	for name, request := range tests {
 		t.Run(name, func(t *testing.T) {
-			c, store := newServing(t), &emptyStore{}
+			c, store := newServingCore(t), &emptyStore{}
 			responses := requestAndWait(c, request, store.reply)
 			if len(responses) != 1 || responses[0].Kind != messages.JobNotFound {
 				t.Errorf("got responses %+v, want one of kind %d", responses, messages.JobNotFound)
--- a/internal/coordination/inherited_urgency_test.go
+++ b/internal/coordination/inherited_urgency_test.go
@@ -47,7 +47,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c := newServing(t)
+			c := newServingCore(t)
 			c.catalog.Types()["m"].FetchGBps = 0.5
 			for i, j := range append(test.jobs, job("a", asIs)) {
 				cacheJob(t, c, j, uint64(100+i))
--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -14,7 +14,7 @@
 // newLeading is a core that leads partition 0, since mod revision 30, with no machines and no jobs.
 func newLeading(t *testing.T) *Core {
 	t.Helper()
-	c := newServing(t)
+	c := newServingCore(t)
 	c.partitions[0] = newPartitionLeader(c, 0, storage.Versioned[storage.PartitionRecord]{
 		Value:       storage.PartitionRecord{Leader: c.process},
 		ModRevision: 30,
--- a/internal/coordination/submission_test.go
+++ b/internal/coordination/submission_test.go
@@ -11,8 +11,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// newServing returns a core that serves users, without fair admission.
-func newServing(t *testing.T) *Core {
+// newServingCore returns a core that serves users, without fair admission.
+func newServingCore(t *testing.T) *Core {
 	t.Helper()
 	c := newFair(t)
 	c.fair = nil
@@ -107,7 +107,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, store := newServing(t), &emptyStore{}
+			c, store := newServingCore(t), &emptyStore{}
 			cacheJob(t, c, testJob(1), 11)
 			c.teams["limited"] = &workload.Team{LimitCPU: 500, LimitGPU: -1}
 			service := testJob(2)
@@ -127,7 +127,7 @@
 }
 
 func TestRejectedDuplicateReturnsJobStatus(t *testing.T) {
-	c := newServing(t)
+	c := newServingCore(t)
 	job := testJob(7)
 	c.cache.Archived = true
 	known := storage.Item{Key: c.keys.Archive(job.ID), ModRevision: 5, Value: storage.Encode(job.Tombstone(workload.Done))}
@@ -157,7 +157,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, store := newServing(t), &emptyStore{}
+			c, store := newServingCore(t), &emptyStore{}
 			cacheJob(t, c, testJob(1), 11)
 			cacheJob(t, c, testJob(2).Tombstone(workload.Done), 12)
 			cacheJob(t, c, testJob(3).Tombstone(workload.Cancelled), 13)
@@ -180,7 +180,7 @@
 }
 
 func TestDependenciesRequireAllMembersUpgraded(t *testing.T) {
-	c, store := newServing(t), &emptyStore{}
+	c, store := newServingCore(t), &emptyStore{}
 	cacheJob(t, c, testJob(1), 11)
 	c.cache.Format = storage.Format - 1
 	job := testJob(7)
@@ -196,7 +196,7 @@
 }
 
 func TestConcurrentSubmissionIsAskedToRetry(t *testing.T) {
-	c, store := newServing(t), &emptyStore{}
+	c, store := newServingCore(t), &emptyStore{}
 	responses := submitAndWait(c, testJob(7), func(r *storage.Request) *storage.Reply {
 		if r.Kind == storage.Txn {
 			return &storage.Reply{Outcome: storage.Conflict}
--- a/internal/coordination/transfer_test.go
+++ b/internal/coordination/transfer_test.go
@@ -13,7 +13,7 @@
 // leader.
 func newTransferable(t *testing.T) *Core {
 	t.Helper()
-	c := newServing(t)
+	c := newServingCore(t)
 	for key, value := range map[string]any{
 		c.keys.Partition(0): storage.PartitionRecord{Leader: c.process},
 		c.keys.Partition(1): storage.PartitionRecord{Leader: storage.Process{Member: "n1", Incarnation: "x"}},
