--- a/internal/coordination/submission.go
+++ b/internal/coordination/submission.go
@@ -17,7 +17,7 @@
 	request      messages.RequestID
 	id           string
 	job          *workload.Job
-	dependencies submittedDependencies
+	dependencies dependencyCheck
 }
 
 // submit processes a user's submission.
--- a/internal/coordination/submission_dependencies.go
+++ b/internal/coordination/submission_dependencies.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// acceptedRecordReserve is left for what a record gets when it is accepted.
-	acceptedRecordReserve = 40
-	// maxPartTxnBytes bounds the parts in one transaction, which may have 64 KiB.
+	// acceptanceReserveBytes is the space kept free in a record for what is added on acceptance.
+	acceptanceReserveBytes = 40
+	// maxPartTxnBytes limits the total size of the parts in one transaction, which may have 64 KiB.
 	maxPartTxnBytes = 32 << 10
-	// maxJobIDBytes is the longest that a job's id may be.
+	// maxJobIDBytes is the maximum length of a job id.
 	maxJobIDBytes = 23
 )
 
-// submittedDependencies is what was found out of the dependencies of a submission.
-type submittedDependencies struct {
+// dependencyCheck is the result of checking the dependencies of a submission, as far as it has got.
+type dependencyCheck struct {
 	unfinished []string // neither done nor cancelled
-	cancelled  bool     // one of them is
+	cancelled  bool     // at least one of them is cancelled
 }
 
-// acceptWithDependencies accepts a job with dependencies. Where the cache has all of them it need
-// not be as new as the submission: they were accepted, done and cancelled are final, and what has
-// become of them since makes the job wait, start or be cancelled all the same.
+// acceptWithDependencies accepts a job with dependencies. If all of them are cached, the cache need not
+// be as recent as the submission: all were accepted, done and cancelled are final, and any later change
+// of a dependency still makes the job wait, start or be cancelled as it should.
 func (s *submission) acceptWithDependencies() {
 	for _, id := range s.job.DependsOn {
 		if s.core.cache.Jobs[id] == nil {
@@ -34,17 +34,17 @@
 					s.respondUnavailable(storeUnavailable)
 					return
 				}
-				s.resolveDependencies()
+				s.startDependencyCheck()
 			})
 			return
 		}
 	}
-	s.resolveDependencies()
+	s.startDependencyCheck()
 }
 
-// resolveDependencies looks the job's dependencies up, provided that every member can read the
-// record of a job that has some.
-func (s *submission) resolveDependencies() {
+// startDependencyCheck looks up the job's dependencies, provided that every member can read the records
+// of jobs with dependencies.
+func (s *submission) startDependencyCheck() {
 	c := s.core
 	if c.cache.Format < storage.Format || c.olderMemberRegistered() {
 		s.respondStatusOr(func() { s.respondUnavailable(olderVersionRunning) })
@@ -57,8 +57,9 @@
 	s.checkDependencies(s.job.DependsOn)
 }
 
-// checkDependencies looks up the dependencies that are left and goes on to accept the job, or
-// refuses it. The cache must be as new as the submission for those that it does not have.
+// checkDependencies looks up the given dependencies and then proceeds to accept the job, unless one of
+// them rules that out. If any of them is not cached, the cache must be at least as recent as the
+// submission.
 func (s *submission) checkDependencies(ids []string) {
 	for i, id := range ids {
 		if id == s.id {
@@ -81,11 +82,11 @@
 			s.dependencies.unfinished = append(s.dependencies.unfinished, id)
 		}
 	}
-	s.dependenciesChecked()
+	s.finishDependencyCheck()
 }
 
-// checkArchivedDependency looks up a dependency that the cache does not have, and then the others.
-func (s *submission) checkArchivedDependency(id string, others []string) {
+// checkArchivedDependency looks up a dependency that is not cached, and then the remaining ones.
+func (s *submission) checkArchivedDependency(id string, remaining []string) {
 	s.core.lookupArchivedJob(id, func(entry *storage.JobEntry, ok bool) {
 		switch {
 		case !ok:
@@ -94,14 +95,14 @@
 			s.rejectUnschedulable(dependsOnUnknownJob.dependency(id))
 		default:
 			s.dependencies.cancelled = s.dependencies.cancelled || entry.Cancelled()
-			s.checkDependencies(others)
+			s.checkDependencies(remaining)
 		}
 	})
 }
 
-// dependenciesChecked accepts the job as one that waits for its unfinished dependencies, or as
-// cancelled if one of them is.
-func (s *submission) dependenciesChecked() {
+// finishDependencyCheck accepts the job, to wait for its unfinished dependencies, or as cancelled if any
+// dependency is cancelled.
+func (s *submission) finishDependencyCheck() {
 	if s.dependencies.cancelled {
 		s.job = s.job.Tombstone(workload.Cancelled)
 		s.job.Submitted = s.core.wall
@@ -112,12 +113,12 @@
 	s.storeDependencies()
 }
 
-// storeDependencies writes a list of dependencies that the record has no room for in parts, and
-// then the record. Parts count only with the record, which names them.
+// storeDependencies writes the job's record. If the list of dependencies does not fit into it, the list
+// is first written in parts. The parts have no effect without the record, which refers to them.
 func (s *submission) storeDependencies() {
 	c, job := s.core, s.job
 	maxValue := c.config.Settings.MaxValue()
-	if len(storage.Encode(job)) <= maxValue-acceptedRecordReserve {
+	if len(storage.Encode(job)) <= maxValue-acceptanceReserveBytes {
 		s.writeRecord(storage.Prompt)
 		return
 	}
@@ -133,10 +134,10 @@
 	s.storeDependencyParts(parts, 0)
 }
 
-// storeDependencyParts writes the parts of a list, as many at a time as a transaction takes, and
-// then the job's record; firstRevision is the mod revision of the first part, 0 before it is
-// written. The record compares that part: carried out minutes late, after the cluster leader
-// deleted the parts that no job had, it would be a job that waits for ever.
+// storeDependencyParts writes the parts of a list, as many per transaction as fit, and then the job's
+// record. firstRevision is the mod revision of the first part, or 0 before it is written. The write of
+// the record compares that revision: if it were applied minutes late, after the cluster leader deleted
+// the parts as belonging to no job, the job would wait forever.
 func (s *submission) storeDependencyParts(parts []storage.Put, firstRevision uint64) {
 	c := s.core
 	if len(parts) == 0 {
@@ -161,7 +162,7 @@
 	}
 }
 
-// partsPerTransaction is how many of the parts, one at least, one transaction takes.
+// partsPerTransaction returns how many of the parts fit into the next transaction, which is at least one.
 func partsPerTransaction(parts []storage.Put, maxOperations int) int {
 	count, size := 0, 0
 	for count < min(len(parts), maxOperations) && (count == 0 || size+len(parts[count].Value) <= maxPartTxnBytes) {
