--- a/internal/coordination/completion.go
+++ b/internal/coordination/completion.go
@@ -68,7 +68,7 @@
 	return count
 }
 
-// writeDue reports whether there are dirty segments to write, the write interval has passed, and no
+// writeDue reports whether there are dirty segments to write, the time of the next write has come, and no
 // other write is in flight.
 func (s *completionState) writeDue(now micros.Time) bool {
 	return !s.writeInFlight && len(s.dirtySegments) > 0 && now >= s.nextWriteAt
