--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -70,8 +70,8 @@
 // addCancelled records a job whose cancellation with a dependency has to be written.
 func (s *dependencyState) addCancelled(id string) { s.cancelled[id] = true }
 
-// writeDue reports whether there are cancellations to write, the write interval has passed, and no other
-// write is in flight.
+// writeDue reports whether there are cancellations to write, the time of the next write has come, and no
+// other write is in flight.
 func (s *dependencyState) writeDue(now micros.Time) bool {
 	return len(s.cancelled) > 0 && !s.writeInFlight && now >= s.nextWriteAt
 }
@@ -105,8 +105,8 @@
 	if blocked {
 		return
 	}
-	// All times of the job except its due date count from when it became ready: the latest completion
-	// time in the records of its dependencies, or now where a record with that time is not cached.
+	// Except for the due date, all times of the job are relative to when it became ready: the latest
+	// completion time in the records of its dependencies, or now if such a time is not known.
 	j.blockedByDependencies, j.readySince = false, j.Submitted
 	for _, id := range j.record.Dependencies {
 		if entry := p.core.cache.Jobs[id]; entry != nil && entry.Job.CompletedAt > 0 {
