--- a/internal/coordination/consolidation.go
+++ b/internal/coordination/consolidation.go
@@ -92,7 +92,7 @@
 	// Without the image on the target, the replica is down while the image is fetched. Freeing an
 	// expensive machine is worth that; for others, wait for capacity where the image is present.
 	withoutImage := p.core.now-m.drain.since > imageWaitTimeout &&
-		m.instanceType.Price > expensiveFactor*p.lowestPrice()
+		m.instanceType.Price > expensiveFactor*p.lowestOnDemandPrice()
 	for _, id := range sortedAttempts(m) {
 		a := m.attempts[id]
 		if a.state != messages.Running || a.stop.ordered || !a.isReplica() {
@@ -120,7 +120,7 @@
 
 // drainSurplus drains machines that are not needed until limit machines are draining.
 func (p *partitionLeader) drainSurplus(draining, limit int) {
-	load := p.cpuLoad()
+	load := p.measureCPULoad()
 	p.consolidation.observeArrays(load.arrays, len(p.machines))
 	candidates := p.consolidationCandidates()
 	survey := p.surveyHeadroom(false)
@@ -129,7 +129,7 @@
 			return
 		}
 		cpu := m.instanceType.Capacity.CPU
-		if arraysNeed(p.consolidation.recentArrayCPU, load.capacity-cpu-load.services) ||
+		if exceedsArrayLoadLimit(p.consolidation.recentArrayCPU, load.capacity-cpu-load.services) ||
 			p.requestedForArrays(m) || survey.missing(m) > 0 {
 			continue
 		}
--- a/internal/coordination/partition_test.go
+++ b/internal/coordination/partition_test.go
@@ -14,7 +14,7 @@
 // newLeadingCore returns a core that has led partition 0 since mod revision 30, without machines or jobs.
 func newLeadingCore(t *testing.T) *Core {
 	t.Helper()
-	c := newServing(t)
+	c := newServingCore(t)
 	c.partitions[0] = newPartitionLeader(c, 0, storage.Versioned[storage.PartitionRecord]{
 		Value:       storage.PartitionRecord{Leader: c.process},
 		ModRevision: 30,
