--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// probeReplyMargin is how long after a probe was due a machine that serves users may take to
-	// answer.
+	// probeReplyMargin is how long a machine with service replicas may take to answer, counted from
+	// when it was due to be probed.
 	probeReplyMargin = 1500 * micros.Millisecond
-	// preemptionMargin is how long after its preemption notice is over a spot machine may take to
-	// disappear.
+	// preemptionMargin is how long a spot machine may remain after the time given in its preemption
+	// notice.
 	preemptionMargin = micros.Second
-	// bootMargin is added to some boot times of its type before a machine counts as one that
-	// never boots.
+	// bootMargin is added to three times the boot time of an instance type to give the boot timeout
+	// of its machines.
 	bootMargin = 10 * micros.Second
-	// recoverySilence is within which time a machine must have been reached to be taken back.
+	// recoverySilence is how recently an unresponsive machine must have been in contact for its drain
+	// to end.
 	recoverySilence = micros.Second
 )
 
-// checkMachine judges the health of a machine in each tick: it notes that the agent lease
-// expired, asks for a heartbeat that is missed, and starts or ends a drain.
+// checkMachine checks the health of a machine on each tick: it detects that the agent lease has
+// expired, queues a probe if one is needed, and starts or ends a drain.
 func (p *partitionLeader) checkMachine(m *machine) {
 	if m.instanceType == nil && p.core.catalog.Types() != nil {
 		m.instanceType = p.core.catalog.Types()[m.record.InstanceType]
@@ -45,11 +46,11 @@
 	}
 }
 
-// agentLeaseExpired tells whether the agent lease has surely expired since the machine was last
-// reached, so that all its tasks have ended. A partition leader that is cut off may have been
-// replaced long before its term ends, and its successor may reply to a machine that is silent
-// here: only a confirmation from after the lease's end that this process still leads shows that
-// nobody renewed it.
+// agentLeaseExpired reports whether the agent lease is certain to have expired since the last contact
+// with the machine, which means that all its tasks have ended. An isolated partition leader may have
+// been replaced long before its term ends, and its successor may be replying to a machine that is
+// silent here. Therefore this process's leadership must have been confirmed after the lease expired:
+// only that rules out that another leader renewed it.
 func (p *partitionLeader) agentLeaseExpired(m *machine, silence micros.Time) bool {
 	return m.inUse() &&
 		!m.agent.LeaseExpired() &&
@@ -57,9 +58,9 @@
 		silence > p.suspicionTimeout()
 }
 
-// needsProbe tells whether the machine is to be asked for a heartbeat now: it did not answer the
-// last call, does not obey the current fencing token, should have been preempted by now, or is
-// silent.
+// needsProbe reports whether the machine should be asked for a heartbeat now: it did not answer the
+// last call, has not acknowledged the current fencing token, should have been preempted by now, or
+// is silent.
 func (p *partitionLeader) needsProbe(m *machine, silence micros.Time) bool {
 	if !m.inUse() || !p.mayProbe(m) {
 		return false
@@ -70,8 +71,8 @@
 		(silence > p.suspicionTimeout()/4 && silence > p.probeAfter(m))
 }
 
-// reasonToDrain returns why the machine is to take no more tasks, or notDraining. What is cheap
-// and certain about its connection comes first.
+// reasonToDrain returns why the machine should not receive any more tasks, or notDraining. Cheap and
+// reliable checks of its connection come first.
 func (p *partitionLeader) reasonToDrain(m *machine, silence micros.Time) drainReason {
 	switch {
 	case p.unresponsive(m, silence),
@@ -97,8 +98,8 @@
 	return notDraining
 }
 
-// unresponsive tells whether neither heartbeats nor answers to calls came for too long, and the
-// machine rather than the network is at fault.
+// unresponsive reports whether there has been no contact with the machine for too long, by heartbeats
+// or by calls, and the machine rather than the network is at fault.
 func (p *partitionLeader) unresponsive(m *machine, silence micros.Time) bool {
 	return m.inUse() &&
 		silence > p.suspicionTimeout() &&
@@ -106,8 +107,8 @@
 		p.networkRuledOut(m)
 }
 
-// replicasUnresponsive tells whether the machine has service replicas and did not answer two calls
-// in a row: these do not wait for as long as heartbeats may take.
+// replicasUnresponsive reports whether the machine has service replicas and did not answer two
+// consecutive calls. Replicas are replaced without waiting for the suspicion timeout.
 func (p *partitionLeader) replicasUnresponsive(m *machine, silence micros.Time) bool {
 	return m.inUse() &&
 		m.contact.FailedCalls() > 1 &&
@@ -116,48 +117,51 @@
 		p.networkRuledOut(m)
 }
 
-// silentSinceLeaseExpiry tells whether the machine has long been empty and silent: a fault of the
-// network near this controller would have shown by now.
+// silentSinceLeaseExpiry reports whether the machine has been silent for a long time and its tasks
+// have ended with its agent lease. A fault of the network near this controller would have been
+// detected by now.
 func (p *partitionLeader) silentSinceLeaseExpiry(m *machine, silence micros.Time) bool {
 	return m.inUse() && m.agent.LeaseExpired() && silence > 3*p.detector.AgentLeaseExpiry()
 }
 
-// unresponsiveAfterPreemption tells whether the cloud was to take the machine by now, and it does
-// not answer.
+// unresponsiveAfterPreemption reports whether the cloud should have preempted the machine by now and
+// the machine does not answer.
 func (p *partitionLeader) unresponsiveAfterPreemption(m *machine) bool {
 	return m.inUse() && p.preemptedFor(m, preemptionMargin) && m.contact.FailedCalls() > 0
 }
 
-// preemptedFor tells whether the cloud was to take the machine more than some time ago.
+// preemptedFor reports whether the cloud should have preempted the machine more than the given
+// duration ago.
 func (p *partitionLeader) preemptedFor(m *machine, duration micros.Time) bool {
 	return m.lifecycle.preemptAt != 0 && p.core.now > m.lifecycle.preemptAt+duration
 }
 
-// repliesNeverArrive tells whether the machine sends heartbeats, but neither replies to them nor
+// repliesNeverArrive reports whether the machine sends heartbeats, but neither replies to them nor
 // calls reach it.
 func (m *machine) repliesNeverArrive() bool {
 	return m.contact.RepliesLost() && m.contact.FailedCalls() > 1
 }
 
-// delaysReconciliation tells whether the machine may have tasks of jobs from before this lease and
-// does not answer, while most others do. These jobs wait for the last machine that could have their
-// tasks: after a failover one that does not answer is not waited for any longer. Its heartbeats may
-// arrive: that says nothing of the way back.
+// delaysReconciliation reports whether the machine may run tasks of jobs from before this leadership
+// lease and does not answer, while most other machines are reconciled. Those jobs wait for every
+// machine that could run their tasks, so after a failover a machine that does not answer is no longer
+// waited for. That includes one whose heartbeats arrive, since they do not show that messages reach
+// the machine.
 func (p *partitionLeader) delaysReconciliation(m *machine) bool {
 	return !m.agent.Reconciled() && m.contact.FailedCalls() > 1 && p.detector.MostReconciled(p.core.now)
 }
 
-// bootTimedOut tells whether the machine has not sent its first heartbeat in some times the boot
-// time of its type.
+// bootTimedOut reports whether the machine did not send its first heartbeat within the boot timeout of
+// its instance type.
 func (p *partitionLeader) bootTimedOut(m *machine) bool {
 	return !m.inUse() &&
 		m.instanceType != nil &&
 		p.core.now-m.lifecycle.addedAt > 3*m.instanceType.Boot+bootMargin
 }
 
-// hasUnresolvedStart tells whether a start command got no reply, is no longer wanted, and has not
-// been resolved for a good part of an agent lease. It may still arrive: only the end of the machine,
-// or of its agent's epoch, resolves it.
+// hasUnresolvedStart reports whether a start command got no reply, its attempt has been stopped since,
+// and its outcome has been unknown for more than half an agent lease. The command may still arrive
+// until the machine or its agent's epoch ends.
 func (p *partitionLeader) hasUnresolvedStart(m *machine) bool {
 	if !m.commands.HasUnansweredStarts() {
 		return false
@@ -171,8 +175,8 @@
 	return false
 }
 
-// recovered tells whether a machine that drains as unresponsive came back before it was
-// terminated.
+// recovered reports whether a machine that is draining as unresponsive is in contact again before it
+// was terminated.
 func (p *partitionLeader) recovered(m *machine, silence micros.Time) bool {
 	return m.drain.reason == drainUnresponsive &&
 		silence < recoverySilence &&
