--- a/internal/coordination/kill.go
+++ b/internal/coordination/kill.go
@@ -7,11 +7,11 @@
 	"pipitlatch/internal/micros"
 )
 
-// killLatency is how long a stop takes at most where nothing is wrong.
+// killLatency is the maximum time that a stop takes on a healthy machine.
 const killLatency = 1500 * micros.Millisecond
 
-// requestCancel kills all attempts of a job that is known to be cancelled. It starts nothing any
-// more, whether or not the change stream shows the cancellation yet.
+// requestCancel kills all attempts of a job that is known to be cancelled. No further attempts of the
+// job are started, whether or not the change stream has delivered the cancellation yet.
 func (p *partitionLeader) requestCancel(j *job) {
 	if j.cancelRequested {
 		return
@@ -27,34 +27,35 @@
 	p.plan.stale = true
 }
 
-// kill stops an attempt of a cancelled job, which must be shown as gone by a deadline: a kill is done
-// when its task is gone, not when the command was sent.
+// kill stops an attempt of a cancelled job and sets the deadline by which it must be reported as
+// exited. A kill is complete when the task has ended, not when the command was sent.
 func (p *partitionLeader) kill(a *attempt) {
 	if a.state == messages.Exited {
 		return
 	}
 	p.stopAttempt(a, 0)
 	if a.state == messages.Exited || a.stop.killDeadline != 0 {
-		return // its start was not sent yet; or it has a deadline already
+		return // its start had not been sent, or it already has a deadline
 	}
 	a.stop.killDeadline = p.killDeadline()
 	p.pendingKills = append(p.pendingKills, a)
 }
 
-// killDeadline is until when a task whose job is known to be cancelled now must be shown as gone.
+// killDeadline returns the deadline for a task to be reported as exited if its job becomes known to be
+// cancelled now.
 //
-// The cancellation was committed after the watch before the last one was sent: else that watch would
-// have shown it. From there the time of the cancellation is taken to run. An agent whose last reply
-// comes before the deadline loses the task to its lease within cancel_s, and as much time is left
-// for the cloud to delete the machine. One whose time is over already still gets the moment that a
-// stop takes.
+// The cancellation was committed after the watch before the last successful one was sent, since that
+// watch would have returned it otherwise. The time allowed for the cancellation is counted from then.
+// If an agent gets its last reply before the deadline, its lease expires, which ends the task, within
+// cancel_s; the cloud has as much time to delete the machine. If the time allowed is already over,
+// the agent still gets killLatency to carry out the stop.
 func (p *partitionLeader) killDeadline() micros.Time {
 	return max(p.core.replica.PreviousWatchSentAt()+p.core.config.LeadershipTerm(), p.core.now+killLatency)
 }
 
-// killAdopted kills an attempt that a former partition leader started. When its job was cancelled is
-// not known, but its machine has just sent a heartbeat under this leader's fencing token, so that a
-// stop takes a moment.
+// killAdopted kills an attempt that a former partition leader started. It is not known when the job was
+// cancelled, but the machine has just sent a heartbeat with this leader's fencing token, so a stop
+// should take effect quickly and the deadline is at most two suspicion timeouts away.
 func (p *partitionLeader) killAdopted(a *attempt) {
 	p.kill(a)
 	if a.stop.killDeadline != 0 {
@@ -62,9 +63,9 @@
 	}
 }
 
-// drainOverdueKills gives up the machines on which a task of a cancelled job is not shown as gone in
-// time: hung, or out of reach. They are terminated, and get no replies, so that their agent leases
-// expire too.
+// drainOverdueKills decommissions machines on which a task of a cancelled job has not been reported as
+// exited by its deadline, because the machine hangs or is unreachable. They are terminated, and
+// their heartbeats are no longer replied to, so that their agent leases expire as well.
 func (p *partitionLeader) drainOverdueKills() {
 	p.pendingKills = slices.DeleteFunc(p.pendingKills, func(a *attempt) bool {
 		if a.state == messages.Exited || p.machine(a.machine.id) != a.machine {
