--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -5,18 +5,18 @@
 	"pipitlatch/internal/micros"
 )
 
-// drainReason is why a machine takes no more tasks.
+// drainReason is the reason why a machine does not receive any more tasks.
 type drainReason uint8
 
 const (
 	notDraining drainReason = iota
-	// drainUnresponsive: nothing has shown for too long that our messages reach it. Heartbeats alone do
-	// not show that.
+	// drainUnresponsive: for too long there has been no evidence that this controller's messages reach
+	// it. Heartbeats alone are no such evidence.
 	drainUnresponsive
-	// drainUnreachable: it sends heartbeats, but shows that no reply reaches it.
+	// drainUnreachable: its heartbeats show that no replies reach it, and calls to it fail.
 	drainUnreachable
-	// drainAgentRestarted: its agent began anew within its lease, so that its heartbeats can't be
-	// put in order any more.
+	// drainAgentRestarted: its agent restarted within its lease, so its heartbeats can no longer be
+	// ordered.
 	drainAgentRestarted
 	// drainBootTimeout: it never sent a heartbeat.
 	drainBootTimeout
@@ -24,17 +24,17 @@
 	drainQuarantined
 	// drainSlow: its tasks take much longer than those of the same jobs elsewhere.
 	drainSlow
-	// drainUnresolvedStart: a start command that is no longer wanted may still arrive.
+	// drainUnresolvedStart: a start command whose attempt has been stopped may still arrive.
 	drainUnresolvedStart
-	// drainCannotReport: calls reach it, but its heartbeats reach no controller.
+	// drainCannotReport: it answers calls, but its heartbeats reach no controller.
 	drainCannotReport
-	// drainKillTimeout: a task of a cancelled job was not shown as gone in time.
+	// drainKillTimeout: a task of a cancelled job was not reported as exited by its deadline.
 	drainKillTimeout
-	// drainIdle: it has had no task for a while.
+	// drainIdle: it has had no tasks for a while.
 	drainIdle
 	// drainConsolidation: its service replicas fit on other machines.
 	drainConsolidation
-	// drainTransfer: it moves to another partition.
+	// drainTransfer: it is being transferred to another partition.
 	drainTransfer
 )
 
@@ -71,19 +71,20 @@
 	return "unknown"
 }
 
-// decommissions tells whether a machine that drains for this reason is given up for good: only
-// its termination, or the expiry of its agent lease, is waited for.
+// decommissions reports whether a machine that drains for this reason is never used again. The
+// partition leader then only waits for its termination or the expiry of its agent lease.
 func (r drainReason) decommissions() bool {
 	return r == drainAgentRestarted || r == drainUnreachable || r == drainKillTimeout
 }
 
-// drainState says whether, why and since when the machine takes no more tasks.
+// drainState records whether, why and since when a machine is draining.
 type drainState struct {
 	reason drainReason
 	since  micros.Time
 }
 
-// startDrain lets the machine take no more tasks; the cluster leader is told soon.
+// startDrain stops assigning tasks to the machine. The next status is sent early, so that the cluster
+// leader learns of the drain.
 func (p *partitionLeader) startDrain(m *machine, reason drainReason) {
 	m.drain = drainState{reason: reason, since: p.core.now}
 	p.core.status.soon = true
@@ -91,5 +92,5 @@
 	p.core.log(messages.LevelInfo, "machine draining", "machine", m.id, "reason", reason, "attempts", len(m.attempts))
 }
 
-// decommissioned tells whether the machine is given up for good.
+// decommissioned reports whether the machine is draining for a reason that decommissions it.
 func (m *machine) decommissioned() bool { return m.drain.reason.decommissions() }
