--- a/internal/coordination/agent_calls.go
+++ b/internal/coordination/agent_calls.go
@@ -13,9 +13,9 @@
 // agentCallTimeout is how long an agent may take to answer a call.
 const agentCallTimeout = micros.Second
 
-// sendCommands sends the commands that wait, as far as calls are available: first those that
-// service replicas and cancellations wait for, then the other ones, and last those for machines that
-// did not answer the last call, with another one of these first in each round.
+// sendCommands sends queued commands while calls are available: first to machines with urgent
+// commands, then to other machines, and last to machines that did not answer the last call. The
+// machine to start with among the last is rotated in each round.
 func (p *partitionLeader) sendCommands() {
 	var rest, failing []*machine
 	for _, m := range p.machines {
@@ -44,7 +44,8 @@
 	}
 }
 
-// isUrgent tells whether users wait for a command: it ends a task, or starts a service replica.
+// isUrgent reports whether users are waiting for a command: it stops a task, or concerns a service
+// replica.
 func (p *partitionLeader) isUrgent(c messages.Command) bool {
 	return c.Operation == messages.Stop || p.isService(c.Job)
 }
@@ -54,9 +55,9 @@
 	return j != nil && j.Kind == workload.Service
 }
 
-// sendProbes asks machines for a heartbeat: under the current fencing token once the agent epoch is
-// known, so that the agent acknowledges it. The machine asked longest ago goes first: many that
-// never answer must not keep the others from being asked.
+// sendProbes asks the queued machines for a heartbeat. Once the agent epoch is known, a probe carries
+// the current fencing token, so that the agent acknowledges it. If not all machines can be probed,
+// those probed longest ago come first, so that many unresponsive machines do not starve the others.
 func (p *partitionLeader) sendProbes() {
 	available := p.core.availableAgentCalls(true)
 	if len(p.probeQueue) > available {
@@ -78,8 +79,8 @@
 	p.probeQueue = p.probeQueue[:0]
 }
 
-// sendBatch sends a machine the commands that waited longest, if its agent obeys this partition
-// leader and may be called now.
+// sendBatch sends a machine the commands at the front of its queue, if its agent has acknowledged the
+// current fencing token and may be called now.
 func (p *partitionLeader) sendBatch(m *machine) {
 	if !m.commands.Ready(p.core.now) ||
 		!m.agent.Acknowledged(p.lease.fencingToken) || !m.agent.HasHeartbeat() || m.address == "" {
@@ -96,15 +97,15 @@
 	p.callAgent(m, batch, false)
 }
 
-// agentCall is a call to an agent in flight. Its methods take it by value, so that its completion costs
-// no allocation beyond the closure.
+// agentCall is a call to an agent that is in flight. Its methods have value receivers, so that the
+// closure is the only allocation that its completion requires.
 type agentCall struct {
 	leader     *partitionLeader
 	machine    *machine
 	batch      []messages.Command
 	position   agents.Position // of the newest heartbeat when the call was sent
 	sentAt     micros.Time
-	statusOnly bool // only asks for a heartbeat, under no fencing token
+	statusOnly bool // only asks for a heartbeat, without a fencing token
 }
 
 // callAgent sends commands to a machine's agent, or asks it for a heartbeat.
@@ -129,16 +130,16 @@
 	}, func(reply *messages.AgentReply) { call.completed(reply) })
 }
 
-// completed takes the reply to the call, or that there was none.
+// completed handles the reply to the call. If the call failed, the reply has no heartbeat.
 func (c agentCall) completed(reply *messages.AgentReply) {
 	p, m := c.leader, c.machine
 	m.commands.CallEnded()
 	if p.core.partitions[p.partition] != p || p.machine(m.id) != m {
-		return // this process leads the partition no more, or the machine was terminated
+		return // this process no longer leads the partition, or the machine was terminated
 	}
 	heartbeat := reply.Heartbeat
 	if heartbeat != nil && heartbeat.Machine != m.id {
-		heartbeat = nil // another machine has the address now
+		heartbeat = nil // the address now belongs to another machine
 		m.address = ""
 	}
 	c.settleStarts(heartbeat != nil)
@@ -146,19 +147,20 @@
 	case heartbeat == nil:
 		c.failed()
 	case !c.position.Before(heartbeat):
-		// The reply, given after the call, is older than what was known before it.
+		// The agent replied after the call was sent, but its position is not newer than the one known
+		// before: the agent has restarted.
 		p.drainRestarted(m)
 	default:
 		m.contact.Reached(p.core.now)
 		p.observeHeartbeat(m, heartbeat)
 		if c.statusOnly {
-			m.contact.AllowProbe() // its epoch is known now: it can be sent the fencing token
+			m.contact.AllowProbe() // its epoch is known now, so a probe can carry the fencing token
 		}
 	}
 }
 
-// settleStarts notes for each start command of the call whether it was answered. One that was not
-// may still be carried out, even minutes later, unless the agent's epoch has ended.
+// settleStarts records for each start command of the call whether it was answered. One that was not
+// may still be executed, even minutes later, unless the agent's epoch has ended.
 func (c agentCall) settleStarts(answered bool) {
 	for _, command := range c.batch {
 		a := c.machine.attempts[command.AttemptID]
@@ -173,8 +175,8 @@
 	}
 }
 
-// failed notes that the call got no reply, and lets its commands be sent again: repeating the same
-// attempts is safe.
+// failed records that the call got no reply, and queues its commands to be sent again. Commands for
+// the same attempt are idempotent.
 func (c agentCall) failed() {
 	m := c.machine
 	m.contact.CallFailed(c.sentAt)
@@ -184,10 +186,10 @@
 	}
 }
 
-// sameEpoch tells whether the agent epoch in which the call was sent is still running.
+// sameEpoch reports whether the agent is still in the epoch in which the call was sent.
 func (c agentCall) sameEpoch() bool { return c.machine.agent.Epoch() == c.position.Epoch }
 
-// commandsToRetry returns the commands of a call without a reply that are worth sending again.
+// commandsToRetry returns the commands of a call without a reply that still need to be sent again.
 func (m *machine) commandsToRetry(batch []messages.Command) []messages.Command {
 	var commands []messages.Command
 	for _, command := range batch {
