--- a/internal/coordination/failure_detector.go
+++ b/internal/coordination/failure_detector.go
@@ -7,10 +7,10 @@
 	"pipitlatch/internal/micros"
 )
 
-// This file connects the failure detector to the partition leader: what the detector sees of
-// machines and peers, and what follows from a check of the zones.
+// This file connects the failure detector to the partition leader: it provides the detector's view of
+// machines and peers, and acts on the results of zone checks.
 
-// newFailureDetector returns the detector of a partition leader that has just taken over.
+// newFailureDetector returns the detector of a partition leader that has just acquired its lease.
 func newFailureDetector(p *partitionLeader) *failuredetector.Detector {
 	cfg := p.core.config
 	return failuredetector.New(failuredetector.Timeouts{
@@ -20,10 +20,10 @@
 	}, detectorView{p}, p.core.now)
 }
 
-// detectorView is what the failure detector sees of a partition leader.
+// detectorView implements failuredetector.FleetView for a partition leader.
 type detectorView struct{ leader *partitionLeader }
 
-// Machines yields what the detector sees of each machine.
+// Machines yields the detector's view of each machine.
 func (v detectorView) Machines(yield func(failuredetector.Machine) bool) {
 	for _, m := range v.leader.machines {
 		observed := failuredetector.Machine{
@@ -41,7 +41,7 @@
 	}
 }
 
-// PeerVerdict is what the peers that are heard told of their probes of a zone.
+// PeerVerdict summarizes the probe results for a zone that peers reported recently.
 func (v detectorView) PeerVerdict(zone string) failuredetector.PeerVerdict {
 	var verdict failuredetector.PeerVerdict
 	core := v.leader.core
@@ -59,47 +59,48 @@
 	return verdict
 }
 
-// inUse tells whether the machine's agent was heard from, or it may have tasks.
+// inUse reports whether the machine's agent has sent a heartbeat, or the machine may have tasks.
 func (m *machine) inUse() bool { return m.agent.HasHeartbeat() || m.record.Used }
 
-// leaseRenewedAt is when the machine's agent lease was last renewed by this partition leader, or
-// could first have been.
+// leaseRenewedAt returns when this partition leader last renewed the machine's agent lease, or could
+// first have renewed it.
 func (p *partitionLeader) leaseRenewedAt(m *machine) micros.Time {
 	return max(m.contact.LastRenewal(), p.lease.acquiredAt, m.lifecycle.addedAt)
 }
 
-// suspicionTimeout is how long a machine may go without contact.
+// suspicionTimeout returns how long a machine may go without contact before it is suspected.
 func (p *partitionLeader) suspicionTimeout() micros.Time { return p.detector.SuspicionTimeout() }
 
-// probeAfter is how long a machine may go without contact before it is probed.
+// probeAfter returns how long a machine may go without contact before it is probed.
 func (p *partitionLeader) probeAfter(m *machine) micros.Time {
 	return p.detector.ProbeAfter(replicasOn(m) > 0)
 }
 
-// sinceLastRenewal is for how long no heartbeat of the machine was replied to. One that direct
-// commands reach while it reaches no controller loses its tasks all the same when its agent lease
-// expires: commands do not renew it.
+// sinceLastRenewal returns how long no heartbeat of the machine has been replied to. A machine that
+// receives commands but reaches no controller still loses its tasks when its agent lease expires,
+// since commands do not renew the lease.
 func (p *partitionLeader) sinceLastRenewal(m *machine) micros.Time {
 	return p.detector.SinceRenewal(p.core.now, p.leaseRenewedAt(m))
 }
 
-// cannotReport tells whether a machine that answers calls has reached no controller for an agent
-// lease, while most others do.
+// cannotReport reports whether a machine that answers calls has not reached any controller with a
+// heartbeat for the duration of an agent lease, while most other machines have.
 func (p *partitionLeader) cannotReport(m *machine) bool {
 	return m.agent.HasHeartbeat() && p.detector.CannotReport(p.core.now, p.leaseRenewedAt(m))
 }
 
-// networkRuledOut tells whether a silent machine itself is at fault, as far as the others show: neither
-// the network near this controller nor that between it and the machine's zone explains the silence.
+// networkRuledOut reports whether a silent machine itself appears to be at fault: contact with other
+// machines shows that neither the network near this controller nor the network between it and the
+// machine's zone explains the silence.
 func (p *partitionLeader) networkRuledOut(m *machine) bool {
 	now := p.core.now
 	return !p.detector.NetworkSuspected(now) && p.detector.RestOfFleetReachable(now, m.contact.FirstFailedCallAt()) &&
 		!p.detector.ZoneVerdictPending(now, m.record.Zone)
 }
 
-// lastPossibleRenewal is when an agent of this machine can last have had a reply that renewed its
-// lease: ours, or a former partition leader's, whose replies end with its term, or with its
-// process if that is known to be dead.
+// lastPossibleRenewal returns the latest time at which the machine's agent can have received a reply
+// that renewed its lease, from this partition leader or a former one. A former leader stops replying
+// when its term ends, or when its process died if that is known.
 func (p *partitionLeader) lastPossibleRenewal(m *machine) micros.Time {
 	last := p.lease.acquiredAt
 	if m.record.Used {
@@ -114,7 +115,8 @@
 	return max(last, m.contact.LastRenewal())
 }
 
-// checkZones has machines of silent zones probed, and the peers asked about unreachable ones.
+// checkZones probes machines of silent zones. If a zone became unreachable, the next status is sent
+// early, so that the peers probe the zone as well.
 func (p *partitionLeader) checkZones() {
 	for _, report := range p.detector.CheckZones(p.core.now) {
 		p.probeZone(report.Zone)
@@ -125,9 +127,9 @@
 	}
 }
 
-// probeZone queues probes of every second machine of a silent zone. Agents that wait for the reply
-// of a partition leader that was cut off send no heartbeat for some seconds: only what does not
-// answer a probe either is not heard.
+// probeZone queues probes of every second machine of a silent zone. Agents that wait for the reply of
+// an isolated partition leader send no heartbeats for several seconds, so only machines that do not
+// answer a probe either are out of contact.
 func (p *partitionLeader) probeZone(zone string) {
 	for i, m := range p.machines {
 		if i%2 == 0 && m.record.Zone == zone && m.inUse() && p.mayProbe(m) {
@@ -136,13 +138,13 @@
 	}
 }
 
-// mayProbe tells whether a machine can be probed, and was not within the last second.
+// mayProbe reports whether a machine can be probed and has not been probed within the last second.
 func (p *partitionLeader) mayProbe(m *machine) bool {
 	return m.address != "" && !m.commands.CallInFlight() && p.core.now-m.contact.LastProbe() > micros.Second
 }
 
-// inheritUnreachableZones takes over the zones that the last partition leader, as far as it told,
-// did not hear.
+// inheritUnreachableZones marks the zones as unreachable that a recent status of the partition's
+// previous leader reports as such.
 func (p *partitionLeader) inheritUnreachableZones() {
 	for _, peer := range p.core.peers.All() {
 		if p.core.now-peer.ReceivedAt > reachability.ResultTTL {
