--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// leaderStatusTTL is how long what a partition leader said of the zones that it hears counts;
-	// a leader that has not been heard for as long may be out of reach itself.
+	// leaderStatusTTL is how long a partition leader's report of unreachable zones is valid. A leader
+	// that has sent no status for longer may be unreachable itself.
 	leaderStatusTTL = 2 * micros.Second
-	// reachableMachinesTTL is how long what a controller said counts where controllers are compared
-	// by the machines that they reach.
+	// reachableMachinesTTL is how long a controller's status is valid for comparing controllers by the
+	// number of machines they reach.
 	reachableMachinesTTL = 3 * micros.Second
 )
 
-// lastStatus is the last status of a member, however old; nil: none was received.
+// lastStatus returns the last status received from a member regardless of its age, or nil if there is
+// none.
 func (c *Core) lastStatus(member string) *messages.PeerStatus {
 	if peer := c.peers.Latest(member); peer != nil {
 		return peer.Status
@@ -26,7 +27,8 @@
 	return nil
 }
 
-// recentStatus is the last status of a process, if it came within a duration; otherwise nil.
+// recentStatus returns the last status of a process if it was received within the given duration, or
+// nil otherwise.
 func (c *Core) recentStatus(process storage.Process, within micros.Time) *messages.PeerStatus {
 	peer := c.peers.Latest(process.Member)
 	if peer == nil || peer.Status.From != process || c.now-peer.ReceivedAt > within {
@@ -35,8 +37,8 @@
 	return peer.Status
 }
 
-// probeReachability probes some machines of every zone of the partitions whose leaders do not hear
-// all of them, or are not heard themselves.
+// probeReachability probes a sample of machines in every zone of each partition whose leader cannot
+// reach all zones, or has sent no recent status itself.
 func (c *Core) probeReachability() {
 	if !c.replica.Synced() || !c.reachability.Due() {
 		return
@@ -59,23 +61,24 @@
 	c.reachability.Send(samples)
 }
 
-// leaderMissesMachines tells whether a partition's leader said of late that it does not hear a zone,
-// or is registered and not heard itself.
+// leaderMissesMachines reports whether a partition's leader, which is registered, recently reported an
+// unreachable zone or has sent no recent status.
 func (c *Core) leaderMissesMachines(partition int, leader storage.Process) bool {
 	status := c.recentStatus(leader, leaderStatusTTL)
 	if status == nil {
-		// Shortly after the start, no peer may have been heard yet.
+		// Shortly after the start, the absence of a status is not conclusive.
 		return c.now > c.startedAt+leaderStatusTTL
 	}
 	return reachability.MissesZones(status, partition)
 }
 
-// machinesInUse is how many machines of a partition are in use, by zone.
+// machinesInUse returns the number of machines in use of a partition by zone.
 func (c *Core) machinesInUse(partition int) map[string]int {
 	return reachability.MachinesInUse(c.cache, partition)
 }
 
-// reachableMachines is how many of a partition's machines a controller reaches, as far as it told.
+// reachableMachines returns how many of a partition's machines a controller reaches according to its
+// last status, or 0 if it has sent none recently.
 func (c *Core) reachableMachines(process storage.Process, partition int) int {
 	status := c.recentStatus(process, reachableMachinesTTL)
 	if status == nil {
@@ -84,10 +87,11 @@
 	return reachability.ReachableMachines(c.cache, status, partition)
 }
 
-// unreachableFromLeader tells whether a machine should not be redirected to its partition's leader,
-// which does not hear it: it would lose the time in which another could take over before its agent
-// lease expires. Either the leader said so, or it is not heard here and the agent, which shows the
-// leader's fencing token, has left it.
+// unreachableFromLeader reports whether a machine should not be redirected to its partition's leader
+// because the two cannot communicate. A redirect would waste time in which another controller could
+// take over before the agent lease expires. The conclusion is drawn from the leader's own recent
+// status. Without one, the leader is unreachable from here, and a heartbeat that carries its
+// fencing token shows that the agent has already turned away from it.
 func (c *Core) unreachableFromLeader(
 	heartbeat *messages.Heartbeat, machine storage.Machine, partition storage.Versioned[storage.PartitionRecord],
 ) bool {
