--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -6,25 +6,25 @@
 	"pipitlatch/internal/micros"
 )
 
-// This file has what follows from a cancellation once it is committed, besides the kills (kill.go):
-// the users' requests are in cancel_request.go, the messages between controllers in package
-// cancellation.
+// This file handles committed cancellations, except for killing the tasks (kill.go). Users' requests
+// are handled in cancel_request.go, and notices between controllers in package cancellation.
 
-// cancellationNoticeTTL is how long a cancellation may matter to a controller that has not heard of
-// it: within cancel_s, the leases that it holds have expired by themselves.
+// cancellationNoticeTTL returns how long a cancellation notice remains relevant to a controller that
+// has not received it. The leases that such a controller holds expire within cancel_s.
 func cancellationNoticeTTL(cfg *config.Config) micros.Time {
 	return 2 * micros.FromSeconds(cfg.Settings.Workers.CancelS)
 }
 
-// noteOwnCancellation notes a cancellation that this controller committed, before it tells its user.
+// noteOwnCancellation records a cancellation that this controller committed. It is called before the
+// user's request is answered.
 func (c *Core) noteOwnCancellation(id string, modRevision uint64) {
 	if c.cancellations.Committed(c.now, id, modRevision) {
-		c.status.soon = true // the partition leader is to hear of it at once
+		c.status.soon = true // notifies the partition leader without delay
 		c.requestCancel(id)
 	}
 }
 
-// receiveCancellationNotices stops the jobs that a peer knows to be cancelled.
+// receiveCancellationNotices stops the jobs that a peer's status lists as cancelled.
 func (c *Core) receiveCancellationNotices(status *messages.PeerStatus) {
 	jobs, newAck := c.cancellations.Receive(c.now, status)
 	if newAck {
@@ -35,8 +35,8 @@
 	}
 }
 
-// requestCancel stops all work of a job that is known to be cancelled, before the change stream
-// shows it.
+// requestCancel kills all attempts of a job that is known to be cancelled, without waiting for the
+// change stream to deliver the cancellation.
 func (c *Core) requestCancel(id string) {
 	for _, n := range sortedKeys(c.partitions) {
 		if j := c.partitions[n].jobs[id]; j != nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-// isCancelled tells whether a job is cancelled as far as the change stream shows.
+// isCancelled reports whether a job is cancelled according to the change stream.
 func (c *Core) isCancelled(id string) bool {
 	entry := c.cache.Jobs[id]
 	return entry != nil && entry.Cancelled()
