--- a/internal/coordination/cancellation/exchange.go
+++ b/internal/coordination/cancellation/exchange.go
@@ -1,10 +1,10 @@
-// Package cancellation keeps what controllers tell each other of cancelled jobs.
+// Package cancellation exchanges notices of cancelled jobs between controllers.
 //
-// A cancellation binds from its commit: from then on any controller may tell it to a user, and the
-// time within which the job's tasks must end runs. The partition leader learns of it from the change
-// stream, or sooner from a peer's notice; should it learn of it in neither way, its leadership term
-// ends, after which it replies to no agent, so that the agent leases expire. Each of the three is
-// enough without the others.
+// A cancellation takes effect when it is committed: from then on any controller may report it to a
+// user, and the time within which the job's tasks must end is running. The partition leader learns of
+// it from the change stream, or earlier from a peer's notice. If both fail, its leadership term ends;
+// it then stops replying to agents, so the agent leases expire. Each of the three mechanisms is
+// sufficient on its own.
 package cancellation
 
 import (
@@ -17,42 +17,45 @@
 )
 
 const (
-	// maxNotices bounds the notices that are kept to be sent, and the received ones.
+	// maxNotices limits the stored notices of committed cancellations, and separately the jobs named in
+	// received notices.
 	maxNotices = 8192
-	// maxNoticesPerMessage bounds those in one message.
+	// maxNoticesPerMessage limits the notices in one message.
 	maxNoticesPerMessage = 500
-	// expiryInterval is how often expired notices are looked for.
+	// expiryInterval is the minimum time between two removals of expired notices.
 	expiryInterval = micros.Second
 )
 
-// notice is a cancellation that is a fact: committed by this process, or shown by the change stream.
+// notice is a cancellation that is known to be committed: by this process itself, or from the change
+// stream.
 type notice struct {
 	job         string
-	sequence    uint64 // counts the notices of this process
-	modRevision uint64 // at which the cancellation was committed
+	sequence    uint64 // consecutive number among the notices of this process
+	modRevision uint64 // revision at which the cancellation was committed
 	notedAt     micros.Time
 }
 
-// Exchange is what a controller tells its peers of cancellations, and hears from them. Whoever knows
-// of a cancellation tells the others, since the controller that committed it may end right after its
-// response.
+// Exchange holds the cancellation notices that a controller sends to its peers and receives from them.
+// Every controller that knows of a committed cancellation notifies the others, since the one that
+// committed it may crash right after answering the user.
 //
-// What peers tell is believed for stopping only: nobody is told that a job is cancelled, and no term
-// gets longer, before the change stream shows it. So a late or repeated notice does no harm.
+// A received notice is only used to stop tasks. Until the change stream delivers the cancellation, it
+// is not reported to users and no leadership term is extended because of it. Late or repeated notices
+// are therefore harmless.
 type Exchange struct {
 	self storage.Process
-	// ttl is how long a cancellation may matter to a controller that has not heard of it.
+	// ttl is how long a notice remains relevant to a controller that has not received it.
 	ttl micros.Time
 
 	notices      []notice // oldest first
 	lastSequence uint64
-	committed    map[string]bool        // jobs of the notices
-	requested    map[string]micros.Time // jobs that a peer's notice named, and when it came first
-	acks         map[string]messages.CancellationAck
-	expiredAt    micros.Time
+	committed    map[string]bool                     // jobs of the notices
+	requested    map[string]micros.Time              // jobs named in peers' notices, by time of first receipt
+	acks         map[string]messages.CancellationAck // acknowledgements to send, by member
+	expiredAt    micros.Time                         // last removal of expired notices
 }
 
-// NewExchange returns the exchange of a process. Notices expire after the ttl.
+// NewExchange returns an empty exchange of a process. Notices expire after ttl.
 func NewExchange(self storage.Process, ttl micros.Time) *Exchange {
 	return &Exchange{
 		self:      self,
@@ -63,8 +66,8 @@
 	}
 }
 
-// Committed notes that a job's cancellation was committed at a revision, and tells whether that is
-// new. When there are too many notices, the oldest goes.
+// Committed records that a job's cancellation was committed at a revision, and reports whether it was
+// not recorded before. Beyond maxNotices, the oldest notice is dropped.
 func (e *Exchange) Committed(now micros.Time, job string, modRevision uint64) bool {
 	if e.committed[job] {
 		return false
@@ -85,15 +88,16 @@
 	e.notices = e.notices[1:]
 }
 
-// Known tells whether a job is known to be cancelled, by a commit or by a peer's notice.
+// Known reports whether a job is known to be cancelled, from a commit or from a peer's notice.
 func (e *Exchange) Known(job string) bool {
 	_, requested := e.requested[job]
 	return requested || e.committed[job]
 }
 
 // NoticesFor returns the cancelled jobs that a peer may not know of, oldest first, and the sequence
-// number of the last: as its last status says, its change stream had not come that far, and it has
-// not acknowledged them. A peer that was never heard, nil, may know of none.
+// number of the last one. These are jobs that, according to the peer's last status, its change stream
+// had not reached and it has not acknowledged. A nil status means that none was received from the
+// peer, so it may not know of any.
 func (e *Exchange) NoticesFor(peer *messages.PeerStatus) (jobs []string, upTo uint64) {
 	var acked, revision uint64
 	if peer != nil {
@@ -111,8 +115,8 @@
 	return jobs, upTo
 }
 
-// ackedBy is up to which sequence number a peer acknowledged the notices of this process. What it
-// acknowledged to an earlier process of the same member does not count.
+// ackedBy returns the sequence number up to which a peer has acknowledged the notices of this process.
+// Acknowledgements to an earlier process of the same member do not count.
 func (e *Exchange) ackedBy(peer *messages.PeerStatus) uint64 {
 	var upTo uint64
 	for _, ack := range peer.CancellationAcks {
@@ -123,8 +127,8 @@
 	return upTo
 }
 
-// Receive takes the notices in a peer's status. It returns the jobs that are to be stopped now, and
-// whether there is something new to be acknowledged.
+// Receive processes the notices in a peer's status. It returns the jobs that have to be stopped now,
+// and whether there is a new acknowledgement to send.
 func (e *Exchange) Receive(now micros.Time, status *messages.PeerStatus) (jobs []string, newAck bool) {
 	if len(status.Cancelled) == 0 || status.From == e.self {
 		return nil, false
@@ -144,7 +148,7 @@
 	return jobs, newAck
 }
 
-// Acks are the acknowledgements of the peers' notices, in order of the members.
+// Acks returns the acknowledgements of the peers' notices, sorted by member.
 func (e *Exchange) Acks() []messages.CancellationAck {
 	var acks []messages.CancellationAck
 	for _, member := range slices.Sorted(maps.Keys(e.acks)) {
@@ -153,7 +157,7 @@
 	return acks
 }
 
-// Expire forgets, now and then, the notices that matter to nobody any more.
+// Expire removes notices older than the ttl, at most once per expiryInterval.
 func (e *Exchange) Expire(now micros.Time) {
 	if now-e.expiredAt < expiryInterval {
 		return
