--- a/internal/coordination/calls/calls.go
+++ b/internal/coordination/calls/calls.go
@@ -1,5 +1,4 @@
-// Package calls keeps the calls of the core that have not completed yet: to the key-value
-// store, to the cloud and to agents.
+// Package calls tracks the core's pending calls to the key-value store, to the cloud and to agents.
 package calls
 
 import (
@@ -9,16 +8,16 @@
 	"pipitlatch/internal/storage"
 )
 
-// Table numbers the calls of one process and knows what to do when each completes. A completion
-// that comes twice, or that was never asked for, has no effect.
+// Table assigns numbers to the calls of one process and holds their completion callbacks. Duplicate
+// completions and completions of unknown calls are ignored.
 type Table struct {
-	lastID  uint64 // numbers are unique over all kinds of calls
+	lastID  uint64 // numbers are unique across all kinds of calls
 	store   map[uint64]storeCall
 	cloud   map[uint64]func(*messages.CloudReply)
 	agents  map[uint64]func(*messages.AgentReply)
 	limiter *storage.RateLimiter
 	backoff *txnbackoff.Backoff
-	// maxAgentCalls is how many calls to agents there are sockets for.
+	// maxAgentCalls is the number of sockets available for calls to agents.
 	maxAgentCalls int
 }
 
@@ -27,7 +26,7 @@
 	done    func(*storage.Reply)
 }
 
-// NewTable returns a table without calls.
+// NewTable returns an empty table.
 func NewTable(limiter *storage.RateLimiter, maxAgentCalls int) *Table {
 	return &Table{
 		store:         map[uint64]storeCall{},
@@ -39,9 +38,9 @@
 	}
 }
 
-// Store adds a request to the key-value store and returns the call to be made. It returns false,
-// and done is never called, if the request budget, or the backoff of transactions that were
-// rejected, does not allow it now.
+// Store registers a request to the key-value store and returns the call to make. If the rate limit or
+// the backoff of rejected transactions does not allow the request now, it returns false and done is
+// never called.
 func (t *Table) Store(
 	now micros.Time, r *storage.Request, urgency storage.Urgency, timeout micros.Time, done func(*storage.Reply),
 ) (messages.StoreCall, bool) {
@@ -53,24 +52,24 @@
 	return messages.StoreCall{Call: id, Request: r, Timeout: timeout}, true
 }
 
-// Cloud adds a request to the cloud and returns the call to be made.
+// Cloud registers a request to the cloud and returns the call to make.
 func (t *Table) Cloud(call messages.CloudCall, done func(*messages.CloudReply)) messages.CloudCall {
 	call.Call = t.nextID()
 	t.cloud[call.Call] = done
 	return call
 }
 
-// Agent adds a request to an agent and returns the call to be made; AvailableAgentCalls tells
-// whether one may be made.
+// Agent registers a request to an agent and returns the call to make. It enforces no limit: callers
+// check AvailableAgentCalls first.
 func (t *Table) Agent(call messages.AgentCall, done func(*messages.AgentReply)) messages.AgentCall {
 	call.Call = t.nextID()
 	t.agents[call.Call] = done
 	return call
 }
 
-// AvailableAgentCalls is how many calls to agents may be made now. Each takes a socket: to ask
-// or command a whole fleet at once would leave none for the agents' heartbeats. Probes, whose
-// machines often do not answer, leave a third to commands.
+// AvailableAgentCalls returns how many calls to agents may be made now. Each call occupies a socket,
+// so calling a whole fleet at once would leave none for the agents' heartbeats. A third of the calls
+// is reserved for commands, since probed machines often do not answer.
 func (t *Table) AvailableAgentCalls(probe bool) int {
 	most := t.maxAgentCalls
 	if probe {
@@ -79,7 +78,7 @@
 	return most - len(t.agents)
 }
 
-// CompleteStore takes the reply to a request to the key-value store.
+// CompleteStore handles the reply to a request to the key-value store.
 func (t *Table) CompleteStore(now micros.Time, id uint64, reply *storage.Reply) {
 	call, ok := t.store[id]
 	if !ok {
@@ -90,10 +89,10 @@
 	call.done(reply)
 }
 
-// CompleteCloud takes the reply to a request to the cloud.
+// CompleteCloud handles the reply to a request to the cloud.
 func (t *Table) CompleteCloud(id uint64, reply *messages.CloudReply) { complete(t.cloud, id, reply) }
 
-// CompleteAgent takes the reply to a request to an agent.
+// CompleteAgent handles the reply to a request to an agent.
 func (t *Table) CompleteAgent(id uint64, reply *messages.AgentReply) { complete(t.agents, id, reply) }
 
 func complete[Reply any](pending map[uint64]func(Reply), id uint64, reply Reply) {
