--- a/internal/coordination/reachability/doc.go
+++ b/internal/coordination/reachability/doc.go
@@ -1,4 +1,4 @@
-// Package reachability finds out which machines a controller reaches whose partition leader does not
-// hear them, and judges from what controllers tell each other which of them reaches which machines.
-// Nobody else can tell whether such machines have failed or are only out of that leader's reach.
+// Package reachability probes machines that their partition leader cannot reach, and evaluates the
+// status messages of controllers to determine which controller reaches which machines. Only the other
+// controllers can distinguish whether such machines have failed or are merely cut off from their leader.
 package reachability
