--- a/internal/coordination/reachability/probe.go
+++ b/internal/coordination/reachability/probe.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	// ResultTTL is how long the results of a probe count.
+	// ResultTTL is how long the results of a probe are valid.
 	ResultTTL = 4 * micros.Second
 
-	// maxZoneSample is how many machines of a zone are probed; some may have failed.
+	// maxZoneSample is the maximum number of machines probed in a zone. One would not be enough, since
+	// some machines may have failed.
 	maxZoneSample = 8
-	// probeInterval is how often they are probed while their partition leader does not hear them.
+	// probeInterval is the minimum time between the starts of two rounds.
 	probeInterval = 2 * micros.Second
 	probeTimeout  = micros.Second
 )
 
-// Environment is what a probe asks of the core.
+// Environment gives a probe access to the core.
 type Environment interface {
 	Now() micros.Time
 	CallAgent(call messages.AgentCall, done func(*messages.AgentReply))
 }
 
-// Probe asks machines that their partition leader does not hear for their heartbeats.
+// Probe asks machines that their partition leader cannot reach for a heartbeat, in rounds.
 type Probe struct {
 	environment Environment
 	onCompleted func()
@@ -37,17 +38,18 @@
 	completedAt   micros.Time // 0: never
 }
 
-// NewProbe returns a probe that calls onCompleted when all calls of a round have completed.
+// NewProbe returns a probe that calls onCompleted whenever all calls of a round have completed.
 func NewProbe(environment Environment, onCompleted func()) *Probe {
 	return &Probe{environment: environment, onCompleted: onCompleted}
 }
 
-// Due tells whether a round may be sent now: none is in flight, and the last is long enough ago.
+// Due reports whether a new round may start now: none is in flight, and probeInterval has passed since
+// the last one started.
 func (p *Probe) Due() bool {
 	return p.callsInFlight == 0 && (p.sentAt == 0 || p.environment.Now()-p.sentAt >= probeInterval)
 }
 
-// Send starts a round: it probes the samples, and forgets the results of the round before.
+// Send starts a round: it discards the results of the previous round and probes the samples.
 func (p *Probe) Send(samples []ZoneSample) {
 	p.results, p.sentAt = nil, p.environment.Now()
 	for _, sample := range samples {
@@ -61,13 +63,13 @@
 	}
 }
 
-// call probes one machine for the result with an index.
+// call probes one machine and counts its answer in the result at the given index.
 func (p *Probe) call(machine Endpoint, index int) {
 	p.callsInFlight++
 	p.environment.CallAgent(messages.AgentCall{
 		Machine: machine.ID, Address: machine.Address, StatusOnly: true, Timeout: probeTimeout,
 	}, func(reply *messages.AgentReply) {
-		// Another machine may have the address by now.
+		// The address may belong to another machine by now.
 		if reply.Heartbeat != nil && reply.Heartbeat.Machine == machine.ID {
 			p.results[index].Answered++
 		}
@@ -79,7 +81,7 @@
 	})
 }
 
-// Report is what the peers are told: the results of the last round, if it is complete and recent.
+// Report returns the results of the last round for the peers, or nil if it is incomplete or too old.
 func (p *Probe) Report() []messages.ZoneReachability {
 	if p.callsInFlight > 0 || p.completedAt == 0 || p.environment.Now()-p.completedAt > ResultTTL {
 		return nil
@@ -93,15 +95,15 @@
 	Address string
 }
 
-// ZoneSample is the machines of a partition in one zone that are probed.
+// ZoneSample is the set of machines of a partition that are probed in one zone.
 type ZoneSample struct {
 	Partition int
 	Zone      string
 	Machines  []Endpoint
 }
 
-// Samples returns a sample of the machines in use of every zone of a partition, spread evenly over
-// their names.
+// Samples returns a sample of the machines in use for every zone of a partition. Within a zone, the
+// machines are picked at even distances in the order of their names.
 func Samples(cache *storage.Cache, partition int) []ZoneSample {
 	byZone := map[string][]Endpoint{}
 	for _, id := range slices.Sorted(maps.Keys(cache.Machines)) {
