--- a/internal/coordination/reachability/status.go
+++ b/internal/coordination/reachability/status.go
@@ -7,24 +7,24 @@
 	"pipitlatch/internal/storage"
 )
 
-// MissesZones tells whether a partition leader's status says that it does not hear some zone of the
-// partition.
+// MissesZones reports whether a partition leader's status lists any zone of the partition as
+// unreachable.
 func MissesZones(leader *messages.PeerStatus, partition int) bool {
 	return slices.ContainsFunc(leader.Partitions, func(p messages.PartitionStatus) bool {
 		return p.Partition == partition && len(p.UnreachableZones) > 0
 	})
 }
 
-// MissesZone tells whether a partition leader's status says that it does not hear a zone of the
-// partition.
+// MissesZone reports whether a partition leader's status lists a zone of the partition as unreachable.
 func MissesZone(leader *messages.PeerStatus, partition int, zone string) bool {
 	return slices.ContainsFunc(leader.Partitions, func(p messages.PartitionStatus) bool {
 		return p.Partition == partition && slices.Contains(p.UnreachableZones, zone)
 	})
 }
 
-// ProbeResult returns what a controller's status says of its probe of a zone, of which it has at most
-// one result. It tells nothing of a zone that it did not probe of late.
+// ProbeResult returns the result of a controller's probe of a zone from its status, which contains at
+// most one per zone of a partition. There is no result if the controller has not probed the zone
+// recently.
 func ProbeResult(
 	status *messages.PeerStatus, partition int, zone string,
 ) (result messages.ZoneReachability, found bool) {
@@ -37,10 +37,10 @@
 	return status.Reachability[i], true
 }
 
-// Reached tells whether a probe reached its zone: at least half of the machines answered.
+// Reached reports whether a probe reached its zone: at least half of the probed machines answered.
 func Reached(result messages.ZoneReachability) bool { return result.Answered*2 >= result.Probed }
 
-// MachinesInUse is how many machines of a partition are in use, by zone.
+// MachinesInUse returns the number of machines in use of a partition by zone.
 func MachinesInUse(cache *storage.Cache, partition int) map[string]int {
 	out := map[string]int{}
 	for _, m := range cache.Machines {
@@ -51,9 +51,9 @@
 	return out
 }
 
-// ReachableMachines is how many of a partition's machines in use a controller reaches, as far as its
-// status says: the partition leader all but those of zones that it does not hear, another controller
-// those of zones that its probe reached.
+// ReachableMachines returns how many of a partition's machines in use a controller reaches according
+// to its status. The partition leader reaches all machines except those in zones that it reports as
+// unreachable; another controller reaches those in zones that its probe reached.
 func ReachableMachines(cache *storage.Cache, status *messages.PeerStatus, partition int) int {
 	isLeader := cache.Partitions[partition].Value.Leader == status.From
 	count := 0
