--- a/internal/coordination/calls/calls.go
+++ b/internal/coordination/calls/calls.go
@@ -59,8 +59,8 @@
 	return call
 }
 
-// Agent registers a request to an agent and returns the call to make. It enforces no limit: callers
-// check AvailableAgentCalls first.
+// Agent registers a request to an agent and returns the call to make. It does not enforce the limit
+// that AvailableAgentCalls reports.
 func (t *Table) Agent(call messages.AgentCall, done func(*messages.AgentReply)) messages.AgentCall {
 	call.Call = t.nextID()
 	t.agents[call.Call] = done
