--- a/internal/coordination/machine_health_test.go
+++ b/internal/coordination/machine_health_test.go
@@ -10,7 +10,7 @@
 	"pipitlatch/internal/workload"
 )
 
-// observedFleet is a partition leader with fifty machines that were all heard from just now.
+// observedFleet returns a partition leader with fifty machines that are all in contact.
 func observedFleet(t *testing.T) *partitionLeader {
 	t.Helper()
 	c, heartbeats := newLarge(t, 50)
@@ -28,7 +28,7 @@
 	return leader
 }
 
-// reachAll lets some time pass after which all machines were just reached.
+// reachAll advances the time and records contact with all machines.
 func reachAll(p *partitionLeader, after micros.Time) {
 	p.core.now += after
 	p.core.output = &messages.Output{}
@@ -39,8 +39,8 @@
 	}
 }
 
-// silentFor lets some time pass in which all machines are reached but one, whose last calls got
-// no reply.
+// silentFor advances the time and records contact with all machines except one, to which the given
+// number of calls failed.
 func silentFor(p *partitionLeader, silent *machine, duration micros.Time, failedCalls int) {
 	contact, calledAt := silent.contact, p.core.now+1
 	reachAll(p, duration)
@@ -50,7 +50,7 @@
 	}
 }
 
-// loseReplies lets heartbeats show that replies are lost.
+// loseReplies records heartbeats that show the given number of replies to be lost.
 func loseReplies(p *partitionLeader, m *machine, replies int) {
 	for range replies {
 		m.contact.Replied(p.core.now)
@@ -58,11 +58,12 @@
 	}
 }
 
-// unresolvedStart adds an attempt whose start got no reply and is no longer wanted since a time.
-func unresolvedStart(p *partitionLeader, m *machine, since micros.Time) *attempt {
+// unresolvedStart adds an attempt whose start got no reply and whose stop was ordered the given time
+// ago.
+func unresolvedStart(p *partitionLeader, m *machine, stoppedFor micros.Time) *attempt {
 	a := &attempt{id: messages.AttemptID{Job: "x", Number: 99}, machine: m}
 	a.start = startState{sent: true, unanswered: 1}
-	a.stop = stopState{ordered: true, orderedAt: p.core.now - since}
+	a.stop = stopState{ordered: true, orderedAt: p.core.now - stoppedFor}
 	m.attempts[a.id] = a
 	m.commands.StartUnanswered()
 	return a
@@ -91,7 +92,7 @@
 
 func TestReasonToDrainSilentMachine(t *testing.T) {
 	testReasonToDrain(t, []drainCase{
-		{"sound", func(*partitionLeader, *machine) {}, notDraining},
+		{"healthy", func(*partitionLeader, *machine) {}, notDraining},
 		{"silent, but no call failed", func(p *partitionLeader, m *machine) {
 			silentFor(p, m, p.suspicionTimeout()+1, 0)
 		}, notDraining},
@@ -118,7 +119,7 @@
 			m.agent.ExpireLease()
 			p.core.now += 3*p.core.config.AgentLeaseExpiry() + 1
 		}, drainUnresponsive},
-		{"long silent like all others, the lease not known to have expired", func(p *partitionLeader, _ *machine) {
+		{"whole fleet long silent, lease not known to have expired", func(p *partitionLeader, _ *machine) {
 			p.core.now += 3*p.core.config.AgentLeaseExpiry() + 1
 		}, notDraining},
 		{"not yet long silent after the lease expired", func(p *partitionLeader, m *machine) {
@@ -129,7 +130,7 @@
 }
 
 func TestReasonToDrainMachineWithReplicas(t *testing.T) {
-	// Two calls fail while the machine is silent for less than the suspicion timeout.
+	// shortSilence lets calls fail while the machine is silent for less than the suspicion timeout.
 	shortSilence := func(p *partitionLeader, m *machine, kind workload.JobKind, failedCalls int) {
 		for _, a := range m.attempts {
 			a.job.Kind = kind
@@ -138,24 +139,24 @@
 		p.detector = newFailureDetector(p)
 		silentFor(p, m, p.probeAfter(m)+probeReplyMargin+1, failedCalls)
 		if silence := p.detector.Silence(p.core.now, m.contact.LastContact()); silence > p.suspicionTimeout() {
-			t.Fatalf("silent for %d, longer than the suspicion timeout", silence)
+			t.Fatalf("silent for %d µs, longer than the suspicion timeout", silence)
 		}
 	}
 	testReasonToDrain(t, []drainCase{
-		{"replicas do not wait", func(p *partitionLeader, m *machine) {
+		{"service replicas, two failed calls", func(p *partitionLeader, m *machine) {
 			shortSilence(p, m, workload.Service, 2)
 		}, drainUnresponsive},
-		{"one failed call may be chance", func(p *partitionLeader, m *machine) {
+		{"service replicas, one failed call", func(p *partitionLeader, m *machine) {
 			shortSilence(p, m, workload.Service, 1)
 		}, notDraining},
-		{"tasks of arrays wait", func(p *partitionLeader, m *machine) {
+		{"only array tasks", func(p *partitionLeader, m *machine) {
 			shortSilence(p, m, workload.Array, 2)
 		}, notDraining},
-		{"shorter silence", func(p *partitionLeader, m *machine) {
+		{"silence too short", func(p *partitionLeader, m *machine) {
 			shortSilence(p, m, workload.Service, 2)
 			p.core.now--
 		}, notDraining},
-		{"the rest of the fleet is silent, too", func(p *partitionLeader, m *machine) {
+		{"the rest of the fleet is silent as well", func(p *partitionLeader, m *machine) {
 			shortSilence(p, m, workload.Service, 0)
 			m.contact.CallFailed(p.core.now)
 			m.contact.CallFailed(p.core.now)
@@ -169,11 +170,11 @@
 			m.lifecycle.preemptAt = p.core.now - preemptionMargin - 1
 			m.contact.CallFailed(p.core.now)
 		}, drainUnresponsive},
-		{"to be preempted about now", func(p *partitionLeader, m *machine) {
+		{"preempted within the margin", func(p *partitionLeader, m *machine) {
 			m.lifecycle.preemptAt = p.core.now - preemptionMargin
 			m.contact.CallFailed(p.core.now)
 		}, notDraining},
-		{"to be preempted by now, but answers", func(p *partitionLeader, m *machine) {
+		{"should have been preempted, but answers", func(p *partitionLeader, m *machine) {
 			m.lifecycle.preemptAt = p.core.now - preemptionMargin - 1
 		}, notDraining},
 		{"replies and calls are lost", func(p *partitionLeader, m *machine) {
@@ -192,14 +193,14 @@
 	})
 }
 
-func TestReasonToDrainWorseThanOthers(t *testing.T) {
+func TestReasonToDrainOutlier(t *testing.T) {
 	testReasonToDrain(t, []drainCase{
-		{"last one to be reconciled does not answer", func(p *partitionLeader, m *machine) {
+		{"the last unreconciled machine does not answer", func(p *partitionLeader, m *machine) {
 			m.agent = agents.HeartbeatState{}
 			m.contact.CallFailed(p.core.now)
 			m.contact.CallFailed(p.core.now)
 		}, drainUnresponsive},
-		{"does not answer while most are unreconciled", func(p *partitionLeader, m *machine) {
+		{"does not answer while most machines are unreconciled", func(p *partitionLeader, m *machine) {
 			for _, other := range p.machines {
 				other.agent = agents.HeartbeatState{}
 			}
@@ -252,16 +253,16 @@
 
 func TestReasonToDrainUnresolvedStart(t *testing.T) {
 	testReasonToDrain(t, []drainCase{
-		{"unresolved for long", func(p *partitionLeader, m *machine) {
+		{"unresolved for more than half a lease", func(p *partitionLeader, m *machine) {
 			unresolvedStart(p, m, p.core.config.AgentLease()/2+1)
 		}, drainUnresolvedStart},
-		{"not yet for long", func(p *partitionLeader, m *machine) {
+		{"unresolved for half a lease", func(p *partitionLeader, m *machine) {
 			unresolvedStart(p, m, p.core.config.AgentLease()/2)
 		}, notDraining},
 		{"a heartbeat showed the attempt", func(p *partitionLeader, m *machine) {
 			unresolvedStart(p, m, p.core.config.AgentLease()/2+1).start.reported = true
 		}, notDraining},
-		{"the attempt is still wanted", func(p *partitionLeader, m *machine) {
+		{"the attempt was not stopped", func(p *partitionLeader, m *machine) {
 			unresolvedStart(p, m, p.core.config.AgentLease()/2+1).stop.ordered = false
 		}, notDraining},
 		{"all starts were answered", func(p *partitionLeader, m *machine) {
@@ -276,16 +277,16 @@
 		change func(p *partitionLeader, m *machine)
 		want   bool
 	}{
-		{"sound", func(*partitionLeader, *machine) {}, false},
+		{"healthy", func(*partitionLeader, *machine) {}, false},
 		{"silent", func(p *partitionLeader, m *machine) { silentFor(p, m, p.probeAfter(m)+1, 0) }, true},
 		{"not yet silent for long", func(p *partitionLeader, m *machine) { silentFor(p, m, p.probeAfter(m), 0) }, false},
 		{"last call failed", func(p *partitionLeader, m *machine) { m.contact.CallFailed(p.core.now) }, true},
-		{"does not obey the current token", func(p *partitionLeader, _ *machine) { p.lease.fencingToken++ }, true},
+		{"has not acknowledged the current token", func(p *partitionLeader, _ *machine) { p.lease.fencingToken++ }, true},
 		{"should have been preempted", func(p *partitionLeader, m *machine) {
 			m.lifecycle.preemptAt = p.core.now - 1
 		}, true},
-		{"is preempted about now", func(p *partitionLeader, m *machine) { m.lifecycle.preemptAt = p.core.now }, false},
-		{"probed a moment ago", func(p *partitionLeader, m *machine) {
+		{"preemption due just now", func(p *partitionLeader, m *machine) { m.lifecycle.preemptAt = p.core.now }, false},
+		{"probed within the last second", func(p *partitionLeader, m *machine) {
 			m.contact.CallFailed(p.core.now)
 			m.contact.Probed(p.core.now - micros.Second)
 		}, false},
@@ -313,12 +314,12 @@
 		want   bool
 	}{
 		{"silent until the lease has expired", func(*partitionLeader, *machine) {}, true},
-		{"noted already", func(_ *partitionLeader, m *machine) { m.agent.ExpireLease() }, false},
+		{"already recorded", func(_ *partitionLeader, m *machine) { m.agent.ExpireLease() }, false},
 		{"never in use", func(_ *partitionLeader, m *machine) {
 			m.agent, m.record.Used = agents.HeartbeatState{}, false
 		}, false},
 		{"a call was answered", func(p *partitionLeader, m *machine) { m.contact.Reached(p.core.now) }, false},
-		{"a reply may have renewed it", func(_ *partitionLeader, m *machine) {
+		{"a reply may have renewed the lease", func(_ *partitionLeader, m *machine) {
 			m.contact.Replied(m.contact.LastRenewal() + 1)
 		}, false},
 	}
@@ -334,12 +335,12 @@
 			}
 		})
 	}
-	t.Run("leadership is not confirmed since", func(t *testing.T) {
+	t.Run("leadership not confirmed since the lease expired", func(t *testing.T) {
 		p := observedFleet(t)
 		m := p.machines[7]
 		p.core.now += 2 * p.core.config.AgentLeaseExpiry()
 		if p.agentLeaseExpired(m, p.detector.Silence(p.core.now, m.contact.LastContact())) {
-			t.Error("a leader that may have been replaced takes the lease for expired")
+			t.Error("a leader that may have been replaced considers the lease expired")
 		}
 	})
 }
@@ -351,10 +352,10 @@
 		silence micros.Time
 		want    bool
 	}{
-		{"came back", drainUnresponsive, recoverySilence - 1, true},
+		{"in contact again", drainUnresponsive, recoverySilence - 1, true},
 		{"still silent", drainUnresponsive, recoverySilence, false},
 		{"drains for another reason", drainSlow, 0, false},
-		{"does not drain", notDraining, 0, false},
+		{"not draining", notDraining, 0, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -366,7 +367,7 @@
 			}
 			p.lease.fencingToken++
 			if p.recovered(m, test.silence) {
-				t.Error("recovered before the machine obeys the current token")
+				t.Error("recovered before the machine acknowledged the current token")
 			}
 		})
 	}
@@ -381,7 +382,8 @@
 	}
 }
 
-// storedUse lists the machines that the transactions of a step record as in use, by block.
+// storedUse persists which machines are in use and returns the number of transactions by the key of
+// the record that they compare second.
 func storedUse(t *testing.T, p *partitionLeader) map[string]int {
 	t.Helper()
 	p.core.output = &messages.Output{}
