--- a/internal/coordination/machine_health_test.go
+++ b/internal/coordination/machine_health_test.go
@@ -382,8 +382,8 @@
 	}
 }
 
-// storedUse persists which machines are in use and returns the number of transactions by the key of
-// the record that they compare second.
+// storedUse lets the partition leader record which machines are in use, and returns the number of
+// transactions sent for each key of a block.
 func storedUse(t *testing.T, p *partitionLeader) map[string]int {
 	t.Helper()
 	p.core.output = &messages.Output{}
