--- a/internal/coordination/kill_test.go
+++ b/internal/coordination/kill_test.go
@@ -10,8 +10,8 @@
 
 const killedJob = "wk-000000"
 
-// newLeaderWithTasks returns a partition leader that has heard of fifty machines with eight running
-// tasks each, and the job of the first eighty.
+// newLeaderWithTasks returns a partition leader that has received heartbeats of fifty machines with
+// eight running tasks each, and the job that the first eighty tasks belong to.
 func newLeaderWithTasks(t *testing.T) (*partitionLeader, *job) {
 	t.Helper()
 	c, heartbeats := newLarge(t, 50)
@@ -45,12 +45,13 @@
 	p.plan.stale = false
 	p.core.requestCancel(killedJob)
 	if len(p.pendingKills) != 80 || !j.cancelRequested || !p.plan.stale {
-		t.Errorf("%d kills are pending, want 80", len(p.pendingKills))
+		t.Errorf("%d kills pending, want 80; cancel requested: %v, plan stale: %v",
+			len(p.pendingKills), j.cancelRequested, p.plan.stale)
 	}
 	for task, a := range j.activeAttempts {
 		stop := messages.Command{Operation: messages.Stop, AttemptID: a.id}
 		if !a.machine.commands.ContainsFunc(func(c messages.Command) bool { return c == stop }) {
-			t.Errorf("task %d is not stopped", task)
+			t.Errorf("no stop command for task %d", task)
 		}
 	}
 	p.core.requestCancel(killedJob)
@@ -66,21 +67,22 @@
 	j.duplicateAttempts = append(j.duplicateAttempts, duplicate)
 	p.requestCancel(j)
 	if !slices.Contains(p.pendingKills, duplicate) {
-		t.Error("the duplicate attempt is not killed")
+		t.Error("no kill pending for the duplicate attempt")
 	}
 }
 
 func TestKillDeadline(t *testing.T) {
 	p, j := newLeaderWithTasks(t)
-	term := p.core.config.LeadershipTerm() // from the watch before the last: none was sent here
+	// No watch was sent in this test, so the time allowed for the cancellation is counted from 0.
+	term := p.core.config.LeadershipTerm()
 	tests := []struct {
 		name                 string
 		now                  micros.Time
 		want, wantForAdopted micros.Time
 	}{
-		{"at the end of the term", 2 * micros.Second, term, 2*micros.Second + 2*p.suspicionTimeout()},
-		{"just as long as a stop takes", term - killLatency, term, term},
-		{"not before a stop can take effect", term - killLatency + 1, term + 1, term + 1},
+		{"early in the term", 2 * micros.Second, term, 2*micros.Second + 2*p.suspicionTimeout()},
+		{"killLatency before the end of the term", term - killLatency, term, term},
+		{"less than killLatency before the end of the term", term - killLatency + 1, term + 1, term + 1},
 		{"long after the term", 2 * term, 2*term + killLatency, 2*term + killLatency},
 	}
 	for i, test := range tests {
@@ -98,19 +100,20 @@
 			p.core.now++
 			p.kill(a)
 			if a.stop.killDeadline != test.want || len(p.pendingKills) != 2*(i+1) {
-				t.Errorf("a second kill moves the deadline to %d, or is counted: %d", a.stop.killDeadline, len(p.pendingKills))
+				t.Errorf("after a second kill: deadline %d, want %d; %d kills pending, want %d",
+					a.stop.killDeadline, test.want, len(p.pendingKills), 2*(i+1))
 			}
 		})
 	}
 }
 
-func TestKillOfWhatDoesNotRun(t *testing.T) {
+func TestKillWithoutRunningTask(t *testing.T) {
 	tests := []struct {
 		name    string
 		prepare func(*partitionLeader, *attempt)
 	}{
-		{"exited already", func(p *partitionLeader, a *attempt) { p.release(a) }},
-		{"its start was not sent yet", func(_ *partitionLeader, a *attempt) { a.start = startState{} }},
+		{"already exited", func(p *partitionLeader, a *attempt) { p.release(a) }},
+		{"start not sent yet", func(_ *partitionLeader, a *attempt) { a.start = startState{} }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -119,10 +122,11 @@
 			test.prepare(p, a)
 			p.killAdopted(a)
 			if a.state != messages.Exited || a.stop.killDeadline != 0 || len(p.pendingKills) != 0 {
-				t.Errorf("a deadline was set: %d, pending %d", a.stop.killDeadline, len(p.pendingKills))
+				t.Errorf("state %v, deadline %d and %d kills pending, want exited and no kill",
+					a.state, a.stop.killDeadline, len(p.pendingKills))
 			}
 			if !a.machine.commands.Empty() {
-				t.Error("a stop was sent")
+				t.Error("a stop command was queued")
 			}
 		})
 	}
@@ -131,19 +135,19 @@
 func TestDrainOverdueKills(t *testing.T) {
 	tests := []struct {
 		name        string
-		late        micros.Time // after the deadline
+		late        micros.Time // time after the deadline
 		prepare     func(*partitionLeader, *attempt)
 		wantReason  drainReason
 		wantPending bool
 	}{
 		{"before the deadline", -1, nil, notDraining, true},
 		{"at the deadline", 0, nil, drainKillTimeout, true},
-		{"a machine that is drained for another reason",
+		{"machine already draining for another reason",
 			0, func(p *partitionLeader, a *attempt) { p.startDrain(a.machine, drainSlow) }, drainKillTimeout, true},
-		{"a machine that is given up already",
+		{"machine already decommissioned",
 			0, func(p *partitionLeader, a *attempt) { p.startDrain(a.machine, drainUnreachable) }, drainUnreachable, true},
-		{"the task is shown as gone", 0, func(p *partitionLeader, a *attempt) { p.release(a) }, notDraining, false},
-		{"the machine has left the partition",
+		{"task reported as exited", 0, func(p *partitionLeader, a *attempt) { p.release(a) }, notDraining, false},
+		{"machine no longer in the partition",
 			0, func(p *partitionLeader, _ *attempt) { p.machines = nil }, notDraining, false},
 	}
 	for _, test := range tests {
@@ -157,7 +161,7 @@
 			p.core.now = a.stop.killDeadline + test.late
 			p.drainOverdueKills()
 			if got := a.machine.drain.reason; got != test.wantReason {
-				t.Errorf("machine drained for %v, want %v", got, test.wantReason)
+				t.Errorf("drain reason %q, want %q", got, test.wantReason)
 			}
 			if got := len(p.pendingKills) == 1; got != test.wantPending {
 				t.Errorf("kill pending: %v, want %v", got, test.wantPending)
