--- a/internal/coordination/agent_calls_test.go
+++ b/internal/coordination/agent_calls_test.go
@@ -7,7 +7,7 @@
 	"pipitlatch/internal/micros"
 )
 
-// startInFlight sends a start command to a machine and returns its attempt and the call.
+// startInFlight sends a start command to a machine and returns its attempt and the pending call.
 func startInFlight(t *testing.T, p *partitionLeader, m *machine) (*attempt, messages.AgentCall) {
 	t.Helper()
 	a := &attempt{id: messages.AttemptID{Job: "x", Number: 99}, machine: m}
@@ -21,7 +21,7 @@
 	return a, calls[0]
 }
 
-// nextHeartbeat is the heartbeat that the agent of a machine sends next.
+// nextHeartbeat returns the heartbeat that a machine's agent sends next.
 func nextHeartbeat(p *partitionLeader, m *machine) *messages.Heartbeat {
 	position := m.agent.Position()
 	return &messages.Heartbeat{
@@ -33,9 +33,9 @@
 	}
 }
 
-// callOutcome is what became of a call with a start command.
+// callOutcome is the state after the completion of a call with a start command.
 type callOutcome struct {
-	unanswered  int // start commands that may still be carried out
+	unanswered  int // start commands that may still be executed
 	retried     bool
 	failedCalls int
 	drain       drainReason
@@ -67,11 +67,11 @@
 		{"no reply", func(*partitionLeader, *machine) *messages.Heartbeat {
 			return nil
 		}, callOutcome{unanswered: 1, retried: true, failedCalls: 1}},
-		{"no reply, the epoch ended meanwhile", func(p *partitionLeader, m *machine) *messages.Heartbeat {
+		{"no reply, epoch ended in the meantime", func(p *partitionLeader, m *machine) *messages.Heartbeat {
 			m.agent.BeginEpoch(m.agent.Epoch()+1, p.core.now)
 			return nil
 		}, callOutcome{failedCalls: 1}},
-		{"reply of another machine", func(p *partitionLeader, m *machine) *messages.Heartbeat {
+		{"reply from another machine", func(p *partitionLeader, m *machine) *messages.Heartbeat {
 			h := nextHeartbeat(p, m)
 			h.Machine = p.machines[8].id
 			return h
@@ -109,7 +109,7 @@
 	p.machineTerminated(m.id)
 	p.core.calls.CompleteAgent(call.Call, &messages.AgentReply{})
 	if m.contact.FailedCalls() != 0 || a.start.unanswered != 0 {
-		t.Errorf("a terminated machine is still noted: %d failed calls, start %+v", m.contact.FailedCalls(), a.start)
+		t.Errorf("call recorded for a terminated machine: %d failed calls, start %+v", m.contact.FailedCalls(), a.start)
 	}
 }
 
@@ -121,12 +121,12 @@
 		want      int
 	}{
 		{"start", messages.Start, func(*attempt) {}, 1},
-		{"start of an attempt that was stopped", messages.Start, func(a *attempt) { a.stop.ordered = true }, 0},
-		{"start of an attempt that was shown", messages.Start, func(a *attempt) { a.start.reported = true }, 0},
-		{"start of an attempt that exited", messages.Start, func(a *attempt) { a.state = messages.Exited }, 0},
+		{"start of a stopped attempt", messages.Start, func(a *attempt) { a.stop.ordered = true }, 0},
+		{"start of an attempt that a heartbeat reported", messages.Start, func(a *attempt) { a.start.reported = true }, 0},
+		{"start of an exited attempt", messages.Start, func(a *attempt) { a.state = messages.Exited }, 0},
 		{"stop", messages.Stop, func(a *attempt) { a.stop.ordered = true }, 1},
-		{"stop of an attempt that exited", messages.Stop, func(a *attempt) { a.state = messages.Exited }, 0},
-		{"attempt that was forgotten", messages.Stop, func(a *attempt) { a.unindex() }, 0},
+		{"stop of an exited attempt", messages.Stop, func(a *attempt) { a.state = messages.Exited }, 0},
+		{"stop of an unknown attempt", messages.Stop, func(a *attempt) { a.unindex() }, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -142,14 +142,14 @@
 	}
 }
 
-func TestSendBatchWaitsForTheAgent(t *testing.T) {
+func TestSendBatchToUnavailableAgent(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(p *partitionLeader, m *machine)
 	}{
-		{"does not obey the current token", func(p *partitionLeader, _ *machine) { p.lease.fencingToken++ }},
-		{"has no address", func(_ *partitionLeader, m *machine) { m.address = "" }},
-		{"is called already", func(_ *partitionLeader, m *machine) { m.commands.CallStarted() }},
+		{"has not acknowledged the current token", func(p *partitionLeader, _ *machine) { p.lease.fencingToken++ }},
+		{"address unknown", func(_ *partitionLeader, m *machine) { m.address = "" }},
+		{"call already in flight", func(_ *partitionLeader, m *machine) { m.commands.CallStarted() }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -159,7 +159,7 @@
 			test.change(p, m)
 			p.sendBatch(m)
 			if calls := p.core.output.AgentCalls; len(calls) != 0 || m.commands.Empty() {
-				t.Errorf("sent %+v", calls)
+				t.Errorf("calls %+v, want none and the command still queued", calls)
 			}
 		})
 	}
