--- a/internal/coordination/failure_detector_test.go
+++ b/internal/coordination/failure_detector_test.go
@@ -12,7 +12,7 @@
 
 var probingPeer = storage.Process{Member: "n2", Incarnation: "x"}
 
-// receiveProbeResult lets the core hear of a peer's probe some time ago.
+// receiveProbeResult records a peer's status with a probe result as received the given time ago.
 func receiveProbeResult(p *partitionLeader, from storage.Process, age micros.Time, result messages.ZoneReachability) {
 	p.core.peers.Receive(p.core.now-age, &messages.PeerStatus{
 		From: from, Reachability: []messages.ZoneReachability{result},
@@ -29,15 +29,15 @@
 		want   failuredetector.PeerVerdict
 	}{
 		{"a peer reaches the zone", probingPeer, 2 * micros.Second, reached, failuredetector.PeerVerdict{Reached: true}},
-		{"a peer does not reach it",
+		{"a peer does not reach the zone",
 			probingPeer, 0, messages.ZoneReachability{Zone: "a", Probed: 8, Answered: 3}, failuredetector.PeerVerdict{}},
 		{"a peer probed another zone",
 			probingPeer, 0, messages.ZoneReachability{Zone: "b", Probed: 8, Answered: 8},
 			failuredetector.PeerVerdict{Pending: 1}},
-		{"a peer probed another partition's machines there",
+		{"a peer probed another partition's machines in the zone",
 			probingPeer, 0, messages.ZoneReachability{Partition: 1, Zone: "a", Probed: 8, Answered: 8},
 			failuredetector.PeerVerdict{Pending: 1}},
-		{"a peer that is not heard any more", probingPeer, 2*micros.Second + 1, reached, failuredetector.PeerVerdict{}},
+		{"a peer whose status is too old", probingPeer, 2*micros.Second + 1, reached, failuredetector.PeerVerdict{}},
 		{"the partition leader itself", storage.Process{Member: "n0"}, 0, reached, failuredetector.PeerVerdict{}},
 	}
 	for _, test := range tests {
@@ -52,11 +52,12 @@
 	}
 }
 
-// TestSilentZone: every second machine of a silent zone is probed, and the peers are asked early.
+// TestSilentZone checks that every second machine of a silent zone is probed if possible, and that the
+// next status is sent early, so that the peers probe the zone as well.
 func TestSilentZone(t *testing.T) {
 	p, _ := newLeaderWithTasks(t)
 	p.probeQueue = nil
-	p.machines[0].contact.Probed(p.core.now + p.suspicionTimeout()) // of late
+	p.machines[0].contact.Probed(p.core.now + p.suspicionTimeout()) // probed just before the check
 	p.machines[2].address = ""
 	p.machines[4].commands.CallStarted()
 
@@ -70,7 +71,7 @@
 		want = append(want, p.machines[i])
 	}
 	if !slices.Equal(p.probeQueue, want) {
-		t.Errorf("%d machines are probed, want %d", len(p.probeQueue), len(want))
+		t.Errorf("probe queue has %d machines, want every second one starting with machine 6: %d", len(p.probeQueue), len(want))
 	}
 	if got := countLogRecords(p, "zone unreachable"); got != 1 || !p.core.status.soon {
 		t.Errorf("%d log records, status sent early: %v; want 1, true", got, p.core.status.soon)
@@ -87,10 +88,10 @@
 		status messages.PartitionStatus
 		want   []string
 	}{
-		{"of this partition",
+		{"this partition",
 			4 * micros.Second, messages.PartitionStatus{UnreachableZones: []string{"b", "a"}}, []string{"a", "b"}},
-		{"of another partition", 0, messages.PartitionStatus{Partition: 1, UnreachableZones: []string{"a"}}, nil},
-		{"told too long ago", 4*micros.Second + 1, messages.PartitionStatus{UnreachableZones: []string{"a"}}, nil},
+		{"another partition", 0, messages.PartitionStatus{Partition: 1, UnreachableZones: []string{"a"}}, nil},
+		{"status too old", 4*micros.Second + 1, messages.PartitionStatus{UnreachableZones: []string{"a"}}, nil},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -120,11 +121,11 @@
 		renewedAt micros.Time
 		want      micros.Time
 	}{
-		{"no former leader: since the takeover", true, nil, false, 0, acquiredAt},
-		{"a former leader may reply until its term ends", true, []storage.Process{former}, false, 0, acquiredAt + term},
-		{"a dead one until its end", true, []storage.Process{former}, true, 0, diedAt},
-		{"a machine that the former leader did not use", false, []storage.Process{former}, false, 0, acquiredAt},
-		{"our own reply, if later", true, []storage.Process{former}, false, acquiredAt + term + 1, acquiredAt + term + 1},
+		{"no former leader", true, nil, false, 0, acquiredAt},
+		{"former leader may reply until its term ends", true, []storage.Process{former}, false, 0, acquiredAt + term},
+		{"former leader known to have died", true, []storage.Process{former}, true, 0, diedAt},
+		{"machine not used by the former leader", false, []storage.Process{former}, false, 0, acquiredAt},
+		{"later reply of this leader", true, []storage.Process{former}, false, acquiredAt + term + 1, acquiredAt + term + 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
