--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -8,13 +8,14 @@
 	"pipitlatch/internal/storage"
 )
 
-// remoteLeader leads a partition elsewhere; its earlier process led it before.
+// remoteLeader is another controller that leads the partition; earlierLeader is a previous process of
+// the same member.
 var (
 	remoteLeader  = storage.Process{Member: "n2", Incarnation: "x"}
 	earlierLeader = storage.Process{Member: "n2", Incarnation: "w"}
 )
 
-// newFollower returns a core that heard a status of a process some time ago.
+// newFollower returns a core that received a status of another process the given time ago.
 func newFollower(t *testing.T, from storage.Process, age micros.Time, unreachableZones ...string) *Core {
 	t.Helper()
 	c, _ := newLarge(t, 50)
@@ -34,44 +35,44 @@
 		zones []string
 		want  bool
 	}{
-		{"it hears all zones", remoteLeader, leaderStatusTTL, nil, false},
-		{"it misses a zone", remoteLeader, 0, []string{"a"}, true},
-		{"it is not heard any more", remoteLeader, leaderStatusTTL + 1, nil, true},
-		{"only its earlier process was heard", earlierLeader, 0, nil, true},
-		{"only another member was heard", storage.Process{Member: "n3", Incarnation: "x"}, 0, nil, true},
+		{"all zones reachable", remoteLeader, leaderStatusTTL, nil, false},
+		{"a zone unreachable", remoteLeader, 0, []string{"a"}, true},
+		{"status too old", remoteLeader, leaderStatusTTL + 1, nil, true},
+		{"status only from an earlier process", earlierLeader, 0, nil, true},
+		{"status only from another member", storage.Process{Member: "n3", Incarnation: "x"}, 0, nil, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := newFollower(t, test.from, test.age, test.zones...)
 			if got := c.leaderMissesMachines(0, remoteLeader); got != test.want {
-				t.Errorf("misses machines: %v, want %v", got, test.want)
+				t.Errorf("leaderMissesMachines = %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-func TestLeaderNotHeardYetAfterStart(t *testing.T) {
+func TestLeaderWithoutStatusAfterStart(t *testing.T) {
 	c := newFollower(t, earlierLeader, 0)
 	c.startedAt = c.now - leaderStatusTTL
 	if c.leaderMissesMachines(0, remoteLeader) {
-		t.Error("taken as out of reach before it could be heard")
+		t.Error("leader considered unreachable before its first status is due")
 	}
 }
 
 func TestUnreachableFromLeader(t *testing.T) {
 	const token = 7
 	tests := []struct {
-		name   string
-		from   storage.Process
-		age    micros.Time
-		zones  []string
-		shown  uint64 // fencing token in the heartbeat
-		wanted bool
+		name  string
+		from  storage.Process
+		age   micros.Time
+		zones []string
+		token uint64 // fencing token in the heartbeat
+		want  bool
 	}{
-		{"the leader hears the zone", remoteLeader, 0, []string{"b"}, token, false},
-		{"the leader misses the zone", remoteLeader, 0, []string{"a"}, 0, true},
-		{"the leader is not heard, and the agent left it", remoteLeader, leaderStatusTTL + 1, nil, token, true},
-		{"the leader is not heard, and the agent does not know it", remoteLeader, leaderStatusTTL + 1, nil, token - 1, false},
+		{"zone reachable from the leader", remoteLeader, 0, []string{"b"}, token, false},
+		{"zone unreachable from the leader", remoteLeader, 0, []string{"a"}, 0, true},
+		{"no recent status, agent has the leader's token", remoteLeader, leaderStatusTTL + 1, nil, token, true},
+		{"no recent status, agent has an older token", remoteLeader, leaderStatusTTL + 1, nil, token - 1, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -79,24 +80,24 @@
 			partition := storage.Versioned[storage.PartitionRecord]{
 				Value: storage.PartitionRecord{Leader: remoteLeader}, ModRevision: token,
 			}
-			heartbeat := &messages.Heartbeat{FencingToken: test.shown}
-			if got := c.unreachableFromLeader(heartbeat, storage.Machine{Zone: "a"}, partition); got != test.wanted {
-				t.Errorf("unreachable: %v, want %v", got, test.wanted)
+			heartbeat := &messages.Heartbeat{FencingToken: test.token}
+			if got := c.unreachableFromLeader(heartbeat, storage.Machine{Zone: "a"}, partition); got != test.want {
+				t.Errorf("unreachableFromLeader = %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-func TestReachableMachinesNeedARecentStatus(t *testing.T) {
+func TestReachableMachinesRequiresRecentStatus(t *testing.T) {
 	for name, test := range map[string]struct {
 		from storage.Process
 		age  micros.Time
 		want int
 	}{
-		"recent":                {remoteLeader, reachableMachinesTTL, 50},
-		"too old":               {remoteLeader, reachableMachinesTTL + 1, 0},
-		"of an earlier process": {earlierLeader, 0, 0},
-		"of another member":     {storage.Process{Member: "n3"}, 0, 0},
+		"recent":                  {remoteLeader, reachableMachinesTTL, 50},
+		"too old":                 {remoteLeader, reachableMachinesTTL + 1, 0},
+		"from an earlier process": {earlierLeader, 0, 0},
+		"from another member":     {storage.Process{Member: "n3"}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newFollower(t, test.from, test.age)
@@ -110,7 +111,8 @@
 	}
 }
 
-// TestProbeReachability: machines of a partition are probed whose live leader misses some of them.
+// TestProbeReachability checks that machines of a partition are probed if its leader is registered and
+// reports an unreachable zone.
 func TestProbeReachability(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -119,10 +121,10 @@
 		zones     []string
 		wantCalls int
 	}{
-		{"its leader misses a zone", remoteLeader, true, []string{"a"}, 8},
-		{"its leader hears all zones", remoteLeader, true, nil, 0},
-		{"its leader is not registered", remoteLeader, false, []string{"a"}, 0},
-		{"it is led here", storage.Process{Member: "n0", Incarnation: "1"}, true, []string{"a"}, 0},
+		{"leader cannot reach a zone", remoteLeader, true, []string{"a"}, 8},
+		{"leader reaches all zones", remoteLeader, true, nil, 0},
+		{"leader not registered", remoteLeader, false, []string{"a"}, 0},
+		{"led by this controller", storage.Process{Member: "n0", Incarnation: "1"}, true, []string{"a"}, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -135,9 +137,9 @@
 			}
 			c.output = &messages.Output{}
 			c.probeReachability()
-			c.probeReachability() // a round is in flight
+			c.probeReachability() // no effect while a round is in flight
 			if got := len(c.output.AgentCalls); got != test.wantCalls {
-				t.Errorf("%d machines are probed, want %d", got, test.wantCalls)
+				t.Errorf("%d machines probed, want %d", got, test.wantCalls)
 			}
 		})
 	}
