--- a/internal/coordination/cancellation/exchange_test.go
+++ b/internal/coordination/cancellation/exchange_test.go
@@ -22,7 +22,7 @@
 
 func newExchange() *Exchange { return NewExchange(self, ttl) }
 
-// withJobs returns an exchange in which jobs were committed at revisions 101, 102 and so on.
+// withJobs returns an exchange that holds cancellations committed at revisions 101, 102 and so on.
 func withJobs(count int) *Exchange {
 	e := newExchange()
 	for i := range count {
@@ -41,12 +41,12 @@
 	return names
 }
 
-// heard is a status of the peer: how far its change stream came, and what it acknowledged.
+// heard returns a status of the peer with the revision of its change stream and its acknowledgements.
 func heard(revision uint64, acks ...messages.CancellationAck) *messages.PeerStatus {
 	return &messages.PeerStatus{From: peer, Revision: revision, CancellationAcks: acks}
 }
 
-// notices is a status of a process with notices.
+// notices returns a status of a process that contains notices of cancelled jobs.
 func notices(from storage.Process, upTo uint64, jobs ...string) *messages.PeerStatus {
 	return &messages.PeerStatus{From: from, Cancelled: jobs, CancelledUpTo: upTo}
 }
@@ -69,14 +69,14 @@
 		want     []string
 		wantUpTo uint64
 	}{
-		{"never heard: all", nil, jobNames(0, 4), 4},
-		{"its stream came up to the second", heard(102), jobNames(2, 4), 4},
-		{"it acknowledged the first", heard(0, ack(peer, 4), ack(self, 1)), jobNames(1, 4), 4},
-		{"it acknowledged fewer than its stream has", heard(103, ack(self, 1)), jobNames(3, 4), 4},
-		{"it acknowledged more than its stream has", heard(101, ack(self, 3)), jobNames(3, 4), 4},
-		{"it knows all of them", heard(104), nil, 0},
-		{"it acknowledged all of them", heard(0, ack(self, 4)), nil, 0},
-		{"it acknowledged notices of an earlier process", heard(0, ack(earlier, 4)), jobNames(0, 4), 4},
+		{"no status received", nil, jobNames(0, 4), 4},
+		{"change stream includes the second", heard(102), jobNames(2, 4), 4},
+		{"first acknowledged", heard(0, ack(peer, 4), ack(self, 1)), jobNames(1, 4), 4},
+		{"fewer acknowledged than in its change stream", heard(103, ack(self, 1)), jobNames(3, 4), 4},
+		{"more acknowledged than in its change stream", heard(101, ack(self, 3)), jobNames(3, 4), 4},
+		{"change stream includes all", heard(104), nil, 0},
+		{"all acknowledged", heard(0, ack(self, 4)), nil, 0},
+		{"notices of an earlier process acknowledged", heard(0, ack(earlier, 4)), jobNames(0, 4), 4},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestNoticesAreBoundedInOneMessage(t *testing.T) {
+func TestNoticesPerMessageAreLimited(t *testing.T) {
 	e := withJobs(maxNoticesPerMessage + 2)
 	requireNotices(t, e, nil, jobNames(0, maxNoticesPerMessage), maxNoticesPerMessage)
 	rest := heard(0, messages.CancellationAck{From: self, UpTo: maxNoticesPerMessage})
@@ -98,10 +98,10 @@
 		t.Error("known before it was committed")
 	}
 	if !e.Committed(now, "j", 101) {
-		t.Error("the first commit is not new")
+		t.Error("the first commit is not reported as new")
 	}
 	if e.Committed(now, "j", 102) {
-		t.Error("the same cancellation, shown by the change stream, is new")
+		t.Error("the same cancellation is reported as new when the change stream delivers it")
 	}
 	if !e.Known("j") {
 		t.Error("not known after it was committed")
@@ -109,14 +109,14 @@
 	requireNotices(t, e, nil, []string{"j"}, 1)
 }
 
-func TestCommittedIsBounded(t *testing.T) {
+func TestStoredNoticesAreLimited(t *testing.T) {
 	e := withJobs(maxNotices)
 	if !e.Known(jobName(0)) {
-		t.Error("the oldest was forgotten before there were too many")
+		t.Error("the oldest notice was dropped before the limit was exceeded")
 	}
 	e.Committed(now, "last", 1<<20)
 	if e.Known(jobName(0)) || !e.Known(jobName(1)) || !e.Known("last") {
-		t.Error("not just the oldest was forgotten for the newest")
+		t.Error("want only the oldest notice dropped, and the newest kept")
 	}
 	if jobs, _ := e.NoticesFor(nil); jobs[0] != jobName(1) {
 		t.Errorf("the first notice is %s, want the second committed", jobs[0])
@@ -132,11 +132,11 @@
 		wantAck  messages.CancellationAck
 	}{
 		{"new jobs", notices(peer, 9, "c", "d"), []string{"c", "d"}, messages.CancellationAck{From: peer, UpTo: 9}},
-		{"a repeated notice stops nothing again", notices(peer, 7, "a", "b"), nil, messages.CancellationAck{}},
-		{"some new", notices(peer, 8, "b", "c"), []string{"c"}, messages.CancellationAck{From: peer, UpTo: 8}},
-		{"a late notice does not take back an acknowledgement",
+		{"repeated notice", notices(peer, 7, "a", "b"), nil, messages.CancellationAck{}},
+		{"some jobs new", notices(peer, 8, "b", "c"), []string{"c"}, messages.CancellationAck{From: peer, UpTo: 8}},
+		{"late notice does not reduce the acknowledgement",
 			notices(peer, 6, "a"), nil, messages.CancellationAck{}},
-		{"a restarted peer counts anew", notices(restarted, 1, "a"), nil, messages.CancellationAck{From: restarted, UpTo: 1}},
+		{"restarted peer numbers its notices from 1", notices(restarted, 1, "a"), nil, messages.CancellationAck{From: restarted, UpTo: 1}},
 		{"no notices", notices(peer, 9), nil, messages.CancellationAck{}},
 		{"this controller's own status", notices(self, 9, "c"), nil, messages.CancellationAck{}},
 	}
@@ -167,27 +167,27 @@
 	}
 }
 
-func TestReceivedNoticesAreNotToldOn(t *testing.T) {
+func TestReceivedNoticesAreNotForwarded(t *testing.T) {
 	e := newExchange()
 	e.Receive(now, notices(peer, 1, "a"))
 	requireNotices(t, e, nil, nil, 0)
 	if !e.Committed(now, "a", 101) {
-		t.Error("a commit is not new because a peer told of it before")
+		t.Error("a commit is not reported as new after a peer's notice of it")
 	}
 	requireNotices(t, e, nil, []string{"a"}, 1)
 }
 
-func TestReceivedNoticesAreBounded(t *testing.T) {
+func TestReceivedNoticesAreLimited(t *testing.T) {
 	e := newExchange()
 	if jobs, _ := e.Receive(now, notices(peer, 1, jobNames(0, maxNotices+1)...)); len(jobs) != maxNotices {
 		t.Errorf("%d jobs to stop, want %d", len(jobs), maxNotices)
 	}
 	if e.Known(jobName(maxNotices)) {
-		t.Error("more are kept than the bound")
+		t.Error("more received notices are stored than the limit allows")
 	}
 }
 
-func TestAcksInOrderOfMembers(t *testing.T) {
+func TestAcksAreSortedByMember(t *testing.T) {
 	e := newExchange()
 	var want []messages.CancellationAck
 	for _, member := range []string{"n9", "n3", "n5", "n2"} {
@@ -205,25 +205,25 @@
 		t.Errorf("acknowledgements %v, want %v", got, want)
 	}
 	if got := newExchange().Acks(); got != nil {
-		t.Errorf("acknowledgements %v of nothing", got)
+		t.Errorf("acknowledgements %v without any notices", got)
 	}
 }
 
 func TestNoticesExpire(t *testing.T) {
 	tests := []struct {
 		name     string
-		at       []micros.Time // when expired notices are looked for
+		at       []micros.Time // times of the calls to Expire
 		want     []string      // jobs still known
-		wantGone []string
+		wantGone []string      // jobs no longer known
 	}{
-		{"at the end of their lifetime they are kept",
+		{"kept until the ttl has passed",
 			[]micros.Time{now + ttl}, []string{"committed", "requested", "committed later", "requested later"}, nil},
-		{"after it they are forgotten, and later ones are kept",
+		{"removed after the ttl, later ones kept",
 			[]micros.Time{now + ttl + 1},
 			[]string{"committed later", "requested later"}, []string{"committed", "requested"}},
-		{"they are not looked for again within the interval",
+		{"not removed again within the interval",
 			[]micros.Time{now + ttl, now + ttl + expiryInterval - 1}, []string{"committed", "requested"}, nil},
-		{"they are looked for after the interval",
+		{"removed again after the interval",
 			[]micros.Time{now + ttl, now + ttl + expiryInterval}, nil,
 			[]string{"committed", "requested", "committed later", "requested later"}},
 	}
@@ -242,7 +242,7 @@
 			jobs, _ := e.NoticesFor(nil)
 			for _, job := range test.wantGone {
 				if slices.Contains(jobs, job) {
-					t.Errorf("%q is still told", job)
+					t.Errorf("a notice of %q is still sent", job)
 				}
 			}
 		})
