--- a/internal/coordination/calls/calls_test.go
+++ b/internal/coordination/calls/calls_test.go
@@ -10,7 +10,7 @@
 
 const start = 10 * micros.Second
 
-// newTable returns a table with a budget of ten requests and changes a second and nine sockets
+// newTable returns a table that allows ten requests and ten writes per second, and has nine sockets
 // for calls to agents.
 func newTable() *Table { return NewTable(storage.NewRateLimiter(10/0.95, 10/0.95, 1), 9) }
 
@@ -18,21 +18,21 @@
 	return &storage.Request{Kind: storage.Txn, Puts: []storage.Put{{Key: key}}}
 }
 
-// mustCall adds a request to the store that has to be allowed.
+// mustCall registers a request to the store and fails the test if it is not allowed.
 func mustCall(
 	t *testing.T, table *Table, now micros.Time, r *storage.Request, done func(*storage.Reply),
 ) messages.StoreCall {
 	t.Helper()
 	call, ok := table.Store(now, r, storage.Urgent, micros.Second, done)
 	if !ok {
-		t.Fatalf("the request %+v is not allowed", r)
+		t.Fatalf("request %+v is not allowed", r)
 	}
 	return call
 }
 
-// TestCompletionsReachTheirCallOnce: numbers are unique over the kinds, and a completion of one
-// kind has no effect on the calls of another.
-func TestCompletionsReachTheirCallOnce(t *testing.T) {
+// TestCallsCompleteOnce checks that numbers are unique across the kinds of calls, that a completion of
+// one kind has no effect on calls of another, and that repeated completions are ignored.
+func TestCallsCompleteOnce(t *testing.T) {
 	table := newTable()
 	var store, cloud, agent int
 	r := &storage.Request{Kind: storage.Get, Key: "k"}
@@ -59,7 +59,7 @@
 		}
 	}
 	if store+cloud+agent != 0 {
-		t.Fatalf("completed by a number of another call: %d, %d and %d times", store, cloud, agent)
+		t.Fatalf("completed by numbers of other calls: %d, %d and %d times", store, cloud, agent)
 	}
 	for range 2 {
 		table.CompleteStore(start, storeCall.Call, &storage.Reply{})
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestCompletionHandsOverTheReply(t *testing.T) {
+func TestCompletionPassesReply(t *testing.T) {
 	table := newTable()
 	storeReply, cloudReply, agentReply := &storage.Reply{}, &messages.CloudReply{}, &messages.AgentReply{}
 	replies := 0
@@ -92,29 +92,29 @@
 		}
 	}).Call, agentReply)
 	if replies != 3 {
-		t.Errorf("%d replies came as they are, want 3", replies)
+		t.Errorf("%d callbacks received their reply, want 3", replies)
 	}
 }
 
-func TestRejectedTransactionsWait(t *testing.T) {
+func TestRejectedTransactionBackoff(t *testing.T) {
 	table := newTable()
 	r := transaction("k")
 	call := mustCall(t, table, start, r, func(*storage.Reply) {
 		if _, ok := table.Store(start+1, r, storage.Urgent, micros.Second, nil); ok {
-			t.Error("sent again at once by what takes the reply")
+			t.Error("the completion callback could send the transaction again immediately")
 		}
 	})
 	later := start + 5*micros.Second
 	table.CompleteStore(later, call.Call, &storage.Reply{Outcome: storage.Invalid})
 	if _, ok := table.Store(later+1, r, storage.Urgent, micros.Second, nil); ok {
-		t.Error("sent again at once")
+		t.Error("the transaction could be sent again immediately")
 	}
 	if got := mustCall(t, table, later+1, transaction("other"), nil); got.Call != 2 {
-		t.Errorf("number %d: those that were not sent must have none", got.Call)
+		t.Errorf("call number %d, want 2: requests that are not allowed must not use up a number", got.Call)
 	}
 }
 
-func TestStoreCallsKeepToTheBudget(t *testing.T) {
+func TestStoreCallsAreRateLimited(t *testing.T) {
 	table := newTable()
 	now := start
 	for i := range 10 {
@@ -123,9 +123,9 @@
 		}
 	}
 	if _, ok := table.Store(now, transaction("k"), storage.Deferrable, micros.Second, nil); ok {
-		t.Error("a request beyond the budget is allowed")
+		t.Error("a deferrable request beyond the limit is allowed")
 	}
-	mustCall(t, table, now, transaction("k"), nil) // urgent ones overdraw it
+	mustCall(t, table, now, transaction("k"), nil) // urgent requests may exceed the limit
 }
 
 func TestAvailableAgentCalls(t *testing.T) {
@@ -145,18 +145,19 @@
 	require(2, -1)
 	table.CompleteAgent(calls[0].Call, &messages.AgentReply{})
 	require(3, 0)
-	// What takes the reply may make the next call.
+	// Completing the same call twice frees only one.
 	table.CompleteAgent(calls[1].Call, &messages.AgentReply{})
 	table.CompleteAgent(calls[1].Call, &messages.AgentReply{})
 	require(4, 1)
 }
 
-func TestAgentCallIsOverWhenItsReplyIsTaken(t *testing.T) {
+// TestAgentCallIsFreedBeforeCallback checks that a completion callback can already make the next call.
+func TestAgentCallIsFreedBeforeCallback(t *testing.T) {
 	table := newTable()
 	available := 0
 	call := table.Agent(messages.AgentCall{}, func(*messages.AgentReply) { available = table.AvailableAgentCalls(false) })
 	table.CompleteAgent(call.Call, &messages.AgentReply{})
 	if available != 9 {
-		t.Errorf("%d calls available when the reply is taken, want 9", available)
+		t.Errorf("%d calls available in the completion callback, want 9", available)
 	}
 }
