--- a/internal/coordination/reachability/probe_test.go
+++ b/internal/coordination/reachability/probe_test.go
@@ -10,12 +10,12 @@
 	"pipitlatch/internal/storage"
 )
 
-// fakeCore keeps the calls to agents until a test replies to them.
+// fakeCore records calls to agents until a test replies to them.
 type fakeCore struct {
 	now       micros.Time
 	calls     []messages.AgentCall
 	done      []func(*messages.AgentReply)
-	completed int // rounds that completed
+	completed int // number of completed rounds
 }
 
 func (f *fakeCore) Now() micros.Time { return f.now }
@@ -25,7 +25,7 @@
 	f.done = append(f.done, done)
 }
 
-// reply replies to a call as a machine; none: the call fails.
+// reply completes a call with a heartbeat of a machine. If the machine is empty, the call fails.
 func (f *fakeCore) reply(call int, machine string) {
 	reply := &messages.AgentReply{}
 	if machine != "" {
@@ -69,7 +69,7 @@
 	}
 	p.Send(twoZones())
 	core.reply(2, "m3")
-	core.reply(0, "m9") // another machine that has the address now
+	core.reply(0, "m9") // the address now belongs to another machine
 	if got := p.Report(); got != nil || core.completed != 0 {
 		t.Errorf("report %v and %d completions while a call is in flight", got, core.completed)
 	}
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestReportCountsFromItsCompletion(t *testing.T) {
+func TestReportExpiresAfterCompletion(t *testing.T) {
 	p, core := newProbe()
 	p.Send(twoZones())
 	core.now += micros.Second
@@ -95,15 +95,15 @@
 	}
 	core.now += ResultTTL
 	if p.Report() == nil {
-		t.Error("no report within its lifetime")
+		t.Error("no report within ResultTTL after the round completed")
 	}
 	core.now++
 	if got := p.Report(); got != nil {
-		t.Errorf("report %v after its lifetime", got)
+		t.Errorf("report %v later than ResultTTL after the round completed", got)
 	}
 }
 
-func TestRoundForgetsTheOneBefore(t *testing.T) {
+func TestRoundDiscardsPreviousResults(t *testing.T) {
 	p, core := newProbe()
 	p.Send(twoZones())
 	for i := range core.done {
@@ -125,7 +125,7 @@
 	p, core := newProbe()
 	core.now = probeInterval - 1
 	if !p.Due() {
-		t.Error("the first round is not due at once")
+		t.Error("the first round is not due immediately")
 	}
 	p.Send(twoZones())
 	core.now += probeInterval
@@ -136,16 +136,16 @@
 		core.reply(i, "")
 	}
 	if !p.Due() {
-		t.Error("not due after the interval, counted from the sending")
+		t.Error("not due although the interval since the start of the last round has passed")
 	}
 	p.Send(nil)
 	core.now += probeInterval - 1
 	if p.Due() {
-		t.Error("due before the interval is over")
+		t.Error("due before the interval has passed")
 	}
 }
 
-// cacheWith returns a cache with machines of partition 3, by zone, that are in use.
+// cacheWith returns a cache with the given number of machines in use per zone of partition 3.
 func cacheWith(machines map[string]int) *storage.Cache {
 	cache := storage.NewCache(storage.Keys{})
 	for zone, count := range machines {
