--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -69,7 +69,7 @@
 		// Shortly after the start, the absence of a status is not conclusive.
 		return c.now > c.startedAt+leaderStatusTTL
 	}
-	return reachability.MissesZones(status, partition)
+	return reachability.HasUnreachableZones(status, partition)
 }
 
 // machinesInUse returns the number of machines in use of a partition by zone.
--- a/internal/coordination/reachability/status.go
+++ b/internal/coordination/reachability/status.go
@@ -7,9 +7,9 @@
 	"pipitlatch/internal/storage"
 )
 
-// MissesZones reports whether a partition leader's status lists any zone of the partition as
+// HasUnreachableZones reports whether a partition leader's status lists any zone of the partition as
 // unreachable.
-func MissesZones(leader *messages.PeerStatus, partition int) bool {
+func HasUnreachableZones(leader *messages.PeerStatus, partition int) bool {
 	return slices.ContainsFunc(leader.Partitions, func(p messages.PartitionStatus) bool {
 		return p.Partition == partition && len(p.UnreachableZones) > 0
 	})
--- a/internal/coordination/reachability/status_test.go
+++ b/internal/coordination/reachability/status_test.go
@@ -44,7 +44,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := MissesZones(test.status, 3); got != test.wantAny {
+			if got := HasUnreachableZones(test.status, 3); got != test.wantAny {
 				t.Errorf("MissesZones = %v, want %v", got, test.wantAny)
 			}
 			if got := MissesZone(test.status, 3, "a"); got != test.wantZoneA {
