--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -99,5 +99,5 @@
 	if status == nil {
 		return heartbeat.FencingToken == partition.ModRevision
 	}
-	return reachability.MissesZone(status, machine.Partition, machine.Zone)
+	return reachability.IsZoneUnreachable(status, machine.Partition, machine.Zone)
 }
--- a/internal/coordination/reachability/status.go
+++ b/internal/coordination/reachability/status.go
@@ -15,8 +15,8 @@
 	})
 }
 
-// MissesZone reports whether a partition leader's status lists a zone of the partition as unreachable.
-func MissesZone(leader *messages.PeerStatus, partition int, zone string) bool {
+// IsZoneUnreachable reports whether a partition leader's status lists a zone of the partition as unreachable.
+func IsZoneUnreachable(leader *messages.PeerStatus, partition int, zone string) bool {
 	return slices.ContainsFunc(leader.Partitions, func(p messages.PartitionStatus) bool {
 		return p.Partition == partition && slices.Contains(p.UnreachableZones, zone)
 	})
@@ -60,7 +60,7 @@
 	for zone, machines := range MachinesInUse(cache, partition) {
 		reaches := false
 		if isLeader {
-			reaches = !MissesZone(status, partition, zone)
+			reaches = !IsZoneUnreachable(status, partition, zone)
 		} else if result, found := ProbeResult(status, partition, zone); found {
 			reaches = Reached(result)
 		}
--- a/internal/coordination/reachability/status_test.go
+++ b/internal/coordination/reachability/status_test.go
@@ -47,7 +47,7 @@
 			if got := HasUnreachableZones(test.status, 3); got != test.wantAny {
 				t.Errorf("MissesZones = %v, want %v", got, test.wantAny)
 			}
-			if got := MissesZone(test.status, 3, "a"); got != test.wantZoneA {
+			if got := IsZoneUnreachable(test.status, 3, "a"); got != test.wantZoneA {
 				t.Errorf("MissesZone = %v for zone a, want %v", got, test.wantZoneA)
 			}
 		})
