--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -58,7 +58,7 @@
 	for _, n := range partitions {
 		samples = append(samples, reachability.Samples(c.cache, n)...)
 	}
-	c.reachability.Send(samples)
+	c.reachability.StartRound(samples)
 }
 
 // leaderMissesMachines reports whether a partition's leader, which is registered, recently reported an
--- a/internal/coordination/reachability/probe.go
+++ b/internal/coordination/reachability/probe.go
@@ -49,8 +49,8 @@
 	return p.callsInFlight == 0 && (p.sentAt == 0 || p.environment.Now()-p.sentAt >= probeInterval)
 }
 
-// Send starts a round: it discards the results of the previous round and probes the samples.
-func (p *Probe) Send(samples []ZoneSample) {
+// StartRound starts a round: it discards the results of the previous round and probes the samples.
+func (p *Probe) StartRound(samples []ZoneSample) {
 	p.results, p.sentAt = nil, p.environment.Now()
 	for _, sample := range samples {
 		p.results = append(p.results, messages.ZoneReachability{
--- a/internal/coordination/reachability/probe_test.go
+++ b/internal/coordination/reachability/probe_test.go
@@ -48,7 +48,7 @@
 
 func TestProbeAsksForHeartbeatsInOrder(t *testing.T) {
 	p, core := newProbe()
-	p.Send(twoZones())
+	p.StartRound(twoZones())
 	var want []messages.AgentCall
 	for i := 1; i <= 3; i++ {
 		want = append(want, messages.AgentCall{
@@ -67,7 +67,7 @@
 	if got := p.Report(); got != nil {
 		t.Errorf("report %v before any probe", got)
 	}
-	p.Send(twoZones())
+	p.StartRound(twoZones())
 	core.reply(2, "m3")
 	core.reply(0, "m9") // the address now belongs to another machine
 	if got := p.Report(); got != nil || core.completed != 0 {
@@ -88,7 +88,7 @@
 
 func TestReportExpiresAfterCompletion(t *testing.T) {
 	p, core := newProbe()
-	p.Send(twoZones())
+	p.StartRound(twoZones())
 	core.now += micros.Second
 	for i := range core.done {
 		core.reply(i, "")
@@ -105,12 +105,12 @@
 
 func TestRoundDiscardsPreviousResults(t *testing.T) {
 	p, core := newProbe()
-	p.Send(twoZones())
+	p.StartRound(twoZones())
 	for i := range core.done {
 		core.reply(i, core.calls[i].Machine)
 	}
 	core.now += probeInterval
-	p.Send(twoZones()[1:])
+	p.StartRound(twoZones()[1:])
 	if got := p.Report(); got != nil {
 		t.Errorf("report %v while the second round is in flight", got)
 	}
@@ -127,7 +127,7 @@
 	if !p.Due() {
 		t.Error("the first round is not due immediately")
 	}
-	p.Send(twoZones())
+	p.StartRound(twoZones())
 	core.now += probeInterval
 	if p.Due() {
 		t.Error("due while calls are in flight")
@@ -138,7 +138,7 @@
 	if !p.Due() {
 		t.Error("not due although the interval since the start of the last round has passed")
 	}
-	p.Send(nil)
+	p.StartRound(nil)
 	core.now += probeInterval - 1
 	if p.Due() {
 		t.Error("due before the interval has passed")
