--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -18,7 +18,7 @@
 // noteOwnCancellation records a cancellation that this controller committed. It is called before the
 // user's request is answered.
 func (c *Core) noteOwnCancellation(id string, modRevision uint64) {
-	if c.cancellations.Committed(c.now, id, modRevision) {
+	if c.cancellations.RecordCommitted(c.now, id, modRevision) {
 		c.status.soon = true // notifies the partition leader without delay
 		c.requestCancel(id)
 	}
--- a/internal/coordination/cancellation/exchange.go
+++ b/internal/coordination/cancellation/exchange.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// Committed records that a job's cancellation was committed at a revision, and reports whether it was
+// RecordCommitted records that a job's cancellation was committed at a revision, and reports whether it was
 // not recorded before. Beyond maxNotices, the oldest notice is dropped.
-func (e *Exchange) Committed(now micros.Time, job string, modRevision uint64) bool {
+func (e *Exchange) RecordCommitted(now micros.Time, job string, modRevision uint64) bool {
 	if e.committed[job] {
 		return false
 	}
--- a/internal/coordination/cancellation/exchange_test.go
+++ b/internal/coordination/cancellation/exchange_test.go
@@ -26,7 +26,7 @@
 func withJobs(count int) *Exchange {
 	e := newExchange()
 	for i := range count {
-		e.Committed(now, jobName(i), uint64(101+i))
+		e.RecordCommitted(now, jobName(i), uint64(101+i))
 	}
 	return e
 }
@@ -97,10 +97,10 @@
 	if e.Known("j") {
 		t.Error("known before it was committed")
 	}
-	if !e.Committed(now, "j", 101) {
+	if !e.RecordCommitted(now, "j", 101) {
 		t.Error("the first commit is not reported as new")
 	}
-	if e.Committed(now, "j", 102) {
+	if e.RecordCommitted(now, "j", 102) {
 		t.Error("the same cancellation is reported as new when the change stream delivers it")
 	}
 	if !e.Known("j") {
@@ -114,7 +114,7 @@
 	if !e.Known(jobName(0)) {
 		t.Error("the oldest notice was dropped before the limit was exceeded")
 	}
-	e.Committed(now, "last", 1<<20)
+	e.RecordCommitted(now, "last", 1<<20)
 	if e.Known(jobName(0)) || !e.Known(jobName(1)) || !e.Known("last") {
 		t.Error("want only the oldest notice dropped, and the newest kept")
 	}
@@ -171,7 +171,7 @@
 	e := newExchange()
 	e.Receive(now, notices(peer, 1, "a"))
 	requireNotices(t, e, nil, nil, 0)
-	if !e.Committed(now, "a", 101) {
+	if !e.RecordCommitted(now, "a", 101) {
 		t.Error("a commit is not reported as new after a peer's notice of it")
 	}
 	requireNotices(t, e, nil, []string{"a"}, 1)
@@ -230,8 +230,8 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			e := newExchange()
-			e.Committed(now, "committed", 101)
-			e.Committed(now+1, "committed later", 102)
+			e.RecordCommitted(now, "committed", 101)
+			e.RecordCommitted(now+1, "committed later", 102)
 			e.Receive(now, notices(peer, 1, "requested"))
 			e.Receive(now+1, notices(peer, 2, "requested later"))
 			for _, at := range test.at {
--- a/internal/coordination/store_changes.go
+++ b/internal/coordination/store_changes.go
@@ -58,7 +58,7 @@
 		}
 	case storage.JobRecord:
 		if c.isCancelled(change.ID) {
-			c.cancellations.Committed(c.now, change.ID, item.ModRevision)
+			c.cancellations.RecordCommitted(c.now, change.ID, item.ModRevision)
 		}
 		c.jobChanged(change.ID)
 	case storage.CompletedRecord:
