--- a/internal/coordination/cancellation/exchange.go
+++ b/internal/coordination/cancellation/exchange.go
@@ -50,7 +50,7 @@
 	notices      []notice // oldest first
 	lastSequence uint64
 	committed    map[string]bool                     // jobs of the notices
-	requested    map[string]micros.Time              // jobs named in peers' notices, by time of first receipt
+	notified    map[string]micros.Time              // jobs named in peers' notices, by time of first receipt
 	acks         map[string]messages.CancellationAck // acknowledgements to send, by member
 	expiredAt    micros.Time                         // last removal of expired notices
 }
@@ -61,7 +61,7 @@
 		self:      self,
 		ttl:       ttl,
 		committed: map[string]bool{},
-		requested: map[string]micros.Time{},
+		notified: map[string]micros.Time{},
 		acks:      map[string]messages.CancellationAck{},
 	}
 }
@@ -90,7 +90,7 @@
 
 // Known reports whether a job is known to be cancelled, from a commit or from a peer's notice.
 func (e *Exchange) Known(job string) bool {
-	_, requested := e.requested[job]
+	_, requested := e.notified[job]
 	return requested || e.committed[job]
 }
 
@@ -139,10 +139,10 @@
 		newAck = true
 	}
 	for _, job := range status.Cancelled {
-		if _, ok := e.requested[job]; ok || len(e.requested) >= maxNotices {
+		if _, ok := e.notified[job]; ok || len(e.notified) >= maxNotices {
 			continue
 		}
-		e.requested[job] = now
+		e.notified[job] = now
 		jobs = append(jobs, job)
 	}
 	return jobs, newAck
@@ -166,9 +166,9 @@
 	for len(e.notices) > 0 && now-e.notices[0].notedAt > e.ttl {
 		e.dropOldest()
 	}
-	for job, requestedAt := range e.requested {
+	for job, requestedAt := range e.notified {
 		if now-requestedAt > e.ttl {
-			delete(e.requested, job)
+			delete(e.notified, job)
 		}
 	}
 }
