--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -46,7 +46,7 @@
 	var partitions []int
 	for n, partition := range c.cache.Partitions {
 		leader := partition.Value.Leader
-		if leader != c.process && c.cache.Live(leader) && c.leaderMissesMachines(n, leader) {
+		if leader != c.process && c.cache.Live(leader) && c.needsReachabilityProbe(n, leader) {
 			partitions = append(partitions, n)
 		}
 	}
@@ -61,9 +61,9 @@
 	c.reachability.StartRound(samples)
 }
 
-// leaderMissesMachines reports whether a partition's leader, which is registered, recently reported an
+// needsReachabilityProbe reports whether a partition's leader, which is registered, recently reported an
 // unreachable zone or has sent no recent status.
-func (c *Core) leaderMissesMachines(partition int, leader storage.Process) bool {
+func (c *Core) needsReachabilityProbe(partition int, leader storage.Process) bool {
 	status := c.recentStatus(leader, leaderStatusTTL)
 	if status == nil {
 		// Shortly after the start, the absence of a status is not conclusive.
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -44,7 +44,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := newFollower(t, test.from, test.age, test.zones...)
-			if got := c.leaderMissesMachines(0, remoteLeader); got != test.want {
+			if got := c.needsReachabilityProbe(0, remoteLeader); got != test.want {
 				t.Errorf("leaderMissesMachines = %v, want %v", got, test.want)
 			}
 		})
@@ -54,7 +54,7 @@
 func TestLeaderWithoutStatusAfterStart(t *testing.T) {
 	c := newFollower(t, earlierLeader, 0)
 	c.startedAt = c.now - leaderStatusTTL
-	if c.leaderMissesMachines(0, remoteLeader) {
+	if c.needsReachabilityProbe(0, remoteLeader) {
 		t.Error("leader considered unreachable before its first status is due")
 	}
 }
