--- a/internal/coordination/cancel_request.go
+++ b/internal/coordination/cancel_request.go
@@ -74,7 +74,7 @@
 func (r *cancelRequest) tombstoneWritten(reply *storage.Reply) {
 	switch {
 	case reply.Outcome == storage.OK:
-		r.core.noteOwnCancellation(r.id, reply.Revision)
+		r.core.recordOwnCancellation(r.id, reply.Revision)
 		r.core.respond(messages.Response{
 			Request: r.request,
 			Kind:    messages.JobFound,
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -15,9 +15,9 @@
 	return 2 * micros.FromSeconds(cfg.Settings.Workers.CancelS)
 }
 
-// noteOwnCancellation records a cancellation that this controller committed. It is called before the
+// recordOwnCancellation records a cancellation that this controller committed. It is called before the
 // user's request is answered.
-func (c *Core) noteOwnCancellation(id string, modRevision uint64) {
+func (c *Core) recordOwnCancellation(id string, modRevision uint64) {
 	if c.cancellations.RecordCommitted(c.now, id, modRevision) {
 		c.status.soon = true // notifies the partition leader without delay
 		c.requestCancel(id)
