--- a/internal/coordination/agent_calls.go
+++ b/internal/coordination/agent_calls.go
@@ -142,7 +142,7 @@
 		heartbeat = nil // the address now belongs to another machine
 		m.address = ""
 	}
-	c.settleStarts(heartbeat != nil)
+	c.recordStartReplies(heartbeat != nil)
 	switch {
 	case heartbeat == nil:
 		c.failed()
@@ -159,9 +159,9 @@
 	}
 }
 
-// settleStarts records for each start command of the call whether it was answered. One that was not
+// recordStartReplies records for each start command of the call whether it was answered. One that was not
 // may still be executed, even minutes later, unless the agent's epoch has ended.
-func (c agentCall) settleStarts(answered bool) {
+func (c agentCall) recordStartReplies(answered bool) {
 	for _, command := range c.batch {
 		a := c.machine.attempts[command.AttemptID]
 		if a == nil || command.Operation != messages.Start {
