--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -80,7 +80,7 @@
 		p.silentSinceLeaseExpiry(m, silence),
 		p.unresponsiveAfterPreemption(m):
 		return drainUnresponsive
-	case m.repliesNeverArrive():
+	case m.unreachable():
 		return drainUnreachable
 	case p.delaysReconciliation(m):
 		return drainUnresponsive
@@ -136,9 +136,9 @@
 	return m.lifecycle.preemptAt != 0 && p.core.now > m.lifecycle.preemptAt+duration
 }
 
-// repliesNeverArrive reports whether the machine sends heartbeats, but neither replies to them nor
+// unreachable reports whether the machine sends heartbeats, but neither replies to them nor
 // calls reach it.
-func (m *machine) repliesNeverArrive() bool {
+func (m *machine) unreachable() bool {
 	return m.contact.RepliesLost() && m.contact.FailedCalls() > 1
 }
 
