--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -67,7 +67,7 @@
 	}
 	return m.contact.FailedCalls() > 0 ||
 		!m.agent.Acknowledged(p.lease.fencingToken) ||
-		p.preemptedFor(m, 0) ||
+		p.preemptionOverdue(m, 0) ||
 		(silence > p.suspicionTimeout()/4 && silence > p.probeAfter(m))
 }
 
@@ -127,12 +127,12 @@
 // unresponsiveAfterPreemption reports whether the cloud should have preempted the machine by now and
 // the machine does not answer.
 func (p *partitionLeader) unresponsiveAfterPreemption(m *machine) bool {
-	return m.inUse() && p.preemptedFor(m, preemptionMargin) && m.contact.FailedCalls() > 0
+	return m.inUse() && p.preemptionOverdue(m, preemptionMargin) && m.contact.FailedCalls() > 0
 }
 
-// preemptedFor reports whether the cloud should have preempted the machine more than the given
+// preemptionOverdue reports whether the cloud should have preempted the machine more than the given
 // duration ago.
-func (p *partitionLeader) preemptedFor(m *machine, duration micros.Time) bool {
+func (p *partitionLeader) preemptionOverdue(m *machine, duration micros.Time) bool {
 	return m.lifecycle.preemptAt != 0 && p.core.now > m.lifecycle.preemptAt+duration
 }
 
