--- a/internal/coordination/machine_health_test.go
+++ b/internal/coordination/machine_health_test.go
@@ -382,9 +382,9 @@
 	}
 }
 
-// storedUse lets the partition leader record which machines are in use, and returns the number of
+// machineUseWrites lets the partition leader record which machines are in use, and returns the number of
 // transactions sent for each key of a block.
-func storedUse(t *testing.T, p *partitionLeader) map[string]int {
+func machineUseWrites(t *testing.T, p *partitionLeader) map[string]int {
 	t.Helper()
 	p.core.output = &messages.Output{}
 	p.persistMachineUse()
--- a/internal/coordination/machine_use_test.go
+++ b/internal/coordination/machine_use_test.go
@@ -9,32 +9,32 @@
 func TestPersistMachineUse(t *testing.T) {
 	p := observedFleet(t)
 	block := p.core.keys.Block("b0")
-	if got := storedUse(t, p); len(got) != 0 {
+	if got := machineUseWrites(t, p); len(got) != 0 {
 		t.Fatalf("all machines are recorded as in use, but %v is written", got)
 	}
 	for _, m := range p.machines[:3] {
 		m.record.Used = false
 	}
-	if got := storedUse(t, p); len(got) != 1 || got[block] != 1 {
+	if got := machineUseWrites(t, p); len(got) != 1 || got[block] != 1 {
 		t.Fatalf("wrote %v, want block b0 once for three machines", got)
 	}
-	if got := storedUse(t, p); len(got) != 0 {
+	if got := machineUseWrites(t, p); len(got) != 0 {
 		t.Fatalf("wrote %v while the block is being written", got)
 	}
 	p.core.now += useWriteTimeout
 	p.lease.fencingToken++
-	if got := storedUse(t, p); len(got) != 0 {
+	if got := machineUseWrites(t, p); len(got) != 0 {
 		t.Fatalf("wrote %v before the machines obey the current token", got)
 	}
 	p.lease.fencingToken--
 	p.machines[0].modRevision++
 	p.machines[1].drain.reason = drainSlow
 	p.machines[2].agent = agents.HeartbeatState{}
-	if got := storedUse(t, p); len(got) != 0 {
+	if got := machineUseWrites(t, p); len(got) != 0 {
 		t.Fatalf("wrote %v for a machine of a changed block, one that drains, and one not heard from", got)
 	}
 	p.machines[1].drain.reason = notDraining
-	if got := storedUse(t, p); got[block] != 1 {
+	if got := machineUseWrites(t, p); got[block] != 1 {
 		t.Fatalf("wrote %v after the time without a result, want block b0", got)
 	}
 }
