--- a/internal/coordination/agent_calls_test.go
+++ b/internal/coordination/agent_calls_test.go
@@ -90,7 +90,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			p := observedFleet(t)
+			p := newLeaderInContact(t)
 			m := p.machines[7]
 			a, call := startInFlight(t, p, m)
 			p.core.now += micros.Second / 2
@@ -103,7 +103,7 @@
 }
 
 func TestAgentCallCompletedAfterTermination(t *testing.T) {
-	p := observedFleet(t)
+	p := newLeaderInContact(t)
 	m := p.machines[7]
 	a, call := startInFlight(t, p, m)
 	p.machineTerminated(m.id)
@@ -153,7 +153,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			p := observedFleet(t)
+			p := newLeaderInContact(t)
 			m := p.machines[7]
 			m.commands.Add(messages.Command{Operation: messages.Stop})
 			test.change(p, m)
--- a/internal/coordination/heartbeats_test.go
+++ b/internal/coordination/heartbeats_test.go
@@ -53,7 +53,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			p := observedFleet(t)
+			p := newLeaderInContact(t)
 			m := p.machines[7]
 			m.agent.Observe(nextHeartbeat(p, m), p.core.now)
 			h := nextHeartbeat(p, m)
@@ -72,7 +72,7 @@
 }
 
 func TestHeartbeatOfUnmanagedMachine(t *testing.T) {
-	p := observedFleet(t)
+	p := newLeaderInContact(t)
 	h := nextHeartbeat(p, p.machines[7])
 	h.Machine = "vm-unmanaged"
 	if got := respondTo(t, p, h); got.Kind != messages.ServiceUnavailable || got.Text != unknownMachine.String() {
@@ -81,7 +81,7 @@
 }
 
 func TestHeartbeatWithHigherTokenEndsTheTerm(t *testing.T) {
-	p := observedFleet(t)
+	p := newLeaderInContact(t)
 	h := nextHeartbeat(p, p.machines[7])
 	h.FencingToken++
 	respondTo(t, p, h)
@@ -91,7 +91,7 @@
 }
 
 func TestHeartbeatCommands(t *testing.T) {
-	p := observedFleet(t)
+	p := newLeaderInContact(t)
 	m := p.machines[7]
 	h := nextHeartbeat(p, m)
 	for id, a := range m.attempts {
@@ -113,7 +113,7 @@
 }
 
 func TestHeartbeatAfterLeaseExpiry(t *testing.T) {
-	p := observedFleet(t)
+	p := newLeaderInContact(t)
 	m := p.machines[7]
 	p.clearAttempts(m)
 	m.agent.ExpireLease()
@@ -178,7 +178,7 @@
 }
 
 func TestIgnoredHeartbeatsAreLoggedAtIntervals(t *testing.T) {
-	p := observedFleet(t)
+	p := newLeaderInContact(t)
 	m := p.machines[7]
 	for _, step := range []struct {
 		after micros.Time
--- a/internal/coordination/machine_health_test.go
+++ b/internal/coordination/machine_health_test.go
@@ -10,8 +10,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// observedFleet returns a partition leader with fifty machines that are all in contact.
-func observedFleet(t *testing.T) *partitionLeader {
+// newLeaderInContact returns a partition leader with fifty machines that are all in contact.
+func newLeaderInContact(t *testing.T) *partitionLeader {
 	t.Helper()
 	c, heartbeats := newLarge(t, 50)
 	now := 2 * micros.Second
@@ -79,7 +79,7 @@
 	t.Helper()
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			p := observedFleet(t)
+			p := newLeaderInContact(t)
 			m := p.machines[7]
 			test.change(p, m)
 			silence := p.detector.Silence(p.core.now, m.contact.LastContact())
@@ -297,7 +297,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			p := observedFleet(t)
+			p := newLeaderInContact(t)
 			m := p.machines[7]
 			test.change(p, m)
 			if got := p.needsProbe(m, p.detector.Silence(p.core.now, m.contact.LastContact())); got != test.want {
@@ -325,7 +325,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			p := observedFleet(t)
+			p := newLeaderInContact(t)
 			m := p.machines[7]
 			silentFor(p, m, p.core.config.AgentLeaseExpiry()+1, 1)
 			test.change(p, m)
@@ -336,7 +336,7 @@
 		})
 	}
 	t.Run("leadership not confirmed since the lease expired", func(t *testing.T) {
-		p := observedFleet(t)
+		p := newLeaderInContact(t)
 		m := p.machines[7]
 		p.core.now += 2 * p.core.config.AgentLeaseExpiry()
 		if p.agentLeaseExpired(m, p.detector.Silence(p.core.now, m.contact.LastContact())) {
@@ -359,7 +359,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			p := observedFleet(t)
+			p := newLeaderInContact(t)
 			m := p.machines[7]
 			m.drain.reason = test.reason
 			if got := p.recovered(m, test.silence); got != test.want {
--- a/internal/coordination/machine_use_test.go
+++ b/internal/coordination/machine_use_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestPersistMachineUse(t *testing.T) {
-	p := observedFleet(t)
+	p := newLeaderInContact(t)
 	block := p.core.keys.Block("b0")
 	if got := machineUseWrites(t, p); len(got) != 0 {
 		t.Fatalf("all machines are recorded as in use, but %v is written", got)
--- a/internal/coordination/reconciliation_test.go
+++ b/internal/coordination/reconciliation_test.go
@@ -53,7 +53,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			p := observedFleet(t)
+			p := newLeaderInContact(t)
 			m := p.machines[7]
 			status := test.status(p, anyRunning(t, m))
 			a := p.adoptAttempt(m, &status)
@@ -85,7 +85,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			p := observedFleet(t)
+			p := newLeaderInContact(t)
 			m := p.machines[7]
 			a := anyRunning(t, m)
 			p.updateAttempt(a, &messages.TaskStatus{AttemptID: a.id, State: messages.Exited, ExitReason: test.reason})
@@ -106,7 +106,7 @@
 }
 
 func TestReconcileTasksRemovesAbsentAttempts(t *testing.T) {
-	p := observedFleet(t)
+	p := newLeaderInContact(t)
 	m := p.machines[7]
 	gone := anyRunning(t, m)
 	waiting := unresolvedStart(p, m, 0)
