--- a/internal/coordination/reachability/status_test.go
+++ b/internal/coordination/reachability/status_test.go
@@ -13,8 +13,8 @@
 	peer   = storage.Process{Member: "n2", Incarnation: "x"}
 )
 
-// missing returns the status of a partition leader that cannot reach the given zones of a partition.
-func missing(partition int, zones ...string) *messages.PeerStatus {
+// leaderStatus returns the status of a partition leader that cannot reach the given zones of a partition.
+func leaderStatus(partition int, zones ...string) *messages.PeerStatus {
 	return &messages.PeerStatus{From: leader, Partitions: []messages.PartitionStatus{
 		{Partition: 9, UnreachableZones: []string{"z"}}, {Partition: partition, UnreachableZones: zones},
 	}}
@@ -36,10 +36,10 @@
 		wantAny   bool
 		wantZoneA bool
 	}{
-		{"the zone and another one", missing(3, "b", "a"), true, true},
-		{"another zone", missing(3, "b"), true, false},
-		{"no zone", missing(3), false, false},
-		{"a zone of another partition", missing(4, "a"), false, false},
+		{"the zone and another one", leaderStatus(3, "b", "a"), true, true},
+		{"another zone", leaderStatus(3, "b"), true, false},
+		{"no zone", leaderStatus(3), false, false},
+		{"a zone of another partition", leaderStatus(4, "a"), false, false},
 		{"no partitions", &messages.PeerStatus{}, false, false},
 	}
 	for _, test := range tests {
@@ -87,15 +87,15 @@
 		status *messages.PeerStatus
 		want   int
 	}{
-		{"leader reaches all zones", missing(3), 14},
-		{"leader cannot reach a zone", missing(3, "a"), 4},
-		{"leader cannot reach zones of another partition", missing(4, "a", "b"), 14},
+		{"leader reaches all zones", leaderStatus(3), 14},
+		{"leader cannot reach a zone", leaderStatus(3, "a"), 4},
+		{"leader cannot reach zones of another partition", leaderStatus(4, "a", "b"), 14},
 		{"peer without probe results", probed(), 0},
 		{"peer reaches zones in which half of the probed machines answered",
 			probed(result(3, "a", 8, 4), result(3, "b", 4, 1)), 10},
 		{"peer's results for another partition", probed(result(4, "a", 8, 8)), 0},
 		{"unreachable zones reported by a peer that does not lead the partition",
-			&messages.PeerStatus{From: peer, Partitions: missing(3, "b").Partitions}, 0},
+			&messages.PeerStatus{From: peer, Partitions: leaderStatus(3, "b").Partitions}, 0},
 		{"earlier process of the leader's member",
 			&messages.PeerStatus{From: storage.Process{Member: "n1", Incarnation: "w"}}, 0},
 	}
