--- a/internal/coordination/reachability/status_test.go
+++ b/internal/coordination/reachability/status_test.go
@@ -20,8 +20,8 @@
 	}}
 }
 
-// probed returns the status of a peer with the given probe results.
-func probed(results ...messages.ZoneReachability) *messages.PeerStatus {
+// peerStatus returns the status of a peer with the given probe results.
+func peerStatus(results ...messages.ZoneReachability) *messages.PeerStatus {
 	return &messages.PeerStatus{From: peer, Reachability: results}
 }
 
@@ -55,7 +55,7 @@
 }
 
 func TestProbeResult(t *testing.T) {
-	status := probed(result(4, "a", 8, 1), result(3, "b", 8, 2), result(3, "a", 8, 3))
+	status := peerStatus(result(4, "a", 8, 1), result(3, "b", 8, 2), result(3, "a", 8, 3))
 	if got, found := ProbeResult(status, 3, "a"); !found || got != result(3, "a", 8, 3) {
 		t.Errorf("result %v, %v, want that of zone a in partition 3", got, found)
 	}
@@ -90,10 +90,10 @@
 		{"leader reaches all zones", leaderStatus(3), 14},
 		{"leader cannot reach a zone", leaderStatus(3, "a"), 4},
 		{"leader cannot reach zones of another partition", leaderStatus(4, "a", "b"), 14},
-		{"peer without probe results", probed(), 0},
+		{"peer without probe results", peerStatus(), 0},
 		{"peer reaches zones in which half of the probed machines answered",
-			probed(result(3, "a", 8, 4), result(3, "b", 4, 1)), 10},
-		{"peer's results for another partition", probed(result(4, "a", 8, 8)), 0},
+			peerStatus(result(3, "a", 8, 4), result(3, "b", 4, 1)), 10},
+		{"peer's results for another partition", peerStatus(result(4, "a", 8, 8)), 0},
 		{"unreachable zones reported by a peer that does not lead the partition",
 			&messages.PeerStatus{From: peer, Partitions: leaderStatus(3, "b").Partitions}, 0},
 		{"earlier process of the leader's member",
