--- a/internal/coordination/cancellation/exchange_test.go
+++ b/internal/coordination/cancellation/exchange_test.go
@@ -41,8 +41,8 @@
 	return names
 }
 
-// heard returns a status of the peer with the revision of its change stream and its acknowledgements.
-func heard(revision uint64, acks ...messages.CancellationAck) *messages.PeerStatus {
+// peerStatus returns a status of the peer with the revision of its change stream and its acknowledgements.
+func peerStatus(revision uint64, acks ...messages.CancellationAck) *messages.PeerStatus {
 	return &messages.PeerStatus{From: peer, Revision: revision, CancellationAcks: acks}
 }
 
@@ -70,13 +70,13 @@
 		wantUpTo uint64
 	}{
 		{"no status received", nil, jobNames(0, 4), 4},
-		{"change stream includes the second", heard(102), jobNames(2, 4), 4},
-		{"first acknowledged", heard(0, ack(peer, 4), ack(self, 1)), jobNames(1, 4), 4},
-		{"fewer acknowledged than in its change stream", heard(103, ack(self, 1)), jobNames(3, 4), 4},
-		{"more acknowledged than in its change stream", heard(101, ack(self, 3)), jobNames(3, 4), 4},
-		{"change stream includes all", heard(104), nil, 0},
-		{"all acknowledged", heard(0, ack(self, 4)), nil, 0},
-		{"notices of an earlier process acknowledged", heard(0, ack(earlier, 4)), jobNames(0, 4), 4},
+		{"change stream includes the second", peerStatus(102), jobNames(2, 4), 4},
+		{"first acknowledged", peerStatus(0, ack(peer, 4), ack(self, 1)), jobNames(1, 4), 4},
+		{"fewer acknowledged than in its change stream", peerStatus(103, ack(self, 1)), jobNames(3, 4), 4},
+		{"more acknowledged than in its change stream", peerStatus(101, ack(self, 3)), jobNames(3, 4), 4},
+		{"change stream includes all", peerStatus(104), nil, 0},
+		{"all acknowledged", peerStatus(0, ack(self, 4)), nil, 0},
+		{"notices of an earlier process acknowledged", peerStatus(0, ack(earlier, 4)), jobNames(0, 4), 4},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -88,7 +88,7 @@
 func TestNoticesPerMessageAreLimited(t *testing.T) {
 	e := withJobs(maxNoticesPerMessage + 2)
 	requireNotices(t, e, nil, jobNames(0, maxNoticesPerMessage), maxNoticesPerMessage)
-	rest := heard(0, messages.CancellationAck{From: self, UpTo: maxNoticesPerMessage})
+	rest := peerStatus(0, messages.CancellationAck{From: self, UpTo: maxNoticesPerMessage})
 	requireNotices(t, e, rest, jobNames(maxNoticesPerMessage, maxNoticesPerMessage+2), maxNoticesPerMessage+2)
 }
 
