--- a/internal/coordination/cancellation/exchange_test.go
+++ b/internal/coordination/cancellation/exchange_test.go
@@ -46,8 +46,8 @@
 	return &messages.PeerStatus{From: peer, Revision: revision, CancellationAcks: acks}
 }
 
-// notices returns a status of a process that contains notices of cancelled jobs.
-func notices(from storage.Process, upTo uint64, jobs ...string) *messages.PeerStatus {
+// statusWithNotices returns a status of a process that contains statusWithNotices of cancelled jobs.
+func statusWithNotices(from storage.Process, upTo uint64, jobs ...string) *messages.PeerStatus {
 	return &messages.PeerStatus{From: from, Cancelled: jobs, CancelledUpTo: upTo}
 }
 
@@ -131,19 +131,19 @@
 		wantJobs []string
 		wantAck  messages.CancellationAck
 	}{
-		{"new jobs", notices(peer, 9, "c", "d"), []string{"c", "d"}, messages.CancellationAck{From: peer, UpTo: 9}},
-		{"repeated notice", notices(peer, 7, "a", "b"), nil, messages.CancellationAck{}},
-		{"some jobs new", notices(peer, 8, "b", "c"), []string{"c"}, messages.CancellationAck{From: peer, UpTo: 8}},
+		{"new jobs", statusWithNotices(peer, 9, "c", "d"), []string{"c", "d"}, messages.CancellationAck{From: peer, UpTo: 9}},
+		{"repeated notice", statusWithNotices(peer, 7, "a", "b"), nil, messages.CancellationAck{}},
+		{"some jobs new", statusWithNotices(peer, 8, "b", "c"), []string{"c"}, messages.CancellationAck{From: peer, UpTo: 8}},
 		{"late notice does not reduce the acknowledgement",
-			notices(peer, 6, "a"), nil, messages.CancellationAck{}},
-		{"restarted peer numbers its notices from 1", notices(restarted, 1, "a"), nil, messages.CancellationAck{From: restarted, UpTo: 1}},
-		{"no notices", notices(peer, 9), nil, messages.CancellationAck{}},
-		{"this controller's own status", notices(self, 9, "c"), nil, messages.CancellationAck{}},
+			statusWithNotices(peer, 6, "a"), nil, messages.CancellationAck{}},
+		{"restarted peer numbers its notices from 1", statusWithNotices(restarted, 1, "a"), nil, messages.CancellationAck{From: restarted, UpTo: 1}},
+		{"no notices", statusWithNotices(peer, 9), nil, messages.CancellationAck{}},
+		{"this controller's own status", statusWithNotices(self, 9, "c"), nil, messages.CancellationAck{}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			e := newExchange()
-			e.Receive(now, notices(peer, 7, "a", "b"))
+			e.Receive(now, statusWithNotices(peer, 7, "a", "b"))
 			jobs, newAck := e.Receive(now, test.status)
 			if !slices.Equal(jobs, test.wantJobs) {
 				t.Errorf("jobs to stop %v, want %v", jobs, test.wantJobs)
@@ -169,7 +169,7 @@
 
 func TestReceivedNoticesAreNotForwarded(t *testing.T) {
 	e := newExchange()
-	e.Receive(now, notices(peer, 1, "a"))
+	e.Receive(now, statusWithNotices(peer, 1, "a"))
 	requireNotices(t, e, nil, nil, 0)
 	if !e.RecordCommitted(now, "a", 101) {
 		t.Error("a commit is not reported as new after a peer's notice of it")
@@ -179,7 +179,7 @@
 
 func TestReceivedNoticesAreLimited(t *testing.T) {
 	e := newExchange()
-	if jobs, _ := e.Receive(now, notices(peer, 1, jobNames(0, maxNotices+1)...)); len(jobs) != maxNotices {
+	if jobs, _ := e.Receive(now, statusWithNotices(peer, 1, jobNames(0, maxNotices+1)...)); len(jobs) != maxNotices {
 		t.Errorf("%d jobs to stop, want %d", len(jobs), maxNotices)
 	}
 	if e.Known(jobName(maxNotices)) {
@@ -192,7 +192,7 @@
 	var want []messages.CancellationAck
 	for _, member := range []string{"n9", "n3", "n5", "n2"} {
 		from := storage.Process{Member: member, Incarnation: "x"}
-		e.Receive(now, notices(from, 4, "a"))
+		e.Receive(now, statusWithNotices(from, 4, "a"))
 		want = append(want, messages.CancellationAck{From: from, UpTo: 4})
 	}
 	slices.SortFunc(want, func(a, b messages.CancellationAck) int {
@@ -232,8 +232,8 @@
 			e := newExchange()
 			e.RecordCommitted(now, "committed", 101)
 			e.RecordCommitted(now+1, "committed later", 102)
-			e.Receive(now, notices(peer, 1, "requested"))
-			e.Receive(now+1, notices(peer, 2, "requested later"))
+			e.Receive(now, statusWithNotices(peer, 1, "requested"))
+			e.Receive(now+1, statusWithNotices(peer, 2, "requested later"))
 			for _, at := range test.at {
 				e.Expire(at)
 			}
