--- a/internal/coordination/cancellation/exchange.go
+++ b/internal/coordination/cancellation/exchange.go
@@ -50,7 +50,7 @@
 	notices      []notice // oldest first
 	lastSequence uint64
 	committed    map[string]bool                     // jobs of the notices
-	notified    map[string]micros.Time              // jobs named in peers' notices, by time of first receipt
+	notified     map[string]micros.Time              // jobs named in peers' notices, by time of first receipt
 	acks         map[string]messages.CancellationAck // acknowledgements to send, by member
 	expiredAt    micros.Time                         // last removal of expired notices
 }
@@ -61,7 +61,7 @@
 		self:      self,
 		ttl:       ttl,
 		committed: map[string]bool{},
-		notified: map[string]micros.Time{},
+		notified:  map[string]micros.Time{},
 		acks:      map[string]messages.CancellationAck{},
 	}
 }
@@ -90,8 +90,8 @@
 
 // Known reports whether a job is known to be cancelled, from a commit or from a peer's notice.
 func (e *Exchange) Known(job string) bool {
-	_, requested := e.notified[job]
-	return requested || e.committed[job]
+	_, notified := e.notified[job]
+	return notified || e.committed[job]
 }
 
 // NoticesFor returns the cancelled jobs that a peer may not know of, oldest first, and the sequence
