--- a/internal/coordination/reachability/status_test.go
+++ b/internal/coordination/reachability/status_test.go
@@ -29,7 +29,7 @@
 	return messages.ZoneReachability{Partition: partition, Zone: zone, Probed: probed, Answered: answered}
 }
 
-func TestMissesZones(t *testing.T) {
+func TestUnreachableZones(t *testing.T) {
 	tests := []struct {
 		name      string
 		status    *messages.PeerStatus
@@ -45,10 +45,10 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := HasUnreachableZones(test.status, 3); got != test.wantAny {
-				t.Errorf("MissesZones = %v, want %v", got, test.wantAny)
+				t.Errorf("HasUnreachableZones = %v, want %v", got, test.wantAny)
 			}
 			if got := IsZoneUnreachable(test.status, 3, "a"); got != test.wantZoneA {
-				t.Errorf("MissesZone = %v for zone a, want %v", got, test.wantZoneA)
+				t.Errorf("IsZoneUnreachable = %v for zone a, want %v", got, test.wantZoneA)
 			}
 		})
 	}
