--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -27,7 +27,7 @@
 	return c
 }
 
-func TestLeaderMissesMachines(t *testing.T) {
+func TestNeedsReachabilityProbe(t *testing.T) {
 	tests := []struct {
 		name  string
 		from  storage.Process
@@ -45,17 +45,17 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := newFollower(t, test.from, test.age, test.zones...)
 			if got := c.needsReachabilityProbe(0, remoteLeader); got != test.want {
-				t.Errorf("leaderMissesMachines = %v, want %v", got, test.want)
+				t.Errorf("needsReachabilityProbe = %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-func TestLeaderWithoutStatusAfterStart(t *testing.T) {
+func TestNeedsNoReachabilityProbeAfterStart(t *testing.T) {
 	c := newFollower(t, earlierLeader, 0)
 	c.startedAt = c.now - leaderStatusTTL
 	if c.needsReachabilityProbe(0, remoteLeader) {
-		t.Error("leader considered unreachable before its first status is due")
+		t.Error("probe needed before the leader's first status is due")
 	}
 }
 
