--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -61,8 +61,8 @@
 	c.reachability.StartRound(samples)
 }
 
-// needsReachabilityProbe reports whether a partition's leader, which is registered, recently reported an
-// unreachable zone or has sent no recent status.
+// needsReachabilityProbe reports whether the machines of a partition should be probed because its
+// leader, which is registered, recently reported an unreachable zone or has sent no recent status.
 func (c *Core) needsReachabilityProbe(partition int, leader storage.Process) bool {
 	status := c.recentStatus(leader, leaderStatusTTL)
 	if status == nil {
