--- a/internal/coordination/failure_detector_test.go
+++ b/internal/coordination/failure_detector_test.go
@@ -71,7 +71,7 @@
 		want = append(want, p.machines[i])
 	}
 	if !slices.Equal(p.probeQueue, want) {
-		t.Errorf("probe queue has %d machines, want every second one starting with machine 6: %d", len(p.probeQueue), len(want))
+		t.Errorf("%d machines queued for a probe, want every second one from the seventh: %d", len(p.probeQueue), len(want))
 	}
 	if got := countLogRecords(p, "zone unreachable"); got != 1 || !p.core.status.soon {
 		t.Errorf("%d log records, status sent early: %v; want 1, true", got, p.core.status.soon)
