--- a/internal/coordination/cancellation/exchange_test.go
+++ b/internal/coordination/cancellation/exchange_test.go
@@ -46,7 +46,7 @@
 	return &messages.PeerStatus{From: peer, Revision: revision, CancellationAcks: acks}
 }
 
-// statusWithNotices returns a status of a process that contains statusWithNotices of cancelled jobs.
+// statusWithNotices returns a status of a process that contains notices of cancelled jobs.
 func statusWithNotices(from storage.Process, upTo uint64, jobs ...string) *messages.PeerStatus {
 	return &messages.PeerStatus{From: from, Cancelled: jobs, CancelledUpTo: upTo}
 }
@@ -136,7 +136,8 @@
 		{"some jobs new", statusWithNotices(peer, 8, "b", "c"), []string{"c"}, messages.CancellationAck{From: peer, UpTo: 8}},
 		{"late notice does not reduce the acknowledgement",
 			statusWithNotices(peer, 6, "a"), nil, messages.CancellationAck{}},
-		{"restarted peer numbers its notices from 1", statusWithNotices(restarted, 1, "a"), nil, messages.CancellationAck{From: restarted, UpTo: 1}},
+		{"restarted peer numbers its notices from 1",
+			statusWithNotices(restarted, 1, "a"), nil, messages.CancellationAck{From: restarted, UpTo: 1}},
 		{"no notices", statusWithNotices(peer, 9), nil, messages.CancellationAck{}},
 		{"this controller's own status", statusWithNotices(self, 9, "c"), nil, messages.CancellationAck{}},
 	}
