--- a/internal/coordination/agent_calls.go
+++ b/internal/coordination/agent_calls.go
@@ -159,8 +159,8 @@
 	}
 }
 
-// recordStartReplies records for each start command of the call whether it was answered. One that was not
-// may still be executed, even minutes later, unless the agent's epoch has ended.
+// recordStartReplies records for each start command of the call whether it was answered. One that was
+// not may still be executed, even minutes later, unless the agent's epoch has ended.
 func (c agentCall) recordStartReplies(answered bool) {
 	for _, command := range c.batch {
 		a := c.machine.attempts[command.AttemptID]
