--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -65,6 +65,8 @@
 	if !m.inUse() || !p.mayProbe(m) {
 		return false
 	}
+	// A quarter of the suspicion timeout is a lower bound of probeAfter: comparing with it first avoids
+	// counting the service replicas of most machines.
 	return m.contact.FailedCalls() > 0 ||
 		!m.agent.Acknowledged(p.lease.fencingToken) ||
 		p.preemptionOverdue(m, 0) ||
@@ -131,13 +133,13 @@
 }
 
 // preemptionOverdue reports whether the cloud should have preempted the machine more than the given
-// duration ago.
-func (p *partitionLeader) preemptionOverdue(m *machine, duration micros.Time) bool {
-	return m.lifecycle.preemptAt != 0 && p.core.now > m.lifecycle.preemptAt+duration
+// margin ago.
+func (p *partitionLeader) preemptionOverdue(m *machine, margin micros.Time) bool {
+	return m.lifecycle.preemptAt != 0 && p.core.now > m.lifecycle.preemptAt+margin
 }
 
-// unreachable reports whether the machine sends heartbeats, but neither replies to them nor
-// calls reach it.
+// unreachable reports whether the machine sends heartbeats, but neither replies to them nor calls reach
+// it.
 func (m *machine) unreachable() bool {
 	return m.contact.RepliesLost() && m.contact.FailedCalls() > 1
 }
