--- a/internal/coordination/reachability/status_test.go
+++ b/internal/coordination/reachability/status_test.go
@@ -13,15 +13,15 @@
 	peer   = storage.Process{Member: "n2", Incarnation: "x"}
 )
 
-// missing is the status of a partition leader that does not hear zones of a partition.
-func missing(partition int, zones ...string) *messages.PeerStatus {
+// leaderStatus returns the status of a partition leader that cannot reach the given zones of a partition.
+func leaderStatus(partition int, zones ...string) *messages.PeerStatus {
 	return &messages.PeerStatus{From: leader, Partitions: []messages.PartitionStatus{
 		{Partition: 9, UnreachableZones: []string{"z"}}, {Partition: partition, UnreachableZones: zones},
 	}}
 }
 
-// probed is the status of a peer with results.
-func probed(results ...messages.ZoneReachability) *messages.PeerStatus {
+// peerStatus returns the status of a peer with the given probe results.
+func peerStatus(results ...messages.ZoneReachability) *messages.PeerStatus {
 	return &messages.PeerStatus{From: peer, Reachability: results}
 }
 
@@ -29,33 +29,33 @@
 	return messages.ZoneReachability{Partition: partition, Zone: zone, Probed: probed, Answered: answered}
 }
 
-func TestMissesZones(t *testing.T) {
+func TestUnreachableZones(t *testing.T) {
 	tests := []struct {
 		name      string
 		status    *messages.PeerStatus
 		wantAny   bool
 		wantZoneA bool
 	}{
-		{"this zone", missing(3, "b", "a"), true, true},
-		{"another zone", missing(3, "b"), true, false},
-		{"no zone", missing(3), false, false},
-		{"a zone of another partition", missing(4, "a"), false, false},
-		{"no partition at all", &messages.PeerStatus{}, false, false},
+		{"the zone and another one", leaderStatus(3, "b", "a"), true, true},
+		{"another zone", leaderStatus(3, "b"), true, false},
+		{"no zone", leaderStatus(3), false, false},
+		{"a zone of another partition", leaderStatus(4, "a"), false, false},
+		{"no partitions", &messages.PeerStatus{}, false, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := MissesZones(test.status, 3); got != test.wantAny {
-				t.Errorf("misses zones: %v, want %v", got, test.wantAny)
+			if got := HasUnreachableZones(test.status, 3); got != test.wantAny {
+				t.Errorf("HasUnreachableZones = %v, want %v", got, test.wantAny)
 			}
-			if got := MissesZone(test.status, 3, "a"); got != test.wantZoneA {
-				t.Errorf("misses zone a: %v, want %v", got, test.wantZoneA)
+			if got := IsZoneUnreachable(test.status, 3, "a"); got != test.wantZoneA {
+				t.Errorf("IsZoneUnreachable = %v for zone a, want %v", got, test.wantZoneA)
 			}
 		})
 	}
 }
 
 func TestProbeResult(t *testing.T) {
-	status := probed(result(4, "a", 8, 1), result(3, "b", 8, 2), result(3, "a", 8, 3))
+	status := peerStatus(result(4, "a", 8, 1), result(3, "b", 8, 2), result(3, "a", 8, 3))
 	if got, found := ProbeResult(status, 3, "a"); !found || got != result(3, "a", 8, 3) {
 		t.Errorf("result %v, %v, want that of zone a in partition 3", got, found)
 	}
@@ -67,7 +67,7 @@
 func TestReached(t *testing.T) {
 	for answered, want := range map[int]bool{0: false, 3: false, 4: true, 8: true} {
 		if got := Reached(result(3, "a", 8, answered)); got != want {
-			t.Errorf("%d of 8 answered: reached %v, want %v", answered, got, want)
+			t.Errorf("Reached = %v with %d of 8 answers, want %v", got, answered, want)
 		}
 	}
 }
@@ -87,16 +87,16 @@
 		status *messages.PeerStatus
 		want   int
 	}{
-		{"the leader hears all zones", missing(3), 14},
-		{"the leader misses a zone", missing(3, "a"), 4},
-		{"the leader misses zones of another partition", missing(4, "a", "b"), 14},
-		{"a peer that probed nothing reaches nothing", probed(), 0},
-		{"a peer reaches the zones of which half answered",
-			probed(result(3, "a", 8, 4), result(3, "b", 4, 1)), 10},
-		{"a peer's results for another partition do not count", probed(result(4, "a", 8, 8)), 0},
-		{"a peer's misses as a leader of something else do not count",
-			&messages.PeerStatus{From: peer, Partitions: missing(3, "b").Partitions}, 0},
-		{"an earlier process of the leader's member is not the leader",
+		{"leader reaches all zones", leaderStatus(3), 14},
+		{"leader cannot reach a zone", leaderStatus(3, "a"), 4},
+		{"leader cannot reach zones of another partition", leaderStatus(4, "a", "b"), 14},
+		{"peer without probe results", peerStatus(), 0},
+		{"peer reaches zones in which half of the probed machines answered",
+			peerStatus(result(3, "a", 8, 4), result(3, "b", 4, 1)), 10},
+		{"peer's results for another partition", peerStatus(result(4, "a", 8, 8)), 0},
+		{"unreachable zones reported by a peer that does not lead the partition",
+			&messages.PeerStatus{From: peer, Partitions: leaderStatus(3, "b").Partitions}, 0},
+		{"earlier process of the leader's member",
 			&messages.PeerStatus{From: storage.Process{Member: "n1", Incarnation: "w"}}, 0},
 	}
 	for _, test := range tests {
