--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -23,16 +23,15 @@
 )
 
 const (
-	// tickInterval is how often timers are looked at.
+	// tickInterval is the interval between timer ticks when there is no input.
 	tickInterval = 50 * micros.Millisecond
-	// minTickInterval is how long after the last look they are looked at anew when there
-	// was input: with hundreds of machines a look at every input would be all that
-	// a controller does.
+	// minTickInterval is the minimum interval between timer ticks when there is input. With
+	// hundreds of machines, a tick at every input would take all of a controller's time.
 	minTickInterval = 20 * micros.Millisecond
 )
 
-// Core is the state machine of one controller. It dispatches inputs to its parts, lets them act
-// on their timers, and collects what they ask for.
+// Core is the state machine of one controller. It dispatches inputs to its components, runs their
+// timers, and collects their outputs.
 type Core struct {
 	identity
 	step
@@ -43,11 +42,11 @@
 	catalog *catalog.Catalog
 	jobTables
 	fleet
-	fair   *fairAdmission // nil: off
+	fair   *fairAdmission // nil if fair admission is disabled
 	leader *clusterleader.Leader
 }
 
-// identity is which controller this is, and how it is configured.
+// identity is the identity and the configuration of this controller.
 type identity struct {
 	config  *config.Config
 	process storage.Process
@@ -55,22 +54,22 @@
 	keys    storage.Keys
 }
 
-// step is what one step begins with and produces.
+// step holds the times and the output of the current step.
 type step struct {
 	now, wall micros.Time
-	startedAt micros.Time // of the first step
+	startedAt micros.Time // time of the first step
 	lastTick  micros.Time
 	output    *messages.Output
 }
 
-// storeCopy is this controller's copy of the key-value store.
+// storeCopy is this controller's replica of the key-value store.
 type storeCopy struct {
 	replica *replication.Replica
-	cache   *storage.Cache   // the replica's, until it installs another
-	term    *leadership.Term // the replica's
+	cache   *storage.Cache   // the replica's current cache; replaced with every snapshot
+	term    *leadership.Term // the replica's leadership term
 }
 
-// clusterMember is this controller's standing among its peers.
+// clusterMember is the state of this controller as a member of the cluster.
 type clusterMember struct {
 	member   *membership.Member
 	peers    *membership.Peers
@@ -79,26 +78,27 @@
 	status   statusSchedule
 }
 
-// jobTables are what is kept of jobs besides the records in the store.
+// jobTables holds state of jobs that is not part of their records in the store.
 type jobTables struct {
 	cancellations   *cancellation.Exchange
-	dependencyLists int                          // lists of dependencies that were stored in parts
+	dependencyLists int                          // number of dependency lists that were stored in parts
 	archivedJobs    map[string]*storage.JobEntry // records read from the archive
 	progress        *progressTable
 	runtimes        *workload.RuntimeStats
 }
 
-// fleet is the partitions led here, and what their leaders know in common of the machines.
+// fleet holds the partitions that this process leads, and the state of machines that their leaders
+// share.
 type fleet struct {
 	partitions   map[int]*partitionLeader
-	lastPlanned  *partitionLeader                // that planned in the last step
+	lastPlanned  *partitionLeader                // the leader that planned in the last step, if any
 	deathTimes   map[storage.Process]micros.Time // when a process was first known to be dead
 	faults       *provisioning.FaultTracker
 	spot         spotLosses
 	reachability *reachability.Probe
 }
 
-// New starts a controller's core; incarnation must be new with every process.
+// New creates the core of a controller. The incarnation must be unique to each process.
 func New(cfg *config.Config, incarnation string) *Core {
 	limits := cfg.Settings.StateLimits()
 	c := &Core{
@@ -161,7 +161,8 @@
 	}
 }
 
-// Step takes inputs at a time: steady is a clock that never goes back, wall the time of day.
+// Step processes inputs and runs the timers that are due. steady is the monotonic time, wall the time
+// of day.
 func (c *Core) Step(steady, wall micros.Time, inputs ...messages.Input) *messages.Output {
 	c.now, c.wall = max(c.now, steady), wall
 	if c.startedAt == 0 {
@@ -182,8 +183,8 @@
 	return c.output
 }
 
-// ObserveStepDuration takes how long the last step took. The core has no clock; that planning
-// leaves time for everything else is measured outside.
+// ObserveStepDuration records the duration of the last step, by which the next plan is timed so that
+// planning leaves time for other work. The core has no clock, so the caller measures the duration.
 func (c *Core) ObserveStepDuration(d micros.Time) {
 	if c.lastPlanned != nil {
 		c.lastPlanned.plan.took(d)
@@ -191,7 +192,7 @@
 	c.lastPlanned = nil
 }
 
-// dispatch hands an input to the part that it is for.
+// dispatch passes an input to the component that handles it.
 func (c *Core) dispatch(in messages.Input) {
 	switch in := in.(type) {
 	case *messages.Submit:
@@ -215,7 +216,7 @@
 	}
 }
 
-// tick lets the parts act on their timers, always in the same order.
+// tick runs the timers of all components in a fixed order.
 func (c *Core) tick() {
 	if c.storeReachable() {
 		c.health.StoreServed(c.now)
@@ -241,29 +242,34 @@
 	c.sendStatus()
 }
 
-// replanAll lets every partition plan anew, as the instance types or their prices changed.
+// replanAll marks the plans of all partitions stale after a change of instance types or prices.
 func (c *Core) replanAll() {
 	for _, p := range c.partitions {
 		p.plan.stale = true
 	}
 }
 
-// storeReachable tells whether this controller can serve users now.
+// storeReachable reports whether this controller can serve users now: its copy of the store is
+// current and the instance types are known.
 func (c *Core) storeReachable() bool { return c.replica.Current() && c.catalog.Types() != nil }
 
-// isClusterLeader tells whether this process is the cluster leader, as far as it can know.
+// isClusterLeader reports whether this process is the cluster leader according to its copy of the
+// store, which may be outdated.
 func (c *Core) isClusterLeader() bool { return c.replica.Synced() && c.election.Leads(c.cache) }
 
-// leaderCompare guards every transaction of the cluster leader: they may be applied late.
+// leaderCompare returns the compare that every transaction of the cluster leader must include, since
+// a transaction may be applied after the leadership was lost.
 func (c *Core) leaderCompare() storage.Compare { return c.election.Compare(c.cache) }
 
-// isolated tells whether this controller's view may be outdated, whatever it says.
+// isolated reports whether this controller's view may be outdated because it has heard neither from
+// the store nor from any peer recently.
 func (c *Core) isolated() bool { return c.health.Isolated(c.now, c.replica.Stale()) }
 
-// Healthy tells whether the controller should be sent users' requests.
+// Healthy reports whether the controller should receive users' requests.
 func (c *Core) Healthy() bool { return c.health.Healthy(c.now, c.storeReachable()) }
 
-// sortedKeys are a map's keys in order, where the order of what is done must not vary.
+// sortedKeys returns the keys of a map in ascending order. It is used wherever the iteration order
+// affects the output, which must be deterministic.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
 }
