--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -21,7 +21,7 @@
 	return New(cfg, "1")
 }
 
-// storeRequests are the kinds of the requests to the key-value store.
+// storeRequests returns the kinds of the requests to the key-value store.
 func storeRequests(out *messages.Output) (kinds []storage.RequestKind) {
 	for _, call := range out.StoreCalls {
 		kinds = append(kinds, call.Request.Kind)
@@ -29,9 +29,9 @@
 	return kinds
 }
 
-// TestTimersRunInTheirOrder: a first step asks for the member lease before the snapshot; without
-// a snapshot nothing is registered, and nothing watched.
-func TestTimersRunInTheirOrder(t *testing.T) {
+// TestFirstStepRequestOrder: the first step requests the member lease before the snapshot. Without
+// a snapshot the member neither registers nor starts a watch.
+func TestFirstStepRequestOrder(t *testing.T) {
 	c := newTestCore(t)
 	out := c.Step(micros.Second, micros.Second)
 	if got, want := storeRequests(out), []storage.RequestKind{storage.LeaseGrant, storage.List}; !slices.Equal(got, want) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestTimersArePaced: inputs that come in quick succession don't let the timers run each time.
-func TestTimersArePaced(t *testing.T) {
+// TestTickRateIsLimited: inputs in quick succession do not run the timers each time.
+func TestTickRateIsLimited(t *testing.T) {
 	c := newTestCore(t)
 	start := micros.Second
 	for _, test := range []struct {
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestTimeNeverGoesBack(t *testing.T) {
+func TestSteadyTimeIsMonotonic(t *testing.T) {
 	c := newTestCore(t)
 	c.Step(2*micros.Second, 9*micros.Second)
 	c.Step(micros.Second, 8*micros.Second)
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestMemberJoins: with a lease and a snapshot, and not before, a member registers and watches, and
-// campaigns once it is registered.
+// TestMemberJoins: a member registers and starts a watch only once it has both a lease and
+// a snapshot, and campaigns only once it is registered.
 func TestMemberJoins(t *testing.T) {
 	c := newTestCore(t)
 	now := micros.Second
