--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// windowBytes is about what a flow's window takes in an epoch's record.
+	// windowBytes is the approximate encoded size of a flow's window in an epoch's record.
 	windowBytes = 56
-	// epochBytes is what the record has besides.
+	// epochBytes is the approximate encoded size of the rest of the record.
 	epochBytes = 240
 )
 
-// fairAdmission is this controller's part in admission epochs: the demand that it saw, the epoch
-// that it knows, the demand that its peers saw and, while it is cluster leader, the next epoch. It
-// is nil while fair admission is off.
+// fairAdmission is the state of fair admission on this controller: the demand that it observed, the
+// current epoch, the demand that its peers reported and, while it is the cluster leader, the planner
+// of the next epoch. It is nil if fair admission is disabled.
 type fairAdmission struct {
 	settings           admission.Settings
 	tracker            *admission.Tracker
@@ -26,13 +26,13 @@
 	planner            *admission.Planner
 	peerDemands        map[string]peerDemand // by member
 	demandSentAt       micros.Time
-	epochCheckedAt     micros.Time // when it was last checked whether an epoch is due
+	epochCheckedAt     micros.Time // time of the last check whether an epoch is due
 	epochWriteInFlight bool
 	leaderRevision     uint64      // fencing token under which the planner plans
-	ignoredLoggedAt    micros.Time // when an ignored record was last logged
+	ignoredLoggedAt    micros.Time // time when an ignored record was last logged
 }
 
-// newFairAdmission returns nil if fair admission is off.
+// newFairAdmission returns nil if fair admission is disabled.
 func newFairAdmission(cfg *config.Config) *fairAdmission {
 	if !cfg.Operator.FairAdmission.Enabled {
 		return nil
@@ -46,7 +46,7 @@
 	}
 }
 
-// admissionSettings are the operators' settings in the form of package admission.
+// admissionSettings converts the operator settings to settings of package admission.
 func admissionSettings(cfg *config.Config) admission.Settings {
 	operator := cfg.Operator.FairAdmission
 	windowsPerRecord := (cfg.Settings.MaxValue() - epochBytes) / windowBytes
@@ -67,12 +67,12 @@
 	return settings
 }
 
-// flowOf is the flow of a job.
+// flowOf returns the flow that a job belongs to.
 func flowOf(j *workload.Job) admission.Flow { return admission.Flow{Team: j.Team, Class: j.Class} }
 
-// admit asks for the verdict on a job that the cache does not have, and calls admitted unless the
-// job is refused. Without an epoch in force nothing is refused here: what the store has no room for
-// is refused where it is written.
+// admit applies the current epoch's verdict to a job that is not in the cache: it calls admitted, or
+// refuses the submission. Without an epoch in force no submission is refused here; one that exceeds
+// the store's request budget is refused when its record is written.
 func (c *Core) admit(request messages.RequestID, job *workload.Job, admitted func(storage.Urgency)) {
 	f := c.fair
 	if f == nil {
@@ -96,9 +96,9 @@
 	admitted(admittedUrgency(verdict))
 }
 
-// admittedUrgency is the urgency of the write of an admitted job. A flow that gets all that it asks
-// for may overdraw the budget: else it would lose the share that it was given to flows that are
-// given less than they ask for.
+// admittedUrgency returns the urgency with which the record of an admitted job is written. A flow
+// whose whole demand is admitted may overdraw the request budget; otherwise it would lose its share to
+// flows of which only a part is admitted.
 func admittedUrgency(verdict admission.Verdict) storage.Urgency {
 	if verdict.Whole {
 		return storage.Urgent
@@ -106,9 +106,9 @@
 	return storage.Prompt
 }
 
-// deferSubmission tells a user that it is not the job's turn yet. A job that was accepted before is
-// answered with its state all the same: one that another controller just accepted, or that was
-// archived long ago, is looked up before it is refused.
+// deferSubmission refuses a submission with a time after which to retry. The job is looked up first,
+// since another controller may just have accepted it, or it may be in the archive. A job that was
+// accepted before is answered with its state.
 func (c *Core) deferSubmission(request messages.RequestID, job *workload.Job, turn micros.Time) {
 	c.respondStatusOr(request, job.ID, func() {
 		c.fair.tracker.ComeBack(c.now, flowOf(job), job.ID, turn)
@@ -121,14 +121,14 @@
 	})
 }
 
-// countAccepted counts a submission that was accepted.
+// countAccepted records a submission that was accepted.
 func (c *Core) countAccepted(j *workload.Job) {
 	if c.fair != nil {
 		c.fair.tracker.Accepted(c.now, flowOf(j))
 	}
 }
 
-// countShed counts a submission that was refused for lack of capacity.
+// countShed records a submission that was refused for lack of capacity.
 func (c *Core) countShed() {
 	if c.fair != nil {
 		c.fair.tracker.Refused(c.now)
