--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -13,8 +13,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// newFair is a core that serves users, with fair admission, and one epoch in force that admits
-// almost nothing.
+// newFair returns a core that can serve users, with fair admission enabled and an epoch in force that
+// admits almost nothing.
 func newFair(t *testing.T) *Core {
 	t.Helper()
 	cfg, err := config.Parse(configtest.Default().Platform(), []byte("fair_admission { enabled: true }"))
@@ -38,8 +38,8 @@
 	return c
 }
 
-// testEpoch is an epoch of the cluster leader with fencing token 2, of which all flows share one
-// window.
+// testEpoch returns an epoch written by the cluster leader with fencing token 2, in which all flows
+// have the same window.
 func testEpoch(number uint64, written micros.Time, rest admission.Window) *admission.Epoch {
 	return &admission.Epoch{
 		Number:   number,
@@ -61,7 +61,8 @@
 	}
 }
 
-// ask submits a job and completes the requests to the store that follow, at the same moment.
+// ask submits a job and completes the resulting store requests at the same time. A request for which
+// complete returns nil stays without a reply.
 func ask(
 	c *Core, at micros.Time, job *workload.Job, complete func(*storage.Request) *storage.Reply,
 ) []messages.Response {
@@ -78,15 +79,15 @@
 	return responses
 }
 
-// writesKey tells whether a request writes a key first of all.
+// writesKey reports whether a request is a transaction whose first put has the key.
 func writesKey(r *storage.Request, key string) bool {
 	return r.Kind == storage.Txn && len(r.Puts) > 0 && r.Puts[0].Key == key
 }
 
-// TestRefusalIsLookedUpFirst: a job that another controller just accepted, or that was archived, is
-// answered with its state though the epoch does not admit it; what is not known gets its turn; and
-// when that can't be found out, 503.
-func TestRefusalIsLookedUpFirst(t *testing.T) {
+// TestLookupPrecedesRefusal: a job that the epoch does not admit is looked up before it is refused.
+// A job in the archive is answered with its state, an unknown job is told when to retry, and a failed
+// lookup is answered with 503.
+func TestLookupPrecedesRefusal(t *testing.T) {
 	known := testJob(7)
 	done := storage.Encode(known.Tombstone(workload.Done))
 	for name, test := range map[string]struct {
@@ -111,27 +112,27 @@
 				case r.Kind == storage.Get:
 					return &storage.Reply{Outcome: storage.NotFound, Revision: 10}
 				case writesKey(r, core.keys.Job(known.ID)):
-					t.Error("it is stored though it is not admitted")
+					t.Error("job was stored although the epoch does not admit it")
 				}
 				return nil
 			})
 			if len(responses) != 1 || responses[0].Kind != test.want {
-				t.Fatalf("%+v", responses)
+				t.Fatalf("responses %+v, want one of kind %d", responses, test.want)
 			}
 			after := responses[0].RetryAfter
 			if test.want == messages.Overloaded && (after < micros.Second || after > admission.MaxTurn) {
-				t.Errorf("come back after %d", after)
+				t.Errorf("retry after %d µs, want %d to %d", after, micros.Second, admission.MaxTurn)
 			}
 		})
 	}
 }
 
-// TestNoEpochNoRefusal: once the epoch has ended by itself, jobs are stored as ever; and so
-// they are while fair admission is off, whatever is stored.
-func TestNoEpochNoRefusal(t *testing.T) {
+// TestNoRefusalWithoutEpoch: jobs are stored once the epoch has expired, and also while fair
+// admission is disabled, even if the store has a record of an epoch.
+func TestNoRefusalWithoutEpoch(t *testing.T) {
 	for name, change := range map[string]func(c *Core){
-		"it ended": func(c *Core) { c.now += 13 * micros.Second; c.term.Confirm(c.now) },
-		"off":      func(c *Core) { c.fair = nil },
+		"expired":  func(c *Core) { c.now += 13 * micros.Second; c.term.Confirm(c.now) },
+		"disabled": func(c *Core) { c.fair = nil },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newFair(t)
@@ -142,14 +143,14 @@
 				return nil
 			})
 			if !stored {
-				t.Error("not stored")
+				t.Error("job was not stored")
 			}
 		})
 	}
 }
 
-// TestCancellationsAreNotJudged: cancellations and look-ups never meet a verdict.
-func TestCancellationsAreNotJudged(t *testing.T) {
+// TestCancellationBypassesAdmission: cancellations are not subject to admission.
+func TestCancellationBypassesAdmission(t *testing.T) {
 	c := newFair(t)
 	job := testJob(8)
 	cacheJob(t, c, job, 11)
@@ -159,12 +160,13 @@
 		cancelled = cancelled || writesKey(call.Request, c.keys.Job(job.ID))
 	}
 	if !cancelled {
-		t.Errorf("%+v", out)
+		t.Errorf("output %+v, want a write of the job's record", out)
 	}
 }
 
-// TestLagsGoOnWithTheNextLeader: as long as what the last one sent is not old.
-func TestLagsGoOnWithTheNextLeader(t *testing.T) {
+// TestNewLeaderInheritsLags: a new partition leader adopts the lags that the previous leader
+// last sent, unless they are older than lagTTL.
+func TestNewLeaderInheritsLags(t *testing.T) {
 	flow := admission.Flow{Team: "alpha", Class: "low"}
 	lag := admission.Lag{Team: 40 * micros.Second, Class: 50 * micros.Second}
 	status := &messages.PeerStatus{
@@ -192,15 +194,15 @@
 	}
 }
 
-// TestWholeFlowsOverdraw: where the budget has no room for most writes any more, the job of a flow
-// that is given all it asks for is stored all the same.
-func TestWholeFlowsOverdraw(t *testing.T) {
+// TestFullyAdmittedFlowOverdrawsBudget: when the request budget is exhausted for prompt requests,
+// the job of a flow whose whole demand is admitted is still stored.
+func TestFullyAdmittedFlowOverdrawsBudget(t *testing.T) {
 	for name, test := range map[string]struct {
 		width uint32
 		want  bool
 	}{
-		"given all":  {width: admission.Points, want: true},
-		"given less": {width: admission.Points - 1},
+		"whole demand admitted": {width: admission.Points, want: true},
+		"part admitted":         {width: admission.Points - 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newFair(t)
@@ -210,7 +212,7 @@
 				t.Fatal(err)
 			}
 			c.admissionChanged(c.now)
-			for c.storeLimiter.Allow(c.now, 1, storage.Prompt) { // until there is room for urgent ones only
+			for c.storeLimiter.Allow(c.now, 1, storage.Prompt) { // until only urgent requests are allowed
 			}
 			stored := false
 			responses := ask(c, c.now, testJob(7), func(r *storage.Request) *storage.Reply {
@@ -221,7 +223,7 @@
 				t.Errorf("stored %v, want %v", stored, test.want)
 			}
 			if !test.want && (len(responses) != 1 || responses[0].Kind != messages.Overloaded) {
-				t.Errorf("%+v", responses)
+				t.Errorf("responses %+v, want one of kind %d", responses, messages.Overloaded)
 			}
 		})
 	}
