--- a/internal/coordination/admission_demand.go
+++ b/internal/coordination/admission_demand.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// demandInterval is how often the demand that this controller saw is sent to its peers.
+	// demandInterval is the interval at which the observed demand is sent to the peers.
 	demandInterval = micros.Second
-	// demandTTL is how long the demand that a peer sent counts.
+	// demandTTL is how long the demand that a peer sent is valid.
 	demandTTL = 5 * micros.Second
 )
 
-// peerDemand is the demand that a peer last sent.
+// peerDemand is the latest demand received from a peer.
 type peerDemand struct {
-	at     micros.Time
+	at     micros.Time // time of receipt
 	demand *admission.Demand
 }
 
-// refusedLately tells whether any controller refused a submission for lack of capacity of late.
+// refusedLately reports whether any controller recently refused a submission for lack of capacity.
 func (f *fairAdmission) refusedLately(now micros.Time) bool {
 	if f.tracker.RefusedLately(now) > 0 {
 		return true
@@ -32,7 +32,8 @@
 	return false
 }
 
-// totalDemand is the demand that all controllers saw of late; this one is the member self.
+// totalDemand returns the recent demand on all controllers. The member self is this controller: its
+// demand is read from the tracker, and the status that it sent to itself is not counted again.
 func (f *fairAdmission) totalDemand(now micros.Time, self string) admission.Demand {
 	demands := []admission.Demand{f.tracker.Demand(now)}
 	for _, member := range sortedKeys(f.peerDemands) {
@@ -43,7 +44,8 @@
 	return admission.Merge(demands)
 }
 
-// demandForPeers is the demand for the status message that is sent now; nil: it is not due yet.
+// demandForPeers returns the demand to include in the current status message, or nil if it is not
+// due yet.
 func (c *Core) demandForPeers() *admission.Demand {
 	f := c.fair
 	if f == nil || c.now-f.demandSentAt < demandInterval {
@@ -54,7 +56,7 @@
 	return &demand
 }
 
-// receiveDemand takes the demand that a controller, this one included, sent with its status.
+// receiveDemand stores the demand in the status of a controller, which may be this one.
 func (c *Core) receiveDemand(status *messages.PeerStatus) {
 	if c.fair != nil && status.Demand != nil {
 		c.fair.peerDemands[status.From.Member] = peerDemand{c.now, status.Demand}
