--- a/internal/coordination/admission_demand_test.go
+++ b/internal/coordination/admission_demand_test.go
@@ -9,9 +9,9 @@
 	"pipitlatch/internal/storage"
 )
 
-// TestDemandOfPeersCountsForAWhile: refusals and demand of a peer count while they are recent, and
-// this controller's own demand counts once, though its status comes back to it.
-func TestDemandOfPeersCountsForAWhile(t *testing.T) {
+// TestPeerDemandExpires: refusals and demand of a peer count for demandTTL. This controller's own
+// demand is counted only once, although the controller also receives its own status.
+func TestPeerDemandExpires(t *testing.T) {
 	const now = 100 * micros.Second
 	for name, test := range map[string]struct {
 		member      string
@@ -31,7 +31,7 @@
 				Demand: &admission.Demand{Refused: 3},
 			})
 			if got := c.fair.refusedLately(now); got != test.wantRefused {
-				t.Errorf("refused %v, want %v", got, test.wantRefused)
+				t.Errorf("recently refused: %v, want %v", got, test.wantRefused)
 			}
 			if got := c.fair.totalDemand(now, "n0").Refused; got != test.want {
 				t.Errorf("%d refusals, want %d", got, test.want)
@@ -40,19 +40,19 @@
 	}
 }
 
-// TestDemandIsSentOnceAnInterval: not with every status.
-func TestDemandIsSentOnceAnInterval(t *testing.T) {
+// TestDemandIsSentOncePerInterval: demand is sent once per demandInterval, not with every status.
+func TestDemandIsSentOncePerInterval(t *testing.T) {
 	c := newFair(t)
 	c.now = 100 * micros.Second
 	if c.demandForPeers() == nil {
-		t.Fatal("not sent at first")
+		t.Fatal("demand was not sent with the first status")
 	}
 	c.now += demandInterval - 1
 	if c.demandForPeers() != nil {
-		t.Error("sent again before the interval is over")
+		t.Error("demand was sent again before the end of the interval")
 	}
 	c.now++
 	if c.demandForPeers() == nil {
-		t.Error("not sent after the interval")
+		t.Error("demand was not sent after the interval")
 	}
 }
