--- a/internal/coordination/admission_epochs.go
+++ b/internal/coordination/admission_epochs.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// epochCheckInterval is how often the cluster leader checks whether an epoch is due: adding up
-	// the demand that all controllers saw takes time.
+	// epochCheckInterval is the interval at which the cluster leader checks whether an epoch is due.
+	// The check is not made at every tick because summing the demand on all controllers is expensive.
 	epochCheckInterval = 250 * micros.Millisecond
-	// minCapacityDivisor is the part of the store's writes that new jobs get at least, whatever was
-	// used for other things of late.
+	// minCapacityDivisor sets the minimum share of the store's write rate that is available to new
+	// jobs, one divided by it, however much was recently used for other writes.
 	minCapacityDivisor = 4
-	// changesPerJob is how many writes a job takes at least: it is accepted, and it ends. The
-	// second comes later, so that what is used now does not show it yet.
+	// changesPerJob is the minimum number of writes per job: one when it is accepted, one when it
+	// ends. The second comes later, so the current usage does not include it yet.
 	changesPerJob = 2
-	// peerUsageTTL is how long the usage in a peer's status counts.
+	// peerUsageTTL is how long the usage in a peer's status is valid.
 	peerUsageTTL = 3 * micros.Second
 )
 
-// admissionChanged takes the epoch's record as it was read by a request that was sent at a time.
+// admissionChanged processes the cached record of the admission epoch. sent is the time when the
+// request that read the record was sent.
 func (c *Core) admissionChanged(sent micros.Time) {
 	f := c.fair
 	stored := c.cache.Admission
@@ -45,7 +46,8 @@
 	}
 }
 
-// tickAdmission writes the next epoch, as the cluster leader, while there is an overload.
+// tickAdmission writes the next epoch when it is due, as the cluster leader. It does so only while an
+// epoch is in force or submissions are refused for lack of capacity.
 func (c *Core) tickAdmission() {
 	f := c.fair
 	if f == nil || f.epochWriteInFlight || c.now-f.epochCheckedAt < epochCheckInterval {
@@ -70,28 +72,28 @@
 	}
 }
 
-// planAs begins planning anew when the cluster leadership under which the planner plans is another.
+// planAs resets the planner if the cluster leader's fencing token has changed.
 func (f *fairAdmission) planAs(leaderRevision uint64) {
 	if f.leaderRevision != leaderRevision {
 		f.leaderRevision, f.planner = leaderRevision, admission.NewPlanner(f.settings)
 	}
 }
 
-// writeEpoch writes an epoch; the demand and the capacity that it was planned for are logged.
+// writeEpoch writes an epoch, and logs the demand and the capacity that it was planned for.
 func (c *Core) writeEpoch(epoch *admission.Epoch, demand admission.Demand, capacity int64) {
 	f := c.fair
 	key := c.keys.Admission()
 	f.epochWriteInFlight = c.callStore(&storage.Request{
 		Kind: storage.Txn,
-		// Carried out late, or of a cluster leader that was replaced, it has no effect.
+		// A write that is applied late, or comes from a replaced cluster leader, must have no effect.
 		Compares: []storage.Compare{c.leaderCompare(), {Key: key, ModRevision: c.cache.Admission.ModRevision}},
 		Puts:     []storage.Put{{Key: key, Value: storage.Encode(epoch)}},
 	}, storage.Critical, storeTimeout, func(r *storage.Reply) {
 		f.epochWriteInFlight = false
 		if r.Outcome != storage.OK {
-			// In the overload that it is to end the store refuses it as well: the next check tries
-			// again, instead of waiting until the next epoch is due. If it was carried out all the
-			// same, the compare of its own mod revision fails.
+			// The store may refuse the write because of the very overload that the epoch is to end,
+			// so the next check retries instead of waiting until the next epoch is due. If the write
+			// was applied after all, the compare of the record's mod revision fails the retry.
 			f.planner.Failed()
 			return
 		}
@@ -104,8 +106,8 @@
 	}
 }
 
-// admissionCapacity is how many jobs can be accepted a second, in thousandths: the writes that the
-// store takes, less what is used for everything but new jobs.
+// admissionCapacity returns the number of jobs that can be accepted per second, in thousandths: the
+// store's write rate less the writes that are used for anything but new jobs.
 func (c *Core) admissionCapacity(demand admission.Demand) int64 {
 	total := c.storeLimiter.TotalWriteRate()
 	used := c.storeLimiter.RecentUsage().Writes
