--- a/internal/coordination/admission_epochs_test.go
+++ b/internal/coordination/admission_epochs_test.go
@@ -11,8 +11,9 @@
 	"pipitlatch/internal/storage"
 )
 
-// TestBadRecordsAreLoggedRarely: whoever writes nonsense there fills no log.
-func TestBadRecordsAreLoggedRarely(t *testing.T) {
+// TestMalformedRecordLogIsRateLimited: malformed records of the epoch do not flood the log, and the
+// previous epoch stays in force.
+func TestMalformedRecordLogIsRateLimited(t *testing.T) {
 	c := newFair(t)
 	lines := 0
 	for i := range 100 {
@@ -30,15 +31,15 @@
 		}
 	}
 	if lines < 1 || lines > 2 {
-		t.Errorf("%d lines in 5 s", lines)
+		t.Errorf("%d log records in 5 s, want 1 or 2", lines)
 	}
 	if e := c.fair.view.Current(c.now); e == nil || e.Number != 3 {
-		t.Error("the epoch before is not in force")
+		t.Error("the previous epoch is not in force")
 	}
 }
 
-// leadUnderOverload makes the core cluster leader, with a fencing token, at a time when the epoch
-// before has ended and submissions are refused.
+// leadUnderOverload makes the core the cluster leader with a fencing token, at a time when the previous
+// epoch has expired and submissions are refused.
 func leadUnderOverload(c *Core, fencingToken uint64) {
 	c.cache.ClusterLeader = storage.Versioned[storage.Process]{Value: c.process, ModRevision: fencingToken}
 	c.leader.Begin(fencingToken)
@@ -49,7 +50,8 @@
 	}
 }
 
-// tickEpoch is the request by which an epoch is written at a time, and that epoch; nil: none is.
+// tickEpoch runs the admission timer at a time. It returns the request that writes an epoch and that
+// epoch, or nil if none is written.
 func tickEpoch(t *testing.T, c *Core, now micros.Time) (*storage.Request, *admission.Epoch) {
 	t.Helper()
 	c.now, c.output = now, &messages.Output{}
@@ -59,7 +61,7 @@
 		return nil, nil
 	case 1:
 	default:
-		t.Fatalf("%d requests", len(c.output.StoreCalls))
+		t.Fatalf("%d store requests, want at most 1", len(c.output.StoreCalls))
 	}
 	r := c.output.StoreCalls[0].Request
 	epoch, err := admission.Parse(r.Puts[0].Value)
@@ -69,14 +71,14 @@
 	return r, epoch
 }
 
-// TestEpochIsWrittenAsLeader: carried out late, or for a cluster leader that was replaced, or over a
-// newer epoch, the write has no effect.
-func TestEpochIsWrittenAsLeader(t *testing.T) {
+// TestEpochWriteIsFenced: the write of an epoch has no effect if the cluster leader was replaced or
+// the epoch's record has changed. No other write is sent while it is in flight.
+func TestEpochWriteIsFenced(t *testing.T) {
 	c := newFair(t)
 	leadUnderOverload(c, 4)
 	r, epoch := tickEpoch(t, c, c.now)
 	if epoch == nil || epoch.Number != 4 || epoch.Leader != 4 {
-		t.Fatalf("%+v", epoch)
+		t.Fatalf("epoch %+v, want number 4 of leader 4", epoch)
 	}
 	want := []storage.Compare{
 		{Key: c.keys.ClusterLeader(), ModRevision: 4},
@@ -86,13 +88,13 @@
 		t.Errorf("compares %+v, want %+v", r.Compares, want)
 	}
 	if _, again := tickEpoch(t, c, c.now); again != nil {
-		t.Error("written again while the write is in flight")
+		t.Error("epoch was written again while the write is in flight")
 	}
 }
 
-// TestOneEpochIsWrittenAtATime: the next one, though it is due, waits for the reply to the last. One
-// that was refused is tried again at the next check.
-func TestOneEpochIsWrittenAtATime(t *testing.T) {
+// TestOneEpochWriteInFlight: an epoch that is due waits for the reply to the previous write. A write
+// that was refused is retried at the next check.
+func TestOneEpochWriteInFlight(t *testing.T) {
 	for name, test := range map[string]struct {
 		inFlight bool
 		want     bool
@@ -120,9 +122,9 @@
 	}
 }
 
-// TestNewLeadershipPlansAnew: what was written under another fencing token says nothing of when the
-// next epoch is due.
-func TestNewLeadershipPlansAnew(t *testing.T) {
+// TestNewFencingTokenResetsPlanner: an epoch that was written under an earlier fencing token does not
+// delay the next one.
+func TestNewFencingTokenResetsPlanner(t *testing.T) {
 	for name, test := range map[string]struct {
 		fencingToken uint64
 		want         bool
