--- a/internal/coordination/cluster_leader.go
+++ b/internal/coordination/cluster_leader.go
@@ -5,7 +5,7 @@
 	"pipitlatch/internal/micros"
 )
 
-// tickLeader does the duties of the cluster leader, while this process is it.
+// tickLeader runs the cluster leader's timers if this process is the cluster leader.
 func (c *Core) tickLeader() {
 	if !c.isClusterLeader() {
 		return
@@ -19,7 +19,7 @@
 	c.leader.Tick()
 }
 
-// partitionCount is how many partitions there are.
+// partitionCount returns the number of partitions.
 func (c *Core) partitionCount() int {
 	count := 1
 	for _, team := range c.teams {
@@ -28,10 +28,11 @@
 	return count
 }
 
-// statusLifetime is how old what a peer said of its partitions may be to be acted on.
+// statusLifetime is the maximum age of a peer's status of its partitions that is acted on.
 const statusLifetime = 3 * micros.Second
 
-// partitionStatuses are what the present partition leaders last said of their partitions.
+// partitionStatuses returns the last statuses of partitions that their current leaders sent, except
+// those older than statusLifetime. Statuses under an earlier fencing token are ignored.
 func (c *Core) partitionStatuses() []messages.PartitionStatus {
 	var statuses []messages.PartitionStatus
 	for _, peer := range c.peers.All() {
@@ -39,8 +40,8 @@
 			continue
 		}
 		for _, status := range peer.Status.Partitions {
-			present := c.cache.Partitions[status.Partition]
-			if present.Value.Leader == peer.Status.From && present.ModRevision == status.FencingToken {
+			current := c.cache.Partitions[status.Partition]
+			if current.Value.Leader == peer.Status.From && current.ModRevision == status.FencingToken {
 				statuses = append(statuses, status)
 			}
 		}
