--- a/internal/coordination/cluster_leader_test.go
+++ b/internal/coordination/cluster_leader_test.go
@@ -10,7 +10,7 @@
 	"pipitlatch/internal/storage"
 )
 
-// testConfig are settings for a core.
+// testConfig returns a valid configuration of a core.
 func testConfig(t *testing.T) *config.Config {
 	t.Helper()
 	cfg, err := config.Parse(configtest.Default().Platform(), nil)
@@ -20,7 +20,7 @@
 	return cfg
 }
 
-func TestPartitionStatusesAreThoseOfThePresentLeaders(t *testing.T) {
+func TestPartitionStatusesAreFromCurrentLeaders(t *testing.T) {
 	n1, n2 := storage.Process{Member: "n1", Incarnation: "1"}, storage.Process{Member: "n2", Incarnation: "1"}
 	tests := []struct {
 		name  string
@@ -29,11 +29,11 @@
 		token uint64 // fencing token in the status
 		want  int
 	}{
-		{"the leader's", 0, n1, 5, 1},
-		{"the leader's, as old as may be", statusLifetime, n1, 5, 1},
-		{"the leader's, but old", statusLifetime + 1, n1, 5, 0},
-		{"of another", 0, n2, 5, 0},
-		{"of an earlier run of the leader", 0, storage.Process{Member: "n1", Incarnation: "0"}, 5, 0},
+		{"from the leader", 0, n1, 5, 1},
+		{"from the leader, at the maximum age", statusLifetime, n1, 5, 1},
+		{"from the leader, too old", statusLifetime + 1, n1, 5, 0},
+		{"from another member", 0, n2, 5, 0},
+		{"from an earlier incarnation of the leader", 0, storage.Process{Member: "n1", Incarnation: "0"}, 5, 0},
 		{"under an earlier fencing token", 0, n1, 4, 0},
 	}
 	for _, test := range tests {
@@ -53,7 +53,8 @@
 	}
 }
 
-// newClusterLeaderCore is a core that leads the cluster, with a member lease and in its term.
+// newClusterLeaderCore returns a core that is the cluster leader, with a member lease and a valid
+// leadership term.
 func newClusterLeaderCore(t *testing.T) *Core {
 	t.Helper()
 	c := New(testConfig(t), "1")
@@ -70,17 +71,17 @@
 	return c
 }
 
-func TestCoreDoesTheDutiesAsClusterLeaderOnly(t *testing.T) {
+func TestLeaderTimersRunOnClusterLeaderOnly(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*Core)
-		begun  bool // is the term
-		calls  bool // are the store and the cloud called
+		begun  bool // whether the leadership term has begun
+		calls  bool // whether the store and the cloud are called
 	}{
 		{"as cluster leader", func(*Core) {}, true, true},
 		{"as a follower", func(c *Core) { c.cache.ClusterLeader.Value.Incarnation = "0" }, false, false},
 		{"without a member lease", func(c *Core) { c.member.LeaseNotFound() }, true, false},
-		{"once the leadership term has ended", func(c *Core) { c.term.Invalidate() }, true, false},
+		{"after the end of the leadership term", func(c *Core) { c.term.Invalidate() }, true, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
