--- a/internal/coordination/environment.go
+++ b/internal/coordination/environment.go
@@ -6,23 +6,23 @@
 	"pipitlatch/internal/storage"
 )
 
-// environment is what the components of the core, in packages below this one, may ask of it:
-// the time, calls, and the log. Each component declares the interface that it needs of it.
+// environment gives the components of the core, which are subpackages, access to the time, to calls
+// and to the log. Each component declares the interface that it requires.
 type environment struct{ core *Core }
 
-// Now is the steady time of this step.
+// Now returns the monotonic time of this step.
 func (e environment) Now() micros.Time { return e.core.now }
 
-// WallClock is the time of day of this step.
+// WallClock returns the time of day of this step.
 func (e environment) WallClock() micros.Time { return e.core.wall }
 
-// Log adds a record to the log; attributes are keys and values in turn.
+// Log adds a record to the log. The attributes are alternating keys and values.
 func (e environment) Log(level int, message string, attributes ...any) {
 	e.core.log(level, message, attributes...)
 }
 
-// CallStore sends a request to the key-value store. It returns false, and done is never
-// called, if the request budget does not allow it now.
+// CallStore sends a request to the key-value store. If the request budget does not allow it now,
+// CallStore returns false and done is never called.
 func (e environment) CallStore(
 	r *storage.Request, urgency storage.Urgency, timeout micros.Time, done func(*storage.Reply),
 ) bool {
@@ -39,7 +39,8 @@
 	e.core.callAgent(call, done)
 }
 
-// AvailableAgentCalls is how many calls to agents may be sent now, as probes or as commands.
+// AvailableAgentCalls returns the number of calls to agents that may be sent now, as probes or as
+// commands.
 func (e environment) AvailableAgentCalls(probe bool) int {
 	return e.core.availableAgentCalls(probe)
 }
