--- a/internal/coordination/leader_view.go
+++ b/internal/coordination/leader_view.go
@@ -7,44 +7,45 @@
 	"pipitlatch/internal/workload"
 )
 
-// clusterView is the core as the duties of its cluster leader see it.
+// clusterView is the interface of the core to package clusterleader.
 type clusterView struct{ environment }
 
-// Cache is the present copy of the store.
+// Cache returns the current copy of the store.
 func (v clusterView) Cache() *storage.Cache { return v.core.cache }
 
-// LeaderCompare guards every transaction of the cluster leader.
+// LeaderCompare returns the compare that every transaction of the cluster leader must include.
 func (v clusterView) LeaderCompare() storage.Compare { return v.core.leaderCompare() }
 
-// IsClusterLeader tells whether this process is the cluster leader, as far as it can know.
+// IsClusterLeader reports whether this process is the cluster leader according to its copy of the
+// store, which may be outdated.
 func (v clusterView) IsClusterLeader() bool { return v.core.isClusterLeader() }
 
-// Isolated tells whether neither the store nor any peer has been heard of late.
+// Isolated reports whether neither the store nor any peer has been heard from recently.
 func (v clusterView) Isolated() bool { return v.core.isolated() }
 
-// StoreReachable tells whether this controller can serve users now.
+// StoreReachable reports whether this controller can serve users now.
 func (v clusterView) StoreReachable() bool { return v.core.storeReachable() }
 
-// SendStatusSoon makes the next status message to peers an early one.
+// SendStatusSoon sends the next status message to peers early, after earlyStatusInterval.
 func (v clusterView) SendStatusSoon() { v.core.status.soon = true }
 
-// Catalog are the instance types; nil as long as they are not known.
+// Catalog returns the instance types, or nil if they are not known yet.
 func (v clusterView) Catalog() workload.Catalog { return v.core.catalog.Types() }
 
-// PartitionCount is how many partitions there are.
+// PartitionCount returns the number of partitions.
 func (v clusterView) PartitionCount() int { return v.core.partitionCount() }
 
-// PartitionStatuses are what the present partition leaders last said.
+// PartitionStatuses returns the last statuses that the current partition leaders sent.
 func (v clusterView) PartitionStatuses() []messages.PartitionStatus {
 	return v.core.partitionStatuses()
 }
 
-// ReachableMachines is how many of a partition's machines a controller reaches, as far as it said.
+// ReachableMachines returns how many of a partition's machines a controller reaches, as it reported.
 func (v clusterView) ReachableMachines(process storage.Process, partition int) int {
 	return v.core.reachableMachines(process, partition)
 }
 
-// MachinesInUse is how many machines of a partition are in use, by zone.
+// MachinesInUse returns the number of a partition's machines in use, by zone.
 func (v clusterView) MachinesInUse(partition int) map[string]int {
 	return v.core.machinesInUse(partition)
 }
@@ -54,18 +55,18 @@
 	v.core.putBlock(r, name, record)
 }
 
-// MaxBlockMachines is how many machines a block may have.
+// MaxBlockMachines returns the maximum number of machines in a block.
 func (v clusterView) MaxBlockMachines() int { return v.core.maxBlockMachines() }
 
-// MachineTerminated lets the partitions led here know that a machine is gone.
+// MachineTerminated notifies the partition leaders in this process that a machine is terminated.
 func (v clusterView) MachineTerminated(machine string) {
 	for _, partition := range sortedKeys(v.core.partitions) {
 		v.core.partitions[partition].machineTerminated(machine)
 	}
 }
 
-// InstanceRunning lets the partition's leader know the address of a machine, if it leads here
-// and has no address of it.
+// InstanceRunning sets the address of a machine if the partition's leader is in this process and does
+// not know the address yet.
 func (v clusterView) InstanceRunning(partition int, machine, address string) {
 	if p := v.core.partitions[partition]; p != nil {
 		if m := p.machine(machine); m != nil && m.address == "" {
@@ -74,8 +75,8 @@
 	}
 }
 
-// LastContact is when the machine was last heard from, if its partition's leader is here and
-// has it.
+// LastContact returns the time when a machine was last heard from. It returns false if the partition's
+// leader is not in this process or does not have the machine.
 func (v clusterView) LastContact(partition int, machine string) (micros.Time, bool) {
 	if p := v.core.partitions[partition]; p != nil {
 		if m := p.machine(machine); m != nil {
