--- a/internal/coordination/older_members.go
+++ b/internal/coordination/older_members.go
@@ -2,8 +2,9 @@
 
 import "pipitlatch/internal/storage"
 
-// olderMemberRegistered tells whether a process of an older version serves now: one that came back
-// although all members were new once. It must not come to lead jobs with dependencies.
+// olderMemberRegistered reports whether a process of an older version is registered. One may be started
+// even after all members were upgraded. It must not become the leader of a partition that has jobs with
+// dependencies, whose records it cannot read.
 func (c *Core) olderMemberRegistered() bool {
 	for member := range c.cache.Members {
 		if c.cache.MemberFormats[member] < storage.Format {
