--- a/internal/coordination/responses.go
+++ b/internal/coordination/responses.go
@@ -5,41 +5,41 @@
 	"pipitlatch/internal/micros"
 )
 
-// defaultRetryAfter is when a client that was turned away may try again.
+// defaultRetryAfter is the time after which a client whose request was refused may retry.
 const defaultRetryAfter = micros.Second
 
-// unavailableReason is why a request cannot be served now. Users are told; agents get the same text
-// whatever the reason.
+// unavailableReason is the reason why a request cannot be served now. Users receive it; agents receive
+// the same text for every reason.
 type unavailableReason string
 
 const (
-	// storeUnavailable: the key-value store did not answer, or is known to be out of reach.
+	// storeUnavailable: the key-value store did not answer or is known to be unreachable.
 	storeUnavailable unavailableReason = "the state service does not answer"
-	// olderVersionRunning: a member might become partition leader that cannot read the record.
+	// olderVersionRunning: a member that cannot read the record might become partition leader.
 	olderVersionRunning unavailableReason = "an older version is still running"
-	// concurrentChange: the job's record changed meanwhile.
+	// concurrentChange: the job's record was changed concurrently.
 	concurrentChange unavailableReason = "try again"
 
-	// The reasons below are for heartbeats: they are not sent, and keep the words of the first version.
+	// The reasons below are for heartbeats. They are not sent, and keep the texts of the first version.
 
 	// starting: this controller has not read the store yet.
 	starting unavailableReason = "starting"
-	// unknownMachine: no record has the machine.
+	// unknownMachine: the machine is in no record.
 	unknownMachine unavailableReason = "unknown machine"
-	// noClusterLeader: nobody is known who could take an unmanaged instance on.
+	// noClusterLeader: no cluster leader is known that could adopt the unmanaged instance.
 	noClusterLeader unavailableReason = "no leader"
-	// noPartitionLeader: nobody is known who leads the machine's partition.
+	// noPartitionLeader: no leader of the machine's partition is known.
 	noPartitionLeader unavailableReason = "no holder"
-	// staleHeartbeat: the heartbeat is a late copy, or of an agent that began anew.
+	// staleHeartbeat: the heartbeat is a delayed duplicate, or from before a restart of the agent.
 	staleHeartbeat unavailableReason = "old report"
-	// machineDecommissioned: the machine is to be terminated, and its agent lease to expire.
+	// machineDecommissioned: the machine is to be terminated, and its agent lease must expire.
 	machineDecommissioned unavailableReason = "machine is given up"
 )
 
-// String returns the reason as users get it. The texts are part of the wire protocol.
+// String returns the text that users receive. The texts are part of the wire protocol.
 func (r unavailableReason) String() string { return string(r) }
 
-// unschedulableReason is why a job can never run, as its user is told.
+// unschedulableReason is the reason why a job can never run, which its user receives.
 type unschedulableReason string
 
 const (
@@ -50,17 +50,17 @@
 	recordTooLarge     unschedulableReason = "its description is too long to be kept"
 	dependsOnItself    unschedulableReason = "it waits on itself"
 
-	// The reasons below are followed by the id of the dependency, see dependency.
+	// The method dependency appends the id of the dependency to the reasons below.
 
 	dependsOnUnknownJob unschedulableReason = "it waits on a job that was never accepted"
-	// dependsOnService: a service ends only by cancellation, so that the job could never run.
+	// dependsOnService: a service ends only by cancellation, so the job could never run.
 	dependsOnService unschedulableReason = "it waits on a service"
 )
 
-// String returns the reason as the user gets it. The texts are part of the wire protocol.
+// String returns the text that the user receives. The texts are part of the wire protocol.
 func (r unschedulableReason) String() string { return string(r) }
 
-// dependency is the reason with the id of the dependency that it is about.
+// dependency returns the reason with the id of the dependency that causes it appended.
 func (r unschedulableReason) dependency(id string) unschedulableReason {
 	return r + ": " + unschedulableReason(id)
 }
@@ -69,7 +69,7 @@
 	c.output.Responses = append(c.output.Responses, response)
 }
 
-// respondUnavailable tells a client to come back later.
+// respondUnavailable tells a client to retry later.
 func (c *Core) respondUnavailable(request messages.RequestID, reason unavailableReason) {
 	c.respond(messages.Response{
 		Request:    request,
@@ -79,7 +79,7 @@
 	})
 }
 
-// respondWritesExhausted tells a user that the store's budget of writes has no room for a change now.
+// respondWritesExhausted refuses a user's change because the store's write budget is exhausted.
 func (c *Core) respondWritesExhausted(request messages.RequestID) {
 	c.respond(messages.Response{
 		Request:    request,
@@ -89,7 +89,7 @@
 	})
 }
 
-// respondNotFound tells a user that there is no such job.
+// respondNotFound tells a user that the job does not exist.
 func (c *Core) respondNotFound(request messages.RequestID) {
 	c.respond(messages.Response{Request: request, Kind: messages.JobNotFound})
 }
