--- a/internal/coordination/responses_test.go
+++ b/internal/coordination/responses_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestReasonsAreTheTextsOfTheWire: users and agents of every version get these texts to the letter.
-func TestReasonsAreTheTextsOfTheWire(t *testing.T) {
+// TestReasonTextsAreStable: the texts are part of the wire protocol and must not change between
+// versions.
+func TestReasonTextsAreStable(t *testing.T) {
 	unavailable := map[unavailableReason]string{
 		storeUnavailable:      "the state service does not answer",
 		olderVersionRunning:   "an older version is still running",
