--- a/internal/coordination/status_messages.go
+++ b/internal/coordination/status_messages.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// statusInterval is how often peers are told how things stand.
+	// statusInterval is the regular interval between status messages to peers.
 	statusInterval = 500 * micros.Millisecond
-	// earlyStatusInterval is the least time between two status messages, where the next has
-	// something that a peer waits for.
+	// earlyStatusInterval is the minimum interval between two status messages. It applies when the
+	// next message contains information that a peer is waiting for.
 	earlyStatusInterval = 100 * micros.Millisecond
 )
 
@@ -20,7 +20,7 @@
 	soon   bool // send the next one soon
 }
 
-// begin tells whether a status message is due, and counts it as sent if it is.
+// begin reports whether a status message is due, and if so records it as sent.
 func (s *statusSchedule) begin(now micros.Time) bool {
 	interval := statusInterval
 	if s.soon {
@@ -33,7 +33,8 @@
 	return true
 }
 
-// sendStatus tells the peers how things stand, and takes the same status itself.
+// sendStatus sends the status of this controller to its peers when it is due, and processes the same
+// status itself.
 func (c *Core) sendStatus() {
 	if !c.status.begin(c.now) {
 		return
@@ -52,7 +53,7 @@
 	c.receiveStatus(status)
 }
 
-// composeStatus is how things stand here, as all peers are told.
+// composeStatus returns the part of the status message that is the same for all peers.
 func (c *Core) composeStatus() *messages.PeerStatus {
 	status := &messages.PeerStatus{
 		From:           c.process,
@@ -73,8 +74,9 @@
 	return status
 }
 
-// receiveStatus takes a status, our own included. Nothing in it is believed that the change
-// stream must tell, except that a machine is gone: that is a fact which nothing makes untrue.
+// receiveStatus processes a status message, which may be this controller's own. The state of records
+// in the store is taken only from the change stream, never from a status. The exception is that
+// a machine was terminated, since this cannot be undone.
 func (c *Core) receiveStatus(status *messages.PeerStatus) {
 	c.peers.Receive(c.now, status)
 	c.receiveCancellationNotices(status)
@@ -93,7 +95,7 @@
 	c.progress.observe(status.Progress)
 }
 
-// jobActive tells whether a job is active as far as the cache tells.
+// jobActive reports whether a job is active according to the cache.
 func (c *Core) jobActive(id string) bool {
 	entry := c.cache.Jobs[id]
 	return entry != nil && entry.Job.Phase == workload.Active
