--- a/internal/coordination/status_messages_test.go
+++ b/internal/coordination/status_messages_test.go
@@ -12,10 +12,10 @@
 		age  micros.Time // of the last status
 		due  bool
 	}{
-		"not before the interval":             {false, statusInterval - 1, false},
-		"after the interval":                  {false, statusInterval, true},
-		"an early one not at once":            {true, earlyStatusInterval - 1, false},
-		"an early one after a short interval": {true, earlyStatusInterval, true},
+		"regular, before the interval": {false, statusInterval - 1, false},
+		"regular, after the interval":  {false, statusInterval, true},
+		"early, before the interval":   {true, earlyStatusInterval - 1, false},
+		"early, after the interval":    {true, earlyStatusInterval, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := 10 * micros.Second
@@ -24,10 +24,10 @@
 				t.Errorf("due %v, want %v", got, test.due)
 			}
 			if s.soon != (test.soon && !test.due) {
-				t.Errorf("soon %v after it was sent", s.soon)
+				t.Errorf("soon is %v after begin", s.soon)
 			}
 			if s.begin(now) {
-				t.Error("due again at once")
+				t.Error("status is due again immediately")
 			}
 		})
 	}
