--- a/internal/coordination/store_changes.go
+++ b/internal/coordination/store_changes.go
@@ -7,20 +7,23 @@
 	"pipitlatch/internal/storage"
 )
 
-// storeTimeout is how long the reply to a transaction is waited for.
+// storeTimeout is the timeout of a transaction.
 const storeTimeout = 2 * micros.Second
 
-// watchInterval keeps watches within a share of the request budget.
+// watchInterval returns the minimum interval between watches, at most a second. It limits watches to
+// 40 % of this controller's share of the request budget unless the share is below 2.5 requests/s.
 func watchInterval(cfg *config.Config) micros.Time {
 	share := cfg.Settings.StateLimits().RPS / float64(cfg.Settings.Nodes)
 	return micros.FromSeconds(min(1, 2.5/share))
 }
 
-// replicaObserver passes on to the parts of the core what its copy of the key-value store
-// learns. Nothing else tells a partition leader of jobs and of the loss of its lease.
+// replicaObserver passes changes of this controller's copy of the key-value store to the components of
+// the core. It is the only source from which a partition leader learns of jobs and of the loss of its
+// leadership.
 type replicaObserver struct{ core *Core }
 
-// SnapshotInstalled lets everything look at a fresh copy of the store.
+// SnapshotInstalled makes all components process a new snapshot of the store. A partition whose record
+// is not the same as before is led anew, or no longer.
 func (o replicaObserver) SnapshotInstalled(previous *storage.Cache, sent micros.Time) {
 	c := o.core
 	c.cache = c.replica.Cache()
@@ -38,7 +41,7 @@
 	c.admissionChanged(sent)
 }
 
-// Changed hands one change to the parts that it concerns.
+// Changed passes one change to the components that it concerns.
 func (o replicaObserver) Changed(change storage.Change, item storage.Item) {
 	c := o.core
 	switch change.Kind {
@@ -65,24 +68,24 @@
 		c.jobChanged(change.ID)
 	case storage.ClusterLeaderRecord, storage.ArchivedJobRecord, storage.DependencyPartRecord,
 		storage.CatalogRecord, storage.CatalogPartRecord, storage.AdmissionRecord, storage.FormatRecord:
-		// Looked up in the cache where they matter, or taken when all changes are applied.
+		// These are read from the cache when needed, or processed after all changes are applied.
 	}
 }
 
-// jobChanged lets the partitions led here look at a job again.
+// jobChanged makes the partition leaders in this process re-evaluate a job.
 func (c *Core) jobChanged(id string) {
 	for _, n := range sortedKeys(c.partitions) {
 		c.partitions[n].jobChanged(id)
 	}
 }
 
-// AdmissionChanged takes the record of the admission epoch.
+// AdmissionChanged processes a change of the admission epoch's record.
 func (o replicaObserver) AdmissionChanged(sent micros.Time) { o.core.admissionChanged(sent) }
 
-// ChangesApplied looks again at jobs that depend on those that changed.
+// ChangesApplied re-evaluates the jobs that depend on changed jobs.
 func (o replicaObserver) ChangesApplied() { o.core.reevaluateAffected() }
 
-// recordDeadProcesses dates the end of former partition leaders.
+// recordDeadProcesses records when each former partition leader was first known to be dead.
 func (c *Core) recordDeadProcesses() {
 	for _, q := range c.cache.Partitions {
 		for _, p := range q.Value.FormerLeaders {
@@ -93,7 +96,7 @@
 	}
 }
 
-// partitionChanged takes a change of a partition's leader or fencing token.
+// partitionChanged processes a change of a partition's leader or fencing token.
 func (c *Core) partitionChanged(n int) {
 	v, ok := c.cache.Partitions[n]
 	p := c.partitions[n]
