--- a/internal/coordination/store_changes_test.go
+++ b/internal/coordination/store_changes_test.go
@@ -11,7 +11,7 @@
 
 var otherProcess = storage.Process{Member: "n1", Incarnation: "1"}
 
-// applyItem lets a core take one change of the store.
+// applyItem applies one change of the store to a core.
 func applyItem(t *testing.T, c *Core, key string, value any, revision uint64) {
 	t.Helper()
 	item := storage.Item{Key: key, Value: storage.Encode(value), ModRevision: revision}
@@ -22,7 +22,7 @@
 	replicaObserver{c}.Changed(change, item)
 }
 
-// logMessages are the messages of the log records of the present step.
+// logMessages returns the messages of the log records of the current step.
 func logMessages(c *Core) (out []string) {
 	for _, record := range c.output.LogRecords {
 		out = append(out, record.Message)
@@ -30,7 +30,7 @@
 	return out
 }
 
-// newCoreInStep returns a core within a step at ten seconds.
+// newCoreInStep returns a core in the middle of a step at 10 s.
 func newCoreInStep(t *testing.T) *Core {
 	t.Helper()
 	c := newTestCore(t)
@@ -38,7 +38,7 @@
 	return c
 }
 
-func TestPartitionLeadershipFollowsTheStream(t *testing.T) {
+func TestPartitionLeadershipFollowsChangeStream(t *testing.T) {
 	c := newCoreInStep(t)
 	key := c.keys.Partition(0)
 	applyItem(t, c, key, storage.PartitionRecord{Leader: otherProcess}, 5)
@@ -52,11 +52,11 @@
 	}
 	applyItem(t, c, key, storage.PartitionRecord{Leader: c.process}, 7)
 	if c.partitions[0] != acquired || acquired.lease.fencingToken != 7 {
-		t.Errorf("a new fencing token made the leader begin anew, or wasn't taken")
+		t.Errorf("a new fencing token replaced the partition leader or was not adopted")
 	}
 	applyItem(t, c, key, storage.PartitionRecord{Leader: otherProcess}, 8)
 	if len(c.partitions) != 0 {
-		t.Error("still led after another process became the leader")
+		t.Error("partition is still led after another process became its leader")
 	}
 	want := []string{"partition leadership acquired", "partition leadership lost"}
 	if got := logMessages(c); !slices.Equal(got, want) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestSnapshotAndPartitionLeadership: what was between two copies of the store is unknown, so the
-// leadership goes on only if its record is the same.
+// TestSnapshotAndPartitionLeadership: what happened between two snapshots is unknown, so a leadership
+// continues only if its record is unchanged.
 func TestSnapshotAndPartitionLeadership(t *testing.T) {
 	for name, test := range map[string]struct {
 		leader   *storage.Process // in the snapshot; nil: no record
@@ -73,10 +73,10 @@
 		kept     bool
 		leads    bool
 	}{
-		"the same record: it goes on":                    {&storage.Process{Member: "n0", Incarnation: "1"}, 6, true, true},
-		"a later record of this process: it begins anew": {&storage.Process{Member: "n0", Incarnation: "1"}, 9, false, true},
-		"another leader: it ends":                        {&otherProcess, 9, false, false},
-		"no record: it ends":                             {nil, 0, false, false},
+		"same record: continues":                    {&storage.Process{Member: "n0", Incarnation: "1"}, 6, true, true},
+		"later record of this process: starts anew": {&storage.Process{Member: "n0", Incarnation: "1"}, 9, false, true},
+		"another leader: ends":                      {&otherProcess, 9, false, false},
+		"no record: ends":                           {nil, 0, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newCoreInStep(t)
@@ -91,23 +91,24 @@
 			c.replica.Install(snapshot, c.now)
 			after := c.partitions[0]
 			if c.cache != snapshot {
-				t.Error("the core has another cache than the replica")
+				t.Error("the core's cache is not the installed snapshot")
 			}
 			if (after != nil) != test.leads || (after != nil && after == before) != test.kept {
-				t.Errorf("leads %v, the same as before %v", after != nil, after == before)
+				t.Errorf("leads: %v, want %v; same leader as before: %v, want %v",
+					after != nil, test.leads, after == before, test.kept)
 			}
 		})
 	}
 }
 
-// TestDeathOfFormerLeadersIsDated: a former leader is surely dead when a newer process of its
-// member is registered, and the time when that was first known is kept.
-func TestDeathOfFormerLeadersIsDated(t *testing.T) {
+// TestDeathTimeOfFormerLeader: a former leader is known to be dead once a newer process of its member
+// is registered. The time when this was first known is kept.
+func TestDeathTimeOfFormerLeader(t *testing.T) {
 	c := newCoreInStep(t)
 	record := storage.PartitionRecord{Leader: c.process, FormerLeaders: []storage.Process{otherProcess}}
 	applyItem(t, c, c.keys.Partition(0), record, 6)
 	if len(c.deathTimes) != 0 {
-		t.Fatalf("deaths %v, but none is known", c.deathTimes)
+		t.Fatalf("death times %v, want none before any registration", c.deathTimes)
 	}
 	register := func(incarnation string, revision uint64) {
 		process := storage.Process{Member: "n1", Incarnation: incarnation}
@@ -115,13 +116,13 @@
 	}
 	register("1", 7)
 	if len(c.deathTimes) != 0 {
-		t.Fatalf("deaths %v, but the process is registered", c.deathTimes)
+		t.Fatalf("death times %v, want none while the process is registered", c.deathTimes)
 	}
 	register("2", 8)
 	died := c.now
 	c.now += micros.Second
 	register("3", 9)
 	if got := c.deathTimes[otherProcess]; got != died {
-		t.Errorf("died at %d, want %d: when it was first known", got, died)
+		t.Errorf("death time %d, want %d, when it was first known", got, died)
 	}
 }
