--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -15,10 +15,10 @@
 	"pipitlatch/internal/workload"
 )
 
-// fleetSizes are the numbers of machines that the benchmarks are run with.
+// fleetSizes are the numbers of machines that the benchmarks run with.
 var fleetSizes = []int{400, 1300, 4000}
 
-// forFleetSizes runs a benchmark with each of them.
+// forFleetSizes runs a benchmark as a sub-benchmark for each fleet size.
 func forFleetSizes(b *testing.B, run func(b *testing.B, size int)) {
 	for _, size := range fleetSizes {
 		b.Run(strconv.Itoa(size), func(b *testing.B) { run(b, size) })
@@ -31,9 +31,8 @@
 	tasksPerJob      = 80
 )
 
-// newLarge is a core that leads the cluster and a partition of a number of machines, each
-// with eight running tasks, and has a tenth as many waiting jobs. It returns a heartbeat of each
-// machine.
+// newLarge returns a core that leads the cluster and a partition with size machines, and a heartbeat of
+// each machine. Each machine runs tasksPerMachine tasks, and a tenth as many jobs as machines wait.
 func newLarge(b testing.TB, size int) (*Core, []*messages.Heartbeat) {
 	b.Helper()
 	cfg, err := config.Parse(configtest.Default().Platform(), nil)
@@ -61,7 +60,8 @@
 	return c, heartbeats
 }
 
-// largeCache is what the key-value store has of the jobs, machines and leaders of newLarge.
+// largeCache returns a copy of the key-value store with the jobs, machines and leaders of newLarge, and
+// a heartbeat of each machine.
 func largeCache(b testing.TB, c *Core, size int) (*storage.Cache, []*messages.Heartbeat) {
 	b.Helper()
 	cache := storage.NewCache(c.keys)
@@ -97,10 +97,10 @@
 	return cache, heartbeats
 }
 
-// largeJobID is the id of a job of newLarge.
+// largeJobID returns the id of a job of newLarge.
 func largeJobID(i int) string { return fmt.Sprintf("wk-%06d", i) }
 
-// largeJob is a job of newLarge: the first half of them run.
+// largeJob returns a job of newLarge. The first half of the jobs run.
 func largeJob(i int) *workload.Job {
 	return &workload.Job{
 		ID:        largeJobID(i),
@@ -115,7 +115,7 @@
 	}
 }
 
-// largeHeartbeat is the heartbeat of a machine of newLarge.
+// largeHeartbeat returns the heartbeat of a machine of newLarge.
 func largeHeartbeat(machine int) *messages.Heartbeat {
 	h := &messages.Heartbeat{
 		Machine:          fmt.Sprintf("vm-%06d", machine),
@@ -133,7 +133,7 @@
 	return h
 }
 
-// receive takes the next heartbeat of each machine, without the timers.
+// receive processes the next heartbeat of each machine without running the timers.
 func receive(c *Core, now micros.Time, heartbeats []*messages.Heartbeat) {
 	for _, h := range heartbeats {
 		h.Sequence++
@@ -142,8 +142,8 @@
 	}
 }
 
-// TestProgressOfAllJobs: more running jobs than one message to the peers takes are
-// all in a few.
+// TestProgressOfAllJobs: if there are more running jobs than fit into one status message, successive
+// messages together contain the progress of all of them.
 func TestProgressOfAllJobs(t *testing.T) {
 	c, heartbeats := newLarge(t, 8000)
 	receive(c, 2*micros.Second, heartbeats)
@@ -158,8 +158,8 @@
 	}
 }
 
-// BenchmarkHeartbeats takes a heartbeat of each machine, the work that comes
-// every heartbeat interval.
+// BenchmarkHeartbeats measures the processing of one heartbeat of each machine, which is the work of
+// one heartbeat interval.
 func BenchmarkHeartbeats(b *testing.B) { forFleetSizes(b, benchHeartbeats) }
 
 func benchHeartbeats(b *testing.B, size int) {
@@ -172,11 +172,11 @@
 		receive(c, now, heartbeats)
 	}
 	if n := len(c.partitions[0].machines[0].attempts); n != tasksPerMachine {
-		b.Fatal("attempts", n)
+		b.Fatalf("%d attempts on the first machine, want %d", n, tasksPerMachine)
 	}
 }
 
-// BenchmarkPlan plans the waiting jobs on the machines.
+// BenchmarkPlan measures one plan of the waiting jobs on the machines.
 func BenchmarkPlan(b *testing.B) { forFleetSizes(b, benchPlan) }
 
 func benchPlan(b *testing.B, size int) {
@@ -198,11 +198,11 @@
 		p.schedule()
 	}
 	if len(p.buildTimelines()) != size || len(p.plan.capacityRequests) == 0 {
-		b.Fatal("nothing to plan")
+		b.Fatal("not all machines have a timeline, or no capacity was requested")
 	}
 }
 
-// BenchmarkPoll answers a poll of a finished job, and of one that is active.
+// BenchmarkPoll measures the lookup of an active job, including its linearizable read.
 func BenchmarkPoll(b *testing.B) { forFleetSizes(b, benchPoll) }
 
 func benchPoll(b *testing.B, size int) {
