--- a/internal/coordination/responses.go
+++ b/internal/coordination/responses.go
@@ -30,7 +30,7 @@
 	noClusterLeader unavailableReason = "no leader"
 	// noPartitionLeader: no leader of the machine's partition is known.
 	noPartitionLeader unavailableReason = "no holder"
-	// staleHeartbeat: the heartbeat is a delayed duplicate, or from before a restart of the agent.
+	// staleHeartbeat: the heartbeat is a delayed duplicate, or its agent was restarted.
 	staleHeartbeat unavailableReason = "old report"
 	// machineDecommissioned: the machine is to be terminated, and its agent lease must expire.
 	machineDecommissioned unavailableReason = "machine is given up"
