--- a/internal/coordination/admission_demand_test.go
+++ b/internal/coordination/admission_demand_test.go
@@ -24,7 +24,7 @@
 		"this member": {member: "n0", age: micros.Second, wantRefused: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newFair(t)
+			c := newFairAdmissionCore(t)
 			c.now = now - test.age
 			c.receiveDemand(&messages.PeerStatus{
 				From:   storage.Process{Member: test.member},
@@ -42,7 +42,7 @@
 
 // TestDemandIsSentOncePerInterval: demand is sent once per demandInterval, not with every status.
 func TestDemandIsSentOncePerInterval(t *testing.T) {
-	c := newFair(t)
+	c := newFairAdmissionCore(t)
 	c.now = 100 * micros.Second
 	if c.demandForPeers() == nil {
 		t.Fatal("demand was not sent with the first status")
--- a/internal/coordination/admission_epochs_test.go
+++ b/internal/coordination/admission_epochs_test.go
@@ -14,7 +14,7 @@
 // TestMalformedRecordLogIsRateLimited: malformed records of the epoch do not flood the log, and the
 // previous epoch stays in force.
 func TestMalformedRecordLogIsRateLimited(t *testing.T) {
-	c := newFair(t)
+	c := newFairAdmissionCore(t)
 	lines := 0
 	for i := range 100 {
 		c.now += 50 * micros.Millisecond
@@ -74,7 +74,7 @@
 // TestEpochWriteIsFenced: the write of an epoch has no effect if the cluster leader was replaced or
 // the epoch's record has changed. No other write is sent while it is in flight.
 func TestEpochWriteIsFenced(t *testing.T) {
-	c := newFair(t)
+	c := newFairAdmissionCore(t)
 	leadUnderOverload(c, 4)
 	r, epoch := tickEpoch(t, c, c.now)
 	if epoch == nil || epoch.Number != 4 || epoch.Leader != 4 {
@@ -103,7 +103,7 @@
 		"refused":      {want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newFair(t)
+			c := newFairAdmissionCore(t)
 			leadUnderOverload(c, 4)
 			_, epoch := tickEpoch(t, c, c.now)
 			if epoch == nil {
@@ -133,7 +133,7 @@
 		"another leadership": {fencingToken: 5, want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newFair(t)
+			c := newFairAdmissionCore(t)
 			leadUnderOverload(c, 4)
 			if _, epoch := tickEpoch(t, c, c.now); epoch == nil {
 				t.Fatal("no epoch")
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -13,9 +13,9 @@
 	"pipitlatch/internal/workload"
 )
 
-// newFair returns a core that can serve users, with fair admission enabled and an epoch in force that
+// newFairAdmissionCore returns a core that can serve users, with fair admission enabled and an epoch in force that
 // admits almost nothing.
-func newFair(t *testing.T) *Core {
+func newFairAdmissionCore(t *testing.T) *Core {
 	t.Helper()
 	cfg, err := config.Parse(configtest.Default().Platform(), []byte("fair_admission { enabled: true }"))
 	if err != nil {
@@ -100,7 +100,7 @@
 		"cannot be found": {want: messages.ServiceUnavailable, barrier: storage.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			core := newFair(t)
+			core := newFairAdmissionCore(t)
 			core.cache.Archived = true
 			responses := ask(core, 2*micros.Second, known, func(r *storage.Request) *storage.Reply {
 				switch {
@@ -135,7 +135,7 @@
 		"disabled": func(c *Core) { c.fair = nil },
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newFair(t)
+			c := newFairAdmissionCore(t)
 			change(c)
 			stored := false
 			ask(c, c.now, testJob(7), func(r *storage.Request) *storage.Reply {
@@ -151,7 +151,7 @@
 
 // TestCancellationBypassesAdmission: cancellations are not subject to admission.
 func TestCancellationBypassesAdmission(t *testing.T) {
-	c := newFair(t)
+	c := newFairAdmissionCore(t)
 	job := testJob(8)
 	cacheJob(t, c, job, 11)
 	out := c.Step(c.now, c.now, &messages.Cancel{Request: 1, ID: job.ID})
@@ -183,7 +183,7 @@
 		"old":    {age: lagTTL + micros.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newFair(t)
+			c := newFairAdmissionCore(t)
 			c.now += 100 * micros.Second
 			c.peers.Receive(c.now-test.age, status)
 			p := newPartitionLeader(c, 0, storage.Versioned[storage.PartitionRecord]{ModRevision: 20})
@@ -205,7 +205,7 @@
 		"part admitted":         {width: admission.Points - 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newFair(t)
+			c := newFairAdmissionCore(t)
 			epoch := testEpoch(4, c.wall, admission.Window{Width: test.width})
 			item := storage.Item{Key: c.keys.Admission(), Value: storage.Encode(epoch), ModRevision: 12}
 			if _, _, err := c.cache.Apply(item); err != nil {
--- a/internal/coordination/submission_test.go
+++ b/internal/coordination/submission_test.go
@@ -14,7 +14,7 @@
 // newServing is a core that serves users, without fair admission.
 func newServing(t *testing.T) *Core {
 	t.Helper()
-	c := newFair(t)
+	c := newFairAdmissionCore(t)
 	c.fair = nil
 	c.cache.Format = storage.Format
 	return c
