--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -31,9 +31,9 @@
 	tasksPerJob      = 80
 )
 
-// newLarge returns a core that leads the cluster and a partition with size machines, and a heartbeat of
+// newLargeCore returns a core that leads the cluster and a partition with size machines, and a heartbeat of
 // each machine. Each machine runs tasksPerMachine tasks, and a tenth as many jobs as machines wait.
-func newLarge(b testing.TB, size int) (*Core, []*messages.Heartbeat) {
+func newLargeCore(b testing.TB, size int) (*Core, []*messages.Heartbeat) {
 	b.Helper()
 	cfg, err := config.Parse(configtest.Default().Platform(), nil)
 	if err != nil {
@@ -145,7 +145,7 @@
 // TestProgressOfAllJobs: if there are more running jobs than fit into one status message, successive
 // messages together contain the progress of all of them.
 func TestProgressOfAllJobs(t *testing.T) {
-	c, heartbeats := newLarge(t, 8000)
+	c, heartbeats := newLargeCore(t, 8000)
 	receive(c, 2*micros.Second, heartbeats)
 	running := map[string]int{}
 	for range 2 {
@@ -163,7 +163,7 @@
 func BenchmarkHeartbeats(b *testing.B) { forFleetSizes(b, benchHeartbeats) }
 
 func benchHeartbeats(b *testing.B, size int) {
-	c, heartbeats := newLarge(b, size)
+	c, heartbeats := newLargeCore(b, size)
 	b.ReportAllocs()
 	now := 2 * micros.Second
 	for b.Loop() {
@@ -180,7 +180,7 @@
 func BenchmarkPlan(b *testing.B) { forFleetSizes(b, benchPlan) }
 
 func benchPlan(b *testing.B, size int) {
-	c, heartbeats := newLarge(b, size)
+	c, heartbeats := newLargeCore(b, size)
 	b.ReportAllocs()
 	now := 2 * micros.Second
 	receive(c, now, heartbeats)
@@ -206,7 +206,7 @@
 func BenchmarkPoll(b *testing.B) { forFleetSizes(b, benchPoll) }
 
 func benchPoll(b *testing.B, size int) {
-	c, _ := newLarge(b, size)
+	c, _ := newLargeCore(b, size)
 	b.ReportAllocs()
 	now := 2 * micros.Second
 	polls, found := 0, 0
--- a/internal/coordination/kill_test.go
+++ b/internal/coordination/kill_test.go
@@ -14,7 +14,7 @@
 // tasks each, and the job of the first eighty.
 func newLeaderWithTasks(t *testing.T) (*partitionLeader, *job) {
 	t.Helper()
-	c, heartbeats := newLarge(t, 50)
+	c, heartbeats := newLargeCore(t, 50)
 	const now = 2 * micros.Second
 	for _, heartbeat := range heartbeats {
 		heartbeat.Sequence++
--- a/internal/coordination/large_bench_test.go
+++ b/internal/coordination/large_bench_test.go
@@ -15,7 +15,7 @@
 func BenchmarkFailover(b *testing.B) { forFleetSizes(b, benchFailover) }
 
 func benchFailover(b *testing.B, size int) {
-	c, heartbeats := newLarge(b, size)
+	c, heartbeats := newLargeCore(b, size)
 	b.ReportAllocs()
 	now := 2 * micros.Second
 	for b.Loop() {
@@ -37,7 +37,7 @@
 func BenchmarkThirdSuspected(b *testing.B) { forFleetSizes(b, benchThirdSuspected) }
 
 func benchThirdSuspected(b *testing.B, size int) {
-	c, heartbeats := newLarge(b, size)
+	c, heartbeats := newLargeCore(b, size)
 	now := 2 * micros.Second
 	receive(c, now, heartbeats)
 	p := c.partitions[0]
@@ -66,7 +66,7 @@
 func BenchmarkAllIdle(b *testing.B) { forFleetSizes(b, benchAllIdle) }
 
 func benchAllIdle(b *testing.B, size int) {
-	c, heartbeats := newLarge(b, size)
+	c, heartbeats := newLargeCore(b, size)
 	now := 2 * micros.Second
 	for _, h := range heartbeats {
 		h.Tasks = nil
@@ -97,7 +97,7 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		c, heartbeats := newLarge(t, size)
+		c, heartbeats := newLargeCore(t, size)
 		receive(c, 2*micros.Second, heartbeats)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/coordination/machine_health_test.go
+++ b/internal/coordination/machine_health_test.go
@@ -13,7 +13,7 @@
 // observedFleet is a partition leader with fifty machines that were all heard from just now.
 func observedFleet(t *testing.T) *partitionLeader {
 	t.Helper()
-	c, heartbeats := newLarge(t, 50)
+	c, heartbeats := newLargeCore(t, 50)
 	now := 2 * micros.Second
 	for _, h := range heartbeats {
 		h.Sequence++
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -17,7 +17,7 @@
 // newFollower returns a core that heard a status of a process some time ago.
 func newFollower(t *testing.T, from storage.Process, age micros.Time, unreachableZones ...string) *Core {
 	t.Helper()
-	c, _ := newLarge(t, 50)
+	c, _ := newLargeCore(t, 50)
 	c.startedAt = micros.Second
 	c.now = 100 * micros.Second
 	c.peers.Receive(c.now-age, &messages.PeerStatus{
