--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -133,8 +133,8 @@
 	return h
 }
 
-// receive processes the next heartbeat of each machine without running the timers.
-func receive(c *Core, now micros.Time, heartbeats []*messages.Heartbeat) {
+// receiveHeartbeats processes the next heartbeat of each machine without running the timers.
+func receiveHeartbeats(c *Core, now micros.Time, heartbeats []*messages.Heartbeat) {
 	for _, h := range heartbeats {
 		h.Sequence++
 		c.lastTick = now
@@ -146,7 +146,7 @@
 // messages together contain the progress of all of them.
 func TestProgressOfAllJobs(t *testing.T) {
 	c, heartbeats := newLargeCore(t, 8000)
-	receive(c, 2*micros.Second, heartbeats)
+	receiveHeartbeats(c, 2*micros.Second, heartbeats)
 	running := map[string]int{}
 	for range 2 {
 		for _, p := range c.partitions[0].jobProgress() {
@@ -169,7 +169,7 @@
 	for b.Loop() {
 		now += 1500 * micros.Millisecond
 		c.term.Confirm(now)
-		receive(c, now, heartbeats)
+		receiveHeartbeats(c, now, heartbeats)
 	}
 	if n := len(c.partitions[0].machines[0].attempts); n != tasksPerMachine {
 		b.Fatalf("%d attempts on the first machine, want %d", n, tasksPerMachine)
@@ -183,7 +183,7 @@
 	c, heartbeats := newLargeCore(b, size)
 	b.ReportAllocs()
 	now := 2 * micros.Second
-	receive(c, now, heartbeats)
+	receiveHeartbeats(c, now, heartbeats)
 	p := c.partitions[0]
 	for _, m := range p.machines {
 		m.instanceType = c.catalog.Types()["m"]
--- a/internal/coordination/large_bench_test.go
+++ b/internal/coordination/large_bench_test.go
@@ -24,7 +24,7 @@
 		c.term.Confirm(now)
 		stored := storage.Versioned[storage.PartitionRecord]{ModRevision: c.cache.Partitions[0].ModRevision}
 		c.partitions[0] = newPartitionLeader(c, 0, stored)
-		receive(c, now, heartbeats)
+		receiveHeartbeats(c, now, heartbeats)
 		c.output = &messages.Output{}
 		c.partitions[0].schedule()
 	}
@@ -39,7 +39,7 @@
 func benchThirdSuspected(b *testing.B, size int) {
 	c, heartbeats := newLargeCore(b, size)
 	now := 2 * micros.Second
-	receive(c, now, heartbeats)
+	receiveHeartbeats(c, now, heartbeats)
 	p := c.partitions[0]
 	c.now, c.output = now+p.suspicionTimeout()+micros.Second, &messages.Output{}
 	b.ReportAllocs()
@@ -71,7 +71,7 @@
 	for _, h := range heartbeats {
 		h.Tasks = nil
 	}
-	receive(c, now, heartbeats)
+	receiveHeartbeats(c, now, heartbeats)
 	p := c.partitions[0]
 	c.now = now + 100*micros.Second
 	b.ReportAllocs()
@@ -98,7 +98,7 @@
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		c, heartbeats := newLargeCore(t, size)
-		receive(c, 2*micros.Second, heartbeats)
+		receiveHeartbeats(c, 2*micros.Second, heartbeats)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		taken := after.HeapAlloc - before.HeapAlloc
