--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// ask submits a job and completes the resulting store requests at the same time. A request for which
+// submitAndComplete submits a job and completes the resulting store requests at the same time. A request for which
 // complete returns nil stays without a reply.
-func ask(
+func submitAndComplete(
 	c *Core, at micros.Time, job *workload.Job, complete func(*storage.Request) *storage.Reply,
 ) []messages.Response {
 	out := c.Step(at, at, &messages.Submit{Request: 1, ID: job.ID, Job: job})
@@ -102,7 +102,7 @@
 		t.Run(name, func(t *testing.T) {
 			core := newFairAdmissionCore(t)
 			core.cache.Archived = true
-			responses := ask(core, 2*micros.Second, known, func(r *storage.Request) *storage.Reply {
+			responses := submitAndComplete(core, 2*micros.Second, known, func(r *storage.Request) *storage.Reply {
 				switch {
 				case r.Kind == storage.Get && r.Key == core.keys.ReadBarrier():
 					return &storage.Reply{Outcome: test.barrier, Revision: 10}
@@ -138,7 +138,7 @@
 			c := newFairAdmissionCore(t)
 			change(c)
 			stored := false
-			ask(c, c.now, testJob(7), func(r *storage.Request) *storage.Reply {
+			submitAndComplete(c, c.now, testJob(7), func(r *storage.Request) *storage.Reply {
 				stored = stored || writesKey(r, c.keys.Job("wk-000007"))
 				return nil
 			})
@@ -215,7 +215,7 @@
 			for c.storeLimiter.Allow(c.now, 1, storage.Prompt) { // until only urgent requests are allowed
 			}
 			stored := false
-			responses := ask(c, c.now, testJob(7), func(r *storage.Request) *storage.Reply {
+			responses := submitAndComplete(c, c.now, testJob(7), func(r *storage.Request) *storage.Reply {
 				stored = stored || writesKey(r, c.keys.Job("wk-000007"))
 				return nil
 			})
