--- a/internal/coordination/admission_demand.go
+++ b/internal/coordination/admission_demand.go
@@ -19,8 +19,8 @@
 	demand *admission.Demand
 }
 
-// refusedLately reports whether any controller recently refused a submission for lack of capacity.
-func (f *fairAdmission) refusedLately(now micros.Time) bool {
+// recentlyRefused reports whether any controller recently refused a submission for lack of capacity.
+func (f *fairAdmission) recentlyRefused(now micros.Time) bool {
 	if f.tracker.RefusedLately(now) > 0 {
 		return true
 	}
--- a/internal/coordination/admission_epochs.go
+++ b/internal/coordination/admission_epochs.go
@@ -54,7 +54,7 @@
 		return
 	}
 	f.epochCheckedAt = c.now
-	if f.view.Current(c.now) == nil && !f.refusedLately(c.now) {
+	if f.view.Current(c.now) == nil && !f.recentlyRefused(c.now) {
 		return
 	}
 	f.planAs(c.leader.Revision())
