--- a/internal/coordination/admission_epochs.go
+++ b/internal/coordination/admission_epochs.go
@@ -57,7 +57,7 @@
 	if f.view.Current(c.now) == nil && !f.recentlyRefused(c.now) {
 		return
 	}
-	f.planAs(c.leader.Revision())
+	f.resetPlannerOnNewToken(c.leader.Revision())
 	demand := f.totalDemand(c.now, c.process.Member)
 	capacity := c.admissionCapacity(demand)
 	epoch := f.planner.Next(&f.view, admission.Situation{
@@ -72,8 +72,8 @@
 	}
 }
 
-// planAs resets the planner if the cluster leader's fencing token has changed.
-func (f *fairAdmission) planAs(leaderRevision uint64) {
+// resetPlannerOnNewToken resets the planner if the cluster leader's fencing token has changed.
+func (f *fairAdmission) resetPlannerOnNewToken(leaderRevision uint64) {
 	if f.leaderRevision != leaderRevision {
 		f.leaderRevision, f.planner = leaderRevision, admission.NewPlanner(f.settings)
 	}
