--- a/internal/coordination/status_messages.go
+++ b/internal/coordination/status_messages.go
@@ -20,8 +20,8 @@
 	soon   bool // send the next one soon
 }
 
-// begin reports whether a status message is due, and if so records it as sent.
-func (s *statusSchedule) begin(now micros.Time) bool {
+// markSentIfDue reports whether a status message is due, and if so records it as sent.
+func (s *statusSchedule) markSentIfDue(now micros.Time) bool {
 	interval := statusInterval
 	if s.soon {
 		interval = earlyStatusInterval
@@ -36,7 +36,7 @@
 // sendStatus sends the status of this controller to its peers when it is due, and processes the same
 // status itself.
 func (c *Core) sendStatus() {
-	if !c.status.begin(c.now) {
+	if !c.status.markSentIfDue(c.now) {
 		return
 	}
 	status := c.composeStatus()
--- a/internal/coordination/status_messages_test.go
+++ b/internal/coordination/status_messages_test.go
@@ -20,13 +20,13 @@
 		t.Run(name, func(t *testing.T) {
 			now := 10 * micros.Second
 			s := &statusSchedule{sentAt: now - test.age, soon: test.soon}
-			if got := s.begin(now); got != test.due {
+			if got := s.markSentIfDue(now); got != test.due {
 				t.Errorf("due %v, want %v", got, test.due)
 			}
 			if s.soon != (test.soon && !test.due) {
 				t.Errorf("soon is %v after begin", s.soon)
 			}
-			if s.begin(now) {
+			if s.markSentIfDue(now) {
 				t.Error("status is due again immediately")
 			}
 		})
