--- a/internal/coordination/cluster_leader.go
+++ b/internal/coordination/cluster_leader.go
@@ -5,8 +5,8 @@
 	"pipitlatch/internal/micros"
 )
 
-// tickLeader runs the cluster leader's timers if this process is the cluster leader.
-func (c *Core) tickLeader() {
+// tickClusterLeader runs the cluster leader's timers if this process is the cluster leader.
+func (c *Core) tickClusterLeader() {
 	if !c.isClusterLeader() {
 		return
 	}
--- a/internal/coordination/cluster_leader_test.go
+++ b/internal/coordination/cluster_leader_test.go
@@ -87,7 +87,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := newClusterLeaderCore(t)
 			test.change(c)
-			c.tickLeader()
+			c.tickClusterLeader()
 			if got := c.leader.Revision() == 7; got != test.begun {
 				t.Errorf("term begun: %v, want %v", got, test.begun)
 			}
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -233,7 +233,7 @@
 	if c.isClusterLeader() {
 		c.catalog.Persist(c.cache, c.leaderCompare())
 	}
-	c.tickLeader()
+	c.tickClusterLeader()
 	for _, n := range sortedKeys(c.partitions) {
 		c.partitions[n].tick()
 	}
