--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -74,7 +74,7 @@
 // refuses the submission. Without an epoch in force no submission is refused here; one that exceeds
 // the store's request budget is refused when its record is written.
 func (c *Core) admit(request messages.RequestID, job *workload.Job, admitted func(storage.Urgency)) {
-	f := c.fair
+	f := c.fairAdmission
 	if f == nil {
 		admitted(storage.Prompt)
 		return
@@ -111,7 +111,7 @@
 // accepted before is answered with its state.
 func (c *Core) deferSubmission(request messages.RequestID, job *workload.Job, turn micros.Time) {
 	c.respondStatusOr(request, job.ID, func() {
-		c.fair.tracker.ComeBack(c.now, flowOf(job), job.ID, turn)
+		c.fairAdmission.tracker.ComeBack(c.now, flowOf(job), job.ID, turn)
 		c.respond(messages.Response{
 			Request:    request,
 			Kind:       messages.Overloaded,
@@ -123,14 +123,14 @@
 
 // countAccepted records a submission that was accepted.
 func (c *Core) countAccepted(j *workload.Job) {
-	if c.fair != nil {
-		c.fair.tracker.Accepted(c.now, flowOf(j))
+	if c.fairAdmission != nil {
+		c.fairAdmission.tracker.Accepted(c.now, flowOf(j))
 	}
 }
 
 // countShed records a submission that was refused for lack of capacity.
 func (c *Core) countShed() {
-	if c.fair != nil {
-		c.fair.tracker.Refused(c.now)
+	if c.fairAdmission != nil {
+		c.fairAdmission.tracker.Refused(c.now)
 	}
 }
--- a/internal/coordination/admission_demand.go
+++ b/internal/coordination/admission_demand.go
@@ -47,7 +47,7 @@
 // demandForPeers returns the demand to include in the current status message, or nil if it is not
 // due yet.
 func (c *Core) demandForPeers() *admission.Demand {
-	f := c.fair
+	f := c.fairAdmission
 	if f == nil || c.now-f.demandSentAt < demandInterval {
 		return nil
 	}
@@ -58,7 +58,7 @@
 
 // receiveDemand stores the demand in the status of a controller, which may be this one.
 func (c *Core) receiveDemand(status *messages.PeerStatus) {
-	if c.fair != nil && status.Demand != nil {
-		c.fair.peerDemands[status.From.Member] = peerDemand{c.now, status.Demand}
+	if c.fairAdmission != nil && status.Demand != nil {
+		c.fairAdmission.peerDemands[status.From.Member] = peerDemand{c.now, status.Demand}
 	}
 }
--- a/internal/coordination/admission_demand_test.go
+++ b/internal/coordination/admission_demand_test.go
@@ -30,10 +30,10 @@
 				From:   storage.Process{Member: test.member},
 				Demand: &admission.Demand{Refused: 3},
 			})
-			if got := c.fair.recentlyRefused(now); got != test.wantRefused {
+			if got := c.fairAdmission.recentlyRefused(now); got != test.wantRefused {
 				t.Errorf("recently refused: %v, want %v", got, test.wantRefused)
 			}
-			if got := c.fair.totalDemand(now, "n0").Refused; got != test.want {
+			if got := c.fairAdmission.totalDemand(now, "n0").Refused; got != test.want {
 				t.Errorf("%d refusals, want %d", got, test.want)
 			}
 		})
--- a/internal/coordination/admission_epochs.go
+++ b/internal/coordination/admission_epochs.go
@@ -26,7 +26,7 @@
 // admissionChanged processes the cached record of the admission epoch. sent is the time when the
 // request that read the record was sent.
 func (c *Core) admissionChanged(sent micros.Time) {
-	f := c.fair
+	f := c.fairAdmission
 	stored := c.cache.Admission
 	if f == nil || stored.ModRevision == 0 {
 		return
@@ -49,7 +49,7 @@
 // tickAdmission writes the next epoch when it is due, as the cluster leader. It does so only while an
 // epoch is in force or submissions are refused for lack of capacity.
 func (c *Core) tickAdmission() {
-	f := c.fair
+	f := c.fairAdmission
 	if f == nil || f.epochWriteInFlight || c.now-f.epochCheckedAt < epochCheckInterval {
 		return
 	}
@@ -81,7 +81,7 @@
 
 // writeEpoch writes an epoch, and logs the demand and the capacity that it was planned for.
 func (c *Core) writeEpoch(epoch *admission.Epoch, demand admission.Demand, capacity int64) {
-	f := c.fair
+	f := c.fairAdmission
 	key := c.keys.Admission()
 	f.epochWriteInFlight = c.callStore(&storage.Request{
 		Kind: storage.Txn,
--- a/internal/coordination/admission_epochs_test.go
+++ b/internal/coordination/admission_epochs_test.go
@@ -33,7 +33,7 @@
 	if lines < 1 || lines > 2 {
 		t.Errorf("%d log records in 5 s, want 1 or 2", lines)
 	}
-	if e := c.fair.view.Current(c.now); e == nil || e.Number != 3 {
+	if e := c.fairAdmission.view.Current(c.now); e == nil || e.Number != 3 {
 		t.Error("the previous epoch is not in force")
 	}
 }
@@ -45,8 +45,8 @@
 	c.leader.Begin(fencingToken)
 	c.now += 20 * micros.Second
 	for i := range 3000 {
-		c.fair.tracker.Asked(c.now, admission.Flow{Team: "alpha", Class: "c"}, fmt.Sprintf("wk-%06d", i))
-		c.fair.tracker.Refused(c.now)
+		c.fairAdmission.tracker.Asked(c.now, admission.Flow{Team: "alpha", Class: "c"}, fmt.Sprintf("wk-%06d", i))
+		c.fairAdmission.tracker.Refused(c.now)
 	}
 }
 
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -132,7 +132,7 @@
 func TestNoRefusalWithoutEpoch(t *testing.T) {
 	for name, change := range map[string]func(c *Core){
 		"expired":  func(c *Core) { c.now += 13 * micros.Second; c.term.Confirm(c.now) },
-		"disabled": func(c *Core) { c.fair = nil },
+		"disabled": func(c *Core) { c.fairAdmission = nil },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newFairAdmissionCore(t)
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -42,7 +42,7 @@
 	catalog *catalog.Catalog
 	jobTables
 	fleet
-	fair   *fairAdmission // nil if fair admission is disabled
+	fairAdmission   *fairAdmission // nil if fair admission is disabled
 	leader *clusterleader.Leader
 }
 
@@ -114,7 +114,7 @@
 			progress:     newProgressTable(),
 			runtimes:     workload.NewRuntimeStats(),
 		},
-		fair: newFairAdmission(cfg),
+		fairAdmission: newFairAdmission(cfg),
 	}
 	maxAgentCalls := max(1, cfg.Sockets().Calls/2) // the other half are idle connections
 	c.calls = calls.NewTable(c.storeLimiter, maxAgentCalls)
--- a/internal/coordination/fair_shares.go
+++ b/internal/coordination/fair_shares.go
@@ -26,11 +26,11 @@
 // newFairShares goes on from what the last leader of a partition told of its flows: which flow
 // is next does not begin anew with every failover.
 func (c *Core) newFairShares(partition int) *fairShares {
-	if c.fair == nil {
+	if c.fairAdmission == nil {
 		return nil
 	}
 	bound := micros.Time(c.config.Operator.FairAdmission.LagS) * micros.Second
-	queue := admission.NewFairQueue(c.now, len(c.config.Settings.Teams), bound, &c.fair.settings)
+	queue := admission.NewFairQueue(c.now, len(c.config.Settings.Teams), bound, &c.fairAdmission.settings)
 	if lags := latestLags(c.peers, partition, c.now); len(lags) > 0 {
 		queue.Restore(c.now, lags)
 	}
--- a/internal/coordination/submission_test.go
+++ b/internal/coordination/submission_test.go
@@ -15,7 +15,7 @@
 func newServing(t *testing.T) *Core {
 	t.Helper()
 	c := newFairAdmissionCore(t)
-	c.fair = nil
+	c.fairAdmission = nil
 	c.cache.Format = storage.Format
 	return c
 }
