--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -60,7 +60,7 @@
 	return c, heartbeats
 }
 
-// largeCache returns a copy of the key-value store with the jobs, machines and leaders of newLarge, and
+// largeCache returns a copy of the key-value store with the jobs, machines and leaders of newLargeCore, and
 // a heartbeat of each machine.
 func largeCache(b testing.TB, c *Core, size int) (*storage.Cache, []*messages.Heartbeat) {
 	b.Helper()
@@ -97,10 +97,10 @@
 	return cache, heartbeats
 }
 
-// largeJobID returns the id of a job of newLarge.
+// largeJobID returns the id of a job of newLargeCore.
 func largeJobID(i int) string { return fmt.Sprintf("wk-%06d", i) }
 
-// largeJob returns a job of newLarge. The first half of the jobs run.
+// largeJob returns a job of newLargeCore. The first half of the jobs run.
 func largeJob(i int) *workload.Job {
 	return &workload.Job{
 		ID:        largeJobID(i),
@@ -115,7 +115,7 @@
 	}
 }
 
-// largeHeartbeat returns the heartbeat of a machine of newLarge.
+// largeHeartbeat returns the heartbeat of a machine of newLargeCore.
 func largeHeartbeat(machine int) *messages.Heartbeat {
 	h := &messages.Heartbeat{
 		Machine:          fmt.Sprintf("vm-%06d", machine),
