--- a/internal/coordination/responses_test.go
+++ b/internal/coordination/responses_test.go
@@ -27,8 +27,8 @@
 		fitsNoInstanceType: "a task fits no allowed machine type",
 		recordTooLarge:     "its description is too long to be kept",
 		dependsOnItself:    "it waits on itself",
-		dependsOnUnknownJob.dependency("wk-000001"): "it waits on a job that was never accepted: wk-000001",
-		dependsOnService.dependency("wk-000001"):    "it waits on a service: wk-000001",
+		dependsOnUnknownJob.withDependency("wk-000001"): "it waits on a job that was never accepted: wk-000001",
+		dependsOnService.withDependency("wk-000001"):    "it waits on a service: wk-000001",
 	}
 	for reason, want := range unschedulable {
 		if got := reason.String(); got != want {
--- a/internal/coordination/submission_dependencies.go
+++ b/internal/coordination/submission_dependencies.go
@@ -75,7 +75,7 @@
 			s.dependencies.cancelled = true
 		case entry.Job.Phase == workload.Done:
 		case entry.Job.Kind == workload.Service:
-			s.rejectUnschedulable(dependsOnService.dependency(id))
+			s.rejectUnschedulable(dependsOnService.withDependency(id))
 			return
 		default:
 			s.dependencies.unfinished = append(s.dependencies.unfinished, id)
@@ -91,7 +91,7 @@
 		case !ok:
 			s.respondUnavailable(storeUnavailable)
 		case entry == nil:
-			s.rejectUnschedulable(dependsOnUnknownJob.dependency(id))
+			s.rejectUnschedulable(dependsOnUnknownJob.withDependency(id))
 		default:
 			s.dependencies.cancelled = s.dependencies.cancelled || entry.Cancelled()
 			s.checkDependencies(others)
