--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -42,8 +42,8 @@
 	catalog *catalog.Catalog
 	jobTables
 	fleet
-	fairAdmission   *fairAdmission // nil if fair admission is disabled
-	leader *clusterleader.Leader
+	fairAdmission *fairAdmission // nil if fair admission is disabled
+	leader        *clusterleader.Leader
 }
 
 // identity is the identity and the configuration of this controller.
