--- a/internal/coordination/responses.go
+++ b/internal/coordination/responses.go
@@ -50,7 +50,7 @@
 	recordTooLarge     unschedulableReason = "its description is too long to be kept"
 	dependsOnItself    unschedulableReason = "it waits on itself"
 
-	// The method dependency appends the id of the dependency to the reasons below.
+	// withDependency appends the id of the dependency to the reasons below.
 
 	dependsOnUnknownJob unschedulableReason = "it waits on a job that was never accepted"
 	// dependsOnService: a service ends only by cancellation, so the job could never run.
