--- a/internal/coordination/status_messages_test.go
+++ b/internal/coordination/status_messages_test.go
@@ -24,7 +24,7 @@
 				t.Errorf("due %v, want %v", got, test.due)
 			}
 			if s.soon != (test.soon && !test.due) {
-				t.Errorf("soon is %v after begin", s.soon)
+				t.Errorf("soon is %v after markSentIfDue", s.soon)
 			}
 			if s.markSentIfDue(now) {
 				t.Error("status is due again immediately")
