--- a/internal/coordination/store_changes.go
+++ b/internal/coordination/store_changes.go
@@ -87,10 +87,10 @@
 
 // recordDeadProcesses records when each former partition leader was first known to be dead.
 func (c *Core) recordDeadProcesses() {
-	for _, q := range c.cache.Partitions {
-		for _, p := range q.Value.FormerLeaders {
-			if _, ok := c.deathTimes[p]; !ok && c.cache.Dead(p) {
-				c.deathTimes[p] = c.now
+	for _, partition := range c.cache.Partitions {
+		for _, process := range partition.Value.FormerLeaders {
+			if _, ok := c.deathTimes[process]; !ok && c.cache.Dead(process) {
+				c.deathTimes[process] = c.now
 			}
 		}
 	}
