--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -15,10 +15,10 @@
 	"pipitlatch/internal/workload"
 )
 
-// fleetSizes are the numbers of machines that the benchmarks are run with.
+// fleetSizes are the numbers of machines that the benchmarks run with.
 var fleetSizes = []int{400, 1300, 4000}
 
-// forFleetSizes runs a benchmark with each of them.
+// forFleetSizes runs a benchmark as a sub-benchmark for each fleet size.
 func forFleetSizes(b *testing.B, run func(b *testing.B, size int)) {
 	for _, size := range fleetSizes {
 		b.Run(strconv.Itoa(size), func(b *testing.B) { run(b, size) })
@@ -31,10 +31,9 @@
 	tasksPerJob      = 80
 )
 
-// newLarge is a core that leads the cluster and a partition of a number of machines, each
-// with eight running tasks, and has a tenth as many waiting jobs. It returns a heartbeat of each
-// machine.
-func newLarge(b testing.TB, size int) (*Core, []*messages.Heartbeat) {
+// newLargeCore returns a core that leads the cluster and a partition with size machines, and a heartbeat of
+// each machine. Each machine runs tasksPerMachine tasks, and a tenth as many jobs as machines wait.
+func newLargeCore(b testing.TB, size int) (*Core, []*messages.Heartbeat) {
 	b.Helper()
 	cfg, err := config.Parse(configtest.Default().Platform(), nil)
 	if err != nil {
@@ -61,7 +60,8 @@
 	return c, heartbeats
 }
 
-// largeCache is what the key-value store has of the jobs, machines and leaders of newLarge.
+// largeCache returns a copy of the key-value store with the jobs, machines and leaders of newLargeCore, and
+// a heartbeat of each machine.
 func largeCache(b testing.TB, c *Core, size int) (*storage.Cache, []*messages.Heartbeat) {
 	b.Helper()
 	cache := storage.NewCache(c.keys)
@@ -97,10 +97,10 @@
 	return cache, heartbeats
 }
 
-// largeJobID is the id of a job of newLarge.
+// largeJobID returns the id of a job of newLargeCore.
 func largeJobID(i int) string { return fmt.Sprintf("wk-%06d", i) }
 
-// largeJob is a job of newLarge: the first half of them run.
+// largeJob returns a job of newLargeCore. The first half of the jobs run.
 func largeJob(i int) *workload.Job {
 	return &workload.Job{
 		ID:        largeJobID(i),
@@ -115,7 +115,7 @@
 	}
 }
 
-// largeHeartbeat is the heartbeat of a machine of newLarge.
+// largeHeartbeat returns the heartbeat of a machine of newLargeCore.
 func largeHeartbeat(machine int) *messages.Heartbeat {
 	h := &messages.Heartbeat{
 		Machine:          fmt.Sprintf("vm-%06d", machine),
@@ -133,8 +133,8 @@
 	return h
 }
 
-// receive takes the next heartbeat of each machine, without the timers.
-func receive(c *Core, now micros.Time, heartbeats []*messages.Heartbeat) {
+// receiveHeartbeats processes the next heartbeat of each machine without running the timers.
+func receiveHeartbeats(c *Core, now micros.Time, heartbeats []*messages.Heartbeat) {
 	for _, h := range heartbeats {
 		h.Sequence++
 		c.lastTick = now
@@ -142,11 +142,11 @@
 	}
 }
 
-// TestProgressOfAllJobs: more running jobs than one message to the peers takes are
-// all in a few.
+// TestProgressOfAllJobs: if there are more running jobs than fit into one status message, successive
+// messages together contain the progress of all of them.
 func TestProgressOfAllJobs(t *testing.T) {
-	c, heartbeats := newLarge(t, 8000)
-	receive(c, 2*micros.Second, heartbeats)
+	c, heartbeats := newLargeCore(t, 8000)
+	receiveHeartbeats(c, 2*micros.Second, heartbeats)
 	running := map[string]int{}
 	for range 2 {
 		for _, p := range c.partitions[0].jobProgress() {
@@ -158,32 +158,32 @@
 	}
 }
 
-// BenchmarkHeartbeats takes a heartbeat of each machine, the work that comes
-// every heartbeat interval.
+// BenchmarkHeartbeats measures the processing of one heartbeat of each machine, which is the work of
+// one heartbeat interval.
 func BenchmarkHeartbeats(b *testing.B) { forFleetSizes(b, benchHeartbeats) }
 
 func benchHeartbeats(b *testing.B, size int) {
-	c, heartbeats := newLarge(b, size)
+	c, heartbeats := newLargeCore(b, size)
 	b.ReportAllocs()
 	now := 2 * micros.Second
 	for b.Loop() {
 		now += 1500 * micros.Millisecond
 		c.term.Confirm(now)
-		receive(c, now, heartbeats)
+		receiveHeartbeats(c, now, heartbeats)
 	}
 	if n := len(c.partitions[0].machines[0].attempts); n != tasksPerMachine {
-		b.Fatal("attempts", n)
+		b.Fatalf("%d attempts on the first machine, want %d", n, tasksPerMachine)
 	}
 }
 
-// BenchmarkPlan plans the waiting jobs on the machines.
+// BenchmarkPlan measures one plan of the waiting jobs on the machines.
 func BenchmarkPlan(b *testing.B) { forFleetSizes(b, benchPlan) }
 
 func benchPlan(b *testing.B, size int) {
-	c, heartbeats := newLarge(b, size)
+	c, heartbeats := newLargeCore(b, size)
 	b.ReportAllocs()
 	now := 2 * micros.Second
-	receive(c, now, heartbeats)
+	receiveHeartbeats(c, now, heartbeats)
 	p := c.partitions[0]
 	for _, m := range p.machines {
 		m.instanceType = c.catalog.Types()["m"]
@@ -198,15 +198,15 @@
 		p.schedule()
 	}
 	if len(p.buildTimelines()) != size || len(p.plan.capacityRequests) == 0 {
-		b.Fatal("nothing to plan")
+		b.Fatal("not all machines have a timeline, or no capacity was requested")
 	}
 }
 
-// BenchmarkPoll answers a poll of a finished job, and of one that is active.
+// BenchmarkPoll measures the lookup of an active job, including its linearizable read.
 func BenchmarkPoll(b *testing.B) { forFleetSizes(b, benchPoll) }
 
 func benchPoll(b *testing.B, size int) {
-	c, _ := newLarge(b, size)
+	c, _ := newLargeCore(b, size)
 	b.ReportAllocs()
 	now := 2 * micros.Second
 	polls, found := 0, 0
--- a/internal/coordination/fair_shares.go
+++ b/internal/coordination/fair_shares.go
@@ -26,11 +26,11 @@
 // newFairShares restores the lags that the previous leader of the partition reported, so that a
 // failover does not reset the order of flows. It returns nil if fair admission is off.
 func (c *Core) newFairShares(partition int) *fairShares {
-	if c.fair == nil {
+	if c.fairAdmission == nil {
 		return nil
 	}
 	bound := micros.Time(c.config.Operator.FairAdmission.LagS) * micros.Second
-	queue := admission.NewFairQueue(c.now, len(c.config.Settings.Teams), bound, &c.fair.settings)
+	queue := admission.NewFairQueue(c.now, len(c.config.Settings.Teams), bound, &c.fairAdmission.settings)
 	if lags := latestLags(c.peers, partition, c.now); len(lags) > 0 {
 		queue.Restore(c.now, lags)
 	}
--- a/internal/coordination/large_bench_test.go
+++ b/internal/coordination/large_bench_test.go
@@ -15,7 +15,7 @@
 func BenchmarkFailover(b *testing.B) { forFleetSizes(b, benchFailover) }
 
 func benchFailover(b *testing.B, size int) {
-	c, heartbeats := newLarge(b, size)
+	c, heartbeats := newLargeCore(b, size)
 	b.ReportAllocs()
 	now := 2 * micros.Second
 	for b.Loop() {
@@ -24,7 +24,7 @@
 		c.term.Confirm(now)
 		stored := storage.Versioned[storage.PartitionRecord]{ModRevision: c.cache.Partitions[0].ModRevision}
 		c.partitions[0] = newPartitionLeader(c, 0, stored)
-		receive(c, now, heartbeats)
+		receiveHeartbeats(c, now, heartbeats)
 		c.output = &messages.Output{}
 		c.partitions[0].schedule()
 	}
@@ -37,9 +37,9 @@
 func BenchmarkThirdSuspected(b *testing.B) { forFleetSizes(b, benchThirdSuspected) }
 
 func benchThirdSuspected(b *testing.B, size int) {
-	c, heartbeats := newLarge(b, size)
+	c, heartbeats := newLargeCore(b, size)
 	now := 2 * micros.Second
-	receive(c, now, heartbeats)
+	receiveHeartbeats(c, now, heartbeats)
 	p := c.partitions[0]
 	c.now, c.output = now+p.suspicionTimeout()+micros.Second, &messages.Output{}
 	b.ReportAllocs()
@@ -66,12 +66,12 @@
 func BenchmarkAllIdle(b *testing.B) { forFleetSizes(b, benchAllIdle) }
 
 func benchAllIdle(b *testing.B, size int) {
-	c, heartbeats := newLarge(b, size)
+	c, heartbeats := newLargeCore(b, size)
 	now := 2 * micros.Second
 	for _, h := range heartbeats {
 		h.Tasks = nil
 	}
-	receive(c, now, heartbeats)
+	receiveHeartbeats(c, now, heartbeats)
 	p := c.partitions[0]
 	c.now = now + 100*micros.Second
 	b.ReportAllocs()
@@ -97,8 +97,8 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		c, heartbeats := newLarge(t, size)
-		receive(c, 2*micros.Second, heartbeats)
+		c, heartbeats := newLargeCore(t, size)
+		receiveHeartbeats(c, 2*micros.Second, heartbeats)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		taken := after.HeapAlloc - before.HeapAlloc
--- a/internal/coordination/machine_health_test.go
+++ b/internal/coordination/machine_health_test.go
@@ -13,7 +13,7 @@
 // newLeaderInContact returns a partition leader with fifty machines that are all in contact.
 func newLeaderInContact(t *testing.T) *partitionLeader {
 	t.Helper()
-	c, heartbeats := newLarge(t, 50)
+	c, heartbeats := newLargeCore(t, 50)
 	now := 2 * micros.Second
 	for _, h := range heartbeats {
 		h.Sequence++
--- a/internal/coordination/responses_test.go
+++ b/internal/coordination/responses_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestReasonsAreTheTextsOfTheWire: users and agents of every version get these texts to the letter.
-func TestReasonsAreTheTextsOfTheWire(t *testing.T) {
+// TestReasonTextsAreStable: the texts are part of the wire protocol and must not change between
+// versions.
+func TestReasonTextsAreStable(t *testing.T) {
 	unavailable := map[unavailableReason]string{
 		storeUnavailable:      "the state service does not answer",
 		olderVersionRunning:   "an older version is still running",
@@ -26,8 +27,8 @@
 		fitsNoInstanceType: "a task fits no allowed machine type",
 		recordTooLarge:     "its description is too long to be kept",
 		dependsOnItself:    "it waits on itself",
-		dependsOnUnknownJob.dependency("wk-000001"): "it waits on a job that was never accepted: wk-000001",
-		dependsOnService.dependency("wk-000001"):    "it waits on a service: wk-000001",
+		dependsOnUnknownJob.withDependency("wk-000001"): "it waits on a job that was never accepted: wk-000001",
+		dependsOnService.withDependency("wk-000001"):    "it waits on a service: wk-000001",
 	}
 	for reason, want := range unschedulable {
 		if got := reason.String(); got != want {
--- a/internal/coordination/status_messages_test.go
+++ b/internal/coordination/status_messages_test.go
@@ -12,22 +12,22 @@
 		age  micros.Time // of the last status
 		due  bool
 	}{
-		"not before the interval":             {false, statusInterval - 1, false},
-		"after the interval":                  {false, statusInterval, true},
-		"an early one not at once":            {true, earlyStatusInterval - 1, false},
-		"an early one after a short interval": {true, earlyStatusInterval, true},
+		"regular, before the interval": {false, statusInterval - 1, false},
+		"regular, after the interval":  {false, statusInterval, true},
+		"early, before the interval":   {true, earlyStatusInterval - 1, false},
+		"early, after the interval":    {true, earlyStatusInterval, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := 10 * micros.Second
 			s := &statusSchedule{sentAt: now - test.age, soon: test.soon}
-			if got := s.begin(now); got != test.due {
+			if got := s.markSentIfDue(now); got != test.due {
 				t.Errorf("due %v, want %v", got, test.due)
 			}
 			if s.soon != (test.soon && !test.due) {
-				t.Errorf("soon %v after it was sent", s.soon)
+				t.Errorf("soon is %v after markSentIfDue", s.soon)
 			}
-			if s.begin(now) {
-				t.Error("due again at once")
+			if s.markSentIfDue(now) {
+				t.Error("status is due again immediately")
 			}
 		})
 	}
--- a/internal/coordination/submission_test.go
+++ b/internal/coordination/submission_test.go
@@ -14,8 +14,8 @@
 // newServingCore returns a core that serves users, without fair admission.
 func newServingCore(t *testing.T) *Core {
 	t.Helper()
-	c := newFair(t)
-	c.fair = nil
+	c := newFairAdmissionCore(t)
+	c.fairAdmission = nil
 	c.cache.Format = storage.Format
 	return c
 }
