--- a/internal/coordination/scheduling/constraints.go
+++ b/internal/coordination/scheduling/constraints.go
@@ -2,8 +2,8 @@
 
 import "pipitlatch/internal/workload"
 
-// MayRunOn tells whether a job's own conditions allow its tasks on a machine: its instance
-// types, its zone, and whether it takes spot instances.
+// MayRunOn reports whether the placement constraints of a job (instance types, zone, and whether
+// spot instances are allowed) permit its tasks on a machine.
 func MayRunOn(j *workload.Job, instanceType, zone string, spot bool) bool {
 	return (!spot || j.Spot) && (j.Zone == "" || j.Zone == zone) && j.AllowsInstanceType(instanceType)
 }
