--- a/internal/coordination/scheduling/index.go
+++ b/internal/coordination/scheduling/index.go
@@ -1,21 +1,21 @@
-// Package scheduling ranks waiting tasks by the Apparent Tardiness Cost index and
-// places them into the gaps of machines' timelines.
+// Package scheduling ranks queued tasks by the Apparent Tardiness Cost (ATC) index and places
+// them into gaps in the machines' timelines.
 //
-// Equation numbers are those of Shanthini, Kalaikumaran and Karthik, "Hybrid
-// Scheduling Model for Independent Grid Tasks" (2015); docs/design.md says what
-// was kept and what was changed. Its symbols are, in the names used here:
+// Equation numbers refer to Shanthini, Kalaikumaran and Karthik, "Hybrid Scheduling Model for
+// Independent Grid Tasks" (2015); docs/design.md describes the deviations from it. The symbols of
+// the paper correspond to these names:
 //
-//	w            Weight: what a task's priority makes of its tardiness
-//	p            Estimate: a task's processing time
-//	p_avg        mean processing time of the tasks that wait
-//	d            Due: a task's due date
+//	w            Weight: weight of a task's tardiness, derived from its priority
+//	p            Estimate: estimated processing time of a task
+//	p_avg        mean processing time of the queued tasks
+//	d            Due: due date of a task
 //	t            now
-//	C_max        sum of the processing times of the tasks that wait (equation 6)
+//	C_max        sum of the processing times of the queued tasks (equation 6)
 //	R            due date range factor (equation 5)
 //	K1           look-ahead factor (equation 7)
 //	I            Index (equation 4)
 //
-// All times are microseconds: instants on the controller's steady clock, or spans.
+// All times are in microseconds, either instants on the controller's monotonic clock or durations.
 package scheduling
 
 import (
@@ -25,7 +25,7 @@
 	"pipitlatch/internal/workload"
 )
 
-// Weight is w of the index: what a priority makes of tardiness.
+// Weight returns the tardiness weight w of a priority.
 func Weight(priority workload.Priority) float64 {
 	switch priority {
 	case workload.Low:
@@ -40,7 +40,7 @@
 	return 2
 }
 
-// LookAhead is the look-ahead factor K1 of equation (7) for the due date range factor R.
+// LookAhead returns the look-ahead factor K1 (equation 7) for the due date range factor R.
 func LookAhead(dueDateRange float64) float64 {
 	if dueDateRange <= 0.5 {
 		return 4.5 + dueDateRange
@@ -48,14 +48,14 @@
 	return 6 - 2*dueDateRange
 }
 
-// Slack is the minimum slack of equation (2), max(d - p - t, 0): how long a task may still
-// wait and end by its due date.
+// Slack returns the slack of equation (2), max(d - p - t, 0): how long the start of a task can be
+// delayed without missing its due date.
 func Slack(due, processingTime, now micros.Time) micros.Time {
 	return max(due-processingTime-now, 0)
 }
 
-// Index is the ranking index I of equation (4), in 1/s: w/p * exp(-slack / (K1 * p_avg)). With
-// no slack left it is the weighted shortest processing time of equation (3), w/p.
+// Index returns the ranking index I of equation (4), w/p * exp(-slack / (K1 * p_avg)), in 1/s.
+// Without slack it equals w/p, the weighted shortest processing time (WSPT) rule of equation (3).
 func Index(
 	weight float64, processingTime, due, now micros.Time, lookAhead float64, meanProcessingTime micros.Time,
 ) float64 {
@@ -63,23 +63,23 @@
 	return weight / micros.Seconds(processingTime) * math.Exp(-slack/(lookAhead*micros.Seconds(meanProcessingTime)))
 }
 
-// Tardiness is the weighted tardiness, in seconds, that a task adds to the sum of equation (8)
-// when it ends at finish.
+// Tardiness returns the weighted tardiness in seconds that a task ending at finish contributes to
+// the sum of equation (8).
 func Tardiness(weight float64, finish, due micros.Time) float64 {
 	return weight * micros.Seconds(max(0, finish-due))
 }
 
-// QueuedJob is what the index needs of the tasks of one job that wait. They share one index.
+// QueuedJob describes the queued tasks of one job, all of which have the same index.
 type QueuedJob struct {
 	Weight   float64
 	Estimate micros.Time // corrected estimate of one task's processing time
 	Due      micros.Time
-	Count    int     // tasks that wait
+	Count    int     // queued tasks
 	Index    float64 // set by Rank
 }
 
 // Rank sets the index of every job. The due date range factor R is the range of the jobs' due
-// dates over C_max, clamped to [0, 1]; p_avg is the mean estimate of the tasks that wait.
+// dates divided by C_max, clamped to [0, 1]; p_avg is the mean estimate of the queued tasks.
 func Rank(queue []*QueuedJob, now micros.Time) {
 	totalSeconds := 0.0 // C_max
 	count := 0
