--- a/internal/coordination/scheduling/index_test.go
+++ b/internal/coordination/scheduling/index_test.go
@@ -22,7 +22,7 @@
 		due, processingTime, now, want micros.Time
 	}{
 		{"time left", 100 * s, 30 * s, 50 * s, 20 * s},
-		{"late task has none", 70 * s, 30 * s, 50 * s, 0},
+		{"no slack for a late task", 70 * s, 30 * s, 50 * s, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := Slack(c.due, c.processingTime, c.now); got != c.want {
@@ -40,7 +40,7 @@
 	}{
 		// w 2, p 20 s, d 100 s, t 40 s: slack 40 s; K1 5, p_avg 10 s: exp(-40/50).
 		{"with slack", 100 * s, 0.1 * 0.44932896411722156},
-		{"without slack the weighted shortest processing time", 50 * s, 0.1},
+		{"without slack: weighted shortest processing time", 50 * s, 0.1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			near(t, "index", Index(2, 20*s, c.due, 40*s, 5, 10*s), c.want)
@@ -62,10 +62,10 @@
 		wantA     float64
 		wantB     float64
 	}{
-		{name: "range of a quarter", latestDue: 70 * s,
+		{name: "due date range factor 0.25", latestDue: 70 * s,
 			// C_max = 2*10 + 1*20 = 40 s, R = (70-60)/40 = 0.25, K1 = 4.75.
 			wantA: 0.2 * math.Exp(-50/(4.75*mean)), wantB: 0.2 * math.Exp(-50/(4.75*mean))},
-		{name: "widely spread due dates: R clamped to 1", latestDue: 1000 * s,
+		{name: "due date range factor clamped to 1", latestDue: 1000 * s,
 			wantA: 0.2 * math.Exp(-50/(4*mean)), wantB: 0.2 * math.Exp(-980/(4*mean))},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -85,8 +85,9 @@
 	}{
 		{"late", Tardiness(4, 70*s, 60*s), 40},
 		{"early", Tardiness(4, 50*s, 60*s), 0},
-		// Lost with probability 1-exp(-0.01*20): then 10 s later, 20 s after the due date.
-		{"machine may be lost", expectedTardiness(1, 70*s, 60*s, 20*s, 0.01), 10 + (1-math.Exp(-0.2))*10},
+		// The machine is lost with probability 1-exp(-0.01*20); the task then ends 10 s later, 20 s
+		// after its due date.
+		{"with machine loss rate", expectedTardiness(1, 70*s, 60*s, 20*s, 0.01), 10 + (1-math.Exp(-0.2))*10},
 	} {
 		t.Run(c.name, func(t *testing.T) { near(t, "tardiness", c.got, c.want) })
 	}
