--- a/internal/coordination/scheduling/place.go
+++ b/internal/coordination/scheduling/place.go
@@ -7,29 +7,29 @@
 	"pipitlatch/internal/workload"
 )
 
-// Machine is a machine as the planner sees it.
+// Machine is the planner's view of a machine.
 type Machine struct {
-	Index    int // place in the caller's list of machines
+	Index    int // position in the caller's list of machines
 	Type     *workload.InstanceType
 	Zone     string
 	Spot     bool
 	Timeline *Timeline
-	HasImage func(string) bool // whether an image is there, or on its way
-	Slowness float64           // observed run time against that of its peers; 1: like them
-	Replicas int               // service replicas planned or running here
-	Up       bool              // false: still expected to boot
-	LossRate float64           // how often a machine of this kind is lost, a second
+	HasImage func(string) bool // reports whether an image is present or being fetched
+	Slowness float64           // observed run time relative to other machines; 1 is normal
+	Replicas int               // service replicas planned or running on the machine
+	Up       bool              // false while the machine is expected to boot
+	LossRate float64           // expected losses per second of a machine of this kind
 }
 
-// Slot is a place for one task.
+// Slot is the placement of one task on a machine.
 type Slot struct {
 	Machine   *Machine
 	Start     micros.Time
-	Length    micros.Time // image fetch included; Forever for a replica
+	Length    micros.Time // including the image fetch; Forever for a service replica
 	Tardiness float64     // expected weighted tardiness, in seconds
 }
 
-// Request asks for slots for the waiting tasks of one job. Weight, Estimate and Due are those of
+// Request asks for slots for the queued tasks of one job. Weight, Estimate and Due are those of
 // its QueuedJob.
 type Request struct {
 	Job         *workload.Job
@@ -38,15 +38,17 @@
 	Due         micros.Time
 	Count       int // tasks to place
 	Now         micros.Time
-	Zone        string         // "": any; the zone that a one-zone job already has
-	TasksByZone map[string]int // tasks of the job that have a machine; Place adds those it places
-	PackLimit   int            // how many replicas a machine takes before others are preferred
+	Zone        string         // zone already in use by a single-zone job; empty: any
+	TasksByZone map[string]int // tasks of the job assigned to machines; updated by Place
+	PackLimit   int            // replicas on a machine above which other machines are preferred
 }
 
-// Place finds a slot for one task after the other and reserves it. It ends when a task has no
-// gap anywhere: the rest wait in index order. It returns how many were placed.
+// Place finds and reserves slots for the tasks one by one until all are placed or no machine has a
+// gap, passes each slot to out, and returns the number of tasks placed. The other tasks stay
+// queued in index order.
 //
-// A task's slot changes the gaps of one machine only, so only that one is looked at again.
+// A reservation changes the gaps of one machine only, so only the candidate of that machine is
+// recomputed.
 func Place(r *Request, machines []*Machine, out func(Slot)) int {
 	if r.Count <= 0 {
 		return 0
@@ -71,7 +73,8 @@
 	return placed
 }
 
-// zoneHasCapacity tells whether the job's tasks placed so far allow another one in a zone.
+// zoneHasCapacity reports whether the zone constraints of the job allow another task in a zone,
+// given the tasks placed so far.
 func (r *Request) zoneHasCapacity(zone string) bool {
 	if r.Zone != "" && zone != r.Zone {
 		return false
@@ -79,7 +82,7 @@
 	return !r.Job.Spread || r.TasksByZone[zone] < r.Job.SpreadLimit()
 }
 
-// reserve takes a slot for a task of the job.
+// reserve assigns a slot to a task of the job.
 func (r *Request) reserve(s Slot) {
 	m := s.Machine
 	m.Timeline.Reserve(r.Job.Resources, s.Start, s.Length)
@@ -92,7 +95,7 @@
 	}
 }
 
-// candidates are the machines' best gaps for the job, as a heap.
+// candidates returns a heap of the best gap of each machine that has one for the job.
 func (r *Request) candidates(machines []*Machine) *candidates {
 	c := &candidates{
 		job:       r.Job,
@@ -110,7 +113,7 @@
 	return c
 }
 
-// candidate is the machine's best gap for the job.
+// candidate returns the best gap of the machine for the job.
 func (r *Request) candidate(m *Machine) candidate {
 	j := r.Job
 	if !MayRunOn(j, m.Type.Name, m.Zone, m.Spot) || (r.Zone != "" && r.Zone != m.Zone) ||
@@ -133,7 +136,7 @@
 	return c
 }
 
-// fetchTime is how long the job's image takes to arrive on the machine.
+// fetchTime returns the expected time to fetch the job's image to the machine.
 func fetchTime(j *workload.Job, m *Machine) micros.Time {
 	if j.Image == "" || m.HasImage(j.Image) || m.Type.FetchGBps <= 0 {
 		return 0
