--- a/internal/coordination/scheduling/place_test.go
+++ b/internal/coordination/scheduling/place_test.go
@@ -7,7 +7,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// machine is an ordinary or a spot machine of eight CPUs in zone a, in use until a time.
+// machine returns an on-demand or spot machine with eight CPUs in zone a that is fully occupied
+// until busyUntil.
 func machine(index int, spot bool, busyUntil micros.Time) *Machine {
 	instanceType := &workload.InstanceType{
 		Name:      "m",
@@ -30,7 +31,7 @@
 	return m
 }
 
-// place places tasks of a job from time 0 on.
+// place places count tasks of a job at time 0.
 func place(j *workload.Job, estimate, due micros.Time, count int, machines ...*Machine) (slots []Slot, placed int) {
 	r := &Request{Job: j, Weight: 2, Estimate: estimate, Due: due, Count: count, TasksByZone: map[string]int{}}
 	placed = Place(r, machines, func(slot Slot) { slots = append(slots, slot) })
@@ -39,7 +40,8 @@
 
 func TestPlaceTakesTheLeastTardyGap(t *testing.T) {
 	j := &workload.Job{Resources: need(8), Tasks: 9, Spot: true}
-	// Machine 1 is free at 30 s, machine 2 at 12 s: 5 s late against 23 s late.
+	// The task would end 23 s late on machine 1, which is free at 30 s, and 5 s late on machine 2,
+	// which is free at 12 s.
 	slots, _ := place(j, 10*s, 17*s, 1, machine(1, false, 30*s), machine(2, false, 12*s))
 	if slots[0].Machine.Index != 2 || slots[0].Start != 12*s {
 		t.Errorf("got machine %d at %d s", slots[0].Machine.Index, slots[0].Start/s)
@@ -52,7 +54,7 @@
 	full := machine(1, false, 0)
 	full.Timeline.Reserve(need(1), 0, Forever)
 	if _, placed := place(j, 10*s, 20*s, 1, full); placed != 0 {
-		t.Errorf("placed %d without a gap", placed)
+		t.Errorf("placed %d tasks on a machine without a gap", placed)
 	}
 }
 
@@ -65,8 +67,8 @@
 		due  micros.Time
 		want *Machine
 	}{
-		{"a tight task goes to an ordinary machine", 11 * s, ordinary},
-		{"a task with slack goes to a spot machine", 100 * s, spot},
+		{"on-demand machine for a task with little slack", 11 * s, ordinary},
+		{"spot machine for a task with ample slack", 100 * s, spot},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if slots, _ := place(j, 10*s, c.due, 1, spot, ordinary); slots[0].Machine != c.want {
@@ -76,7 +78,8 @@
 	}
 }
 
-// The service among them has a place for as many tasks as fit at once: its tasks do not end.
+// In the service case, only as many tasks are placed as fit at the same time, because service
+// tasks do not end.
 func TestPlaceKeepsConstraints(t *testing.T) {
 	inZone := func(zone string, m *Machine) *Machine {
 		m.Zone = zone
@@ -88,12 +91,12 @@
 		count int
 		want  int
 	}{
-		{"no spot machine without leave", workload.Job{Resources: need(4), Tasks: 4, Zone: "b"}, 4, 0},
-		{"its zone alone", workload.Job{Kind: workload.Service, Resources: need(4), Tasks: 4, Zone: "a"}, 4, 2},
-		{"its instance types alone", workload.Job{Resources: need(4), Tasks: 4, InstanceTypes: []string{"l"}}, 4, 0},
-		{"what fits into the capacity alone", workload.Job{Resources: need(9), Tasks: 4, Spot: true}, 4, 0},
+		{"no spot machine unless allowed", workload.Job{Resources: need(4), Tasks: 4, Zone: "b"}, 4, 0},
+		{"only in its zone", workload.Job{Kind: workload.Service, Resources: need(4), Tasks: 4, Zone: "a"}, 4, 2},
+		{"only on its instance types", workload.Job{Resources: need(4), Tasks: 4, InstanceTypes: []string{"l"}}, 4, 0},
+		{"not beyond the machine capacity", workload.Job{Resources: need(9), Tasks: 4, Spot: true}, 4, 0},
 		{"spread over two zones", workload.Job{Resources: need(1), Tasks: 5, Spread: true, Spot: true}, 5, 5},
-		{"half of a spread job in one zone", workload.Job{Resources: need(1), Tasks: 5, Spread: true, Zone: "a"}, 5, 3},
+		{"spread limit in a single zone", workload.Job{Resources: need(1), Tasks: 5, Spread: true, Zone: "a"}, 5, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, placed := place(&c.job, s, 9*s, c.count, machine(1, false, 0), inZone("b", machine(2, true, 0)))
@@ -110,10 +113,10 @@
 	slots, placed := place(&workload.Job{Resources: need(4), Tasks: 4, OneZone: true, Spot: true}, s, 9*s, 4, a, b)
 	for _, slot := range slots {
 		if slot.Machine.Zone != slots[0].Machine.Zone {
-			t.Error("tasks in two zones")
+			t.Error("tasks of a single-zone job placed in two zones")
 		}
 	}
 	if placed == 0 {
-		t.Error("nothing was placed")
+		t.Error("no task was placed")
 	}
 }
