--- a/internal/coordination/scheduling/precedence.go
+++ b/internal/coordination/scheduling/precedence.go
@@ -7,24 +7,25 @@
 	"pipitlatch/internal/micros"
 )
 
-// Precedence is what places an array's job among the others: the exceptions to the order by
-// the index, in the order in which they apply, and then the index. Each exception is the
-// smallest that worked; docs/design.md has their figures.
+// Precedence is the sort key of a queued array job: the exceptions to the index order, in the
+// order in which they apply, followed by the index. Each exception is the smallest one that proved
+// effective; docs/design.md gives the measurements.
 type Precedence struct {
-	// WithinGuarantee: it fits into its team's guaranteed quota, and does not wait on what
-	// others borrow.
+	// WithinGuarantee is set for a job that fits into its team's guaranteed quota; it must not wait
+	// behind jobs that borrow capacity beyond theirs.
 	WithinGuarantee bool
-	// Lag is how far its flow is behind its fair share, if that is more than the bound.
+	// Lag is how far the job's flow is behind its fair share, or zero if within the bound.
 	Lag admission.Lag
-	// NearObjective: its class's tasks are to have begun, or it is to be finished, soon. Of
-	// these the one that is ready longest goes first.
+	// NearObjective is set if the start-time objective of the job's class or the job's completion
+	// objective is close. Such jobs are ordered by ReadySince, earliest first.
 	NearObjective bool
 	ReadySince    micros.Time
-	// Queued has the index.
+	// Queued holds the job's index.
 	Queued *QueuedJob
 }
 
-// Compare orders jobs whose index is known; negative: p goes first.
+// Compare returns a negative number if p goes before o, and a positive number if it goes after o.
+// The indices must have been set by Rank.
 func (p Precedence) Compare(o Precedence) int {
 	switch {
 	case p.WithinGuarantee != o.WithinGuarantee:
@@ -39,7 +40,7 @@
 	return cmp.Compare(o.Queued.Index, p.Queued.Index)
 }
 
-// first orders what it is true for before the rest.
+// first returns the comparison result that orders a true value before a false one.
 func first(is bool) int {
 	if is {
 		return -1
