--- a/internal/coordination/scheduling/precedence_test.go
+++ b/internal/coordination/scheduling/precedence_test.go
@@ -10,7 +10,7 @@
 	"pipitlatch/internal/micros"
 )
 
-// TestPrecedence: each exception goes before all that come after it, whatever these say.
+// TestPrecedence checks that each exception overrides all lower-ranked criteria.
 func TestPrecedence(t *testing.T) {
 	low, high := &QueuedJob{Index: 1}, &QueuedJob{Index: 9}
 	order := []struct {
@@ -19,10 +19,10 @@
 	}{
 		{"within guarantee, high index", Precedence{WithinGuarantee: true, Queued: high}},
 		{"within guarantee, low index", Precedence{WithinGuarantee: true, Queued: low}},
-		{"team furthest behind", Precedence{Lag: admission.Lag{Team: 9, Class: 1}, Queued: low}},
-		{"team behind, class further", Precedence{Lag: admission.Lag{Team: 5, Class: 8}, Queued: low}},
-		{"team behind, class less", Precedence{Lag: admission.Lag{Team: 5, Class: 7}, Queued: high, NearObjective: true}},
-		{"class behind", Precedence{Lag: admission.Lag{Class: 3}, Queued: low}},
+		{"largest team lag", Precedence{Lag: admission.Lag{Team: 9, Class: 1}, Queued: low}},
+		{"team lag, larger class lag", Precedence{Lag: admission.Lag{Team: 5, Class: 8}, Queued: low}},
+		{"team lag, smaller class lag", Precedence{Lag: admission.Lag{Team: 5, Class: 7}, Queued: high, NearObjective: true}},
+		{"class lag only", Precedence{Lag: admission.Lag{Class: 3}, Queued: low}},
 		{"near objective, ready first", Precedence{NearObjective: true, ReadySince: 10, Queued: low}},
 		{"near objective, ready later", Precedence{NearObjective: true, ReadySince: 20, Queued: high}},
 		{"high index, ready first", Precedence{ReadySince: 1, Queued: high}},
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestPrecedenceIsAnOrder: any jobs can be sorted by it.
+// TestPrecedenceIsAnOrder checks that sorting by Compare leaves no pair of jobs out of order.
 func TestPrecedenceIsAnOrder(t *testing.T) {
 	draw := rapid.Custom(func(t *rapid.T) Precedence {
 		small := rapid.Int64Range(0, 2)
@@ -57,7 +57,7 @@
 		for i := range list {
 			for k := i + 1; k < len(list); k++ {
 				if list[i].Compare(list[k]) > 0 {
-					t.Fatalf("%+v after %+v", list[i], list[k])
+					t.Fatalf("%+v sorted before %+v", list[i], list[k])
 				}
 			}
 		}
