--- a/internal/coordination/scheduling/candidates.go
+++ b/internal/coordination/scheduling/candidates.go
@@ -7,21 +7,21 @@
 	"pipitlatch/internal/workload"
 )
 
-// startTieWindow is the grain of time within which two gaps count as equally early: a grid,
-// so that the order of gaps is a strict one.
+// startTieWindow is the size of the fixed time buckets within which ready times count as equal.
+// Buckets, unlike a maximum difference, keep the order of candidates transitive.
 const startTieWindow = 250 * micros.Millisecond
 
 // candidate is the best gap of one machine for a job.
 type candidate struct {
 	slot  Slot
-	ready micros.Time // when the task can begin: the slot's start, and the image fetch
-	ok    bool        // false: the machine has no gap
+	ready micros.Time // when the task can begin: the slot's start plus the image fetch time
+	ok    bool        // false if the machine has no gap
 }
 
-// better tells whether a is the better gap for the job: the least total weighted tardiness
-// decides (equation 8: placing one task moves no other, so two sums differ by its own term);
-// among equals, mostly without any tardiness, the task that is ready first, and then what suits
-// the kind of job.
+// better reports whether a is a better candidate for the job than b. Lower total weighted
+// tardiness (equation 8) wins; since placing a task moves no other task, comparing the task's own
+// term is sufficient. Ties, most of which have no tardiness, go to the earlier ready time and then
+// to the preference of the job kind.
 func better(j *workload.Job, packLimit int, a, b *candidate) bool {
 	if !b.ok || !a.ok {
 		return a.ok
@@ -38,8 +38,8 @@
 	return betterForArrayTask(a, b)
 }
 
-// betterForReplica prefers a machine that has replicas already, up to the limit, and from there
-// on the one with fewer.
+// betterForReplica prefers the machine with more replicas while both are below packLimit, and
+// otherwise the one with fewer.
 func betterForReplica(packLimit int, a, b *Machine) bool {
 	switch {
 	case a.Replicas == b.Replicas:
@@ -51,8 +51,8 @@
 	}
 }
 
-// betterForArrayTask prefers a spot machine, which few services can use, and then the machine
-// where the task adds least.
+// betterForArrayTask prefers spot machines, because few services can use them, and then the
+// machine to which the task adds the least machine time.
 func betterForArrayTask(a, b *candidate) bool {
 	if aSpot, bSpot := a.slot.Machine.Spot, b.slot.Machine.Spot; aSpot != bSpot {
 		return aSpot
@@ -63,8 +63,8 @@
 	return fuller(a.slot.Machine, b.slot.Machine)
 }
 
-// fuller prefers the machine with less free CPU at the beginning of its timeline, and of equals
-// the one that comes first in the caller's list.
+// fuller prefers the machine with less free CPU at the beginning of its timeline, then the one
+// that comes first in the caller's list.
 func fuller(a, b *Machine) bool {
 	aFree, bFree := a.Timeline.steps[0].free.CPU, b.Timeline.steps[0].free.CPU
 	if aFree != bFree {
@@ -73,17 +73,18 @@
 	return a.Index < b.Index
 }
 
-// addedMachineTime is the machine time, by size, that the task adds, in milli-CPU times
-// startTieWindow: a task that ends before what is planned there already adds none, and a machine
-// that is empty is kept for it whole.
+// addedMachineTime returns by how much the task prolongs the use of the machine, multiplied by the
+// machine's CPU capacity, in milli-CPU times startTieWindow. It is zero for a task that ends before
+// the reservations already planned. An empty machine would be kept for the task alone, so there
+// all of the time until the task ends counts.
 func (c *candidate) addedMachineTime() int64 {
 	m := c.slot.Machine
 	added := max(0, c.slot.Start+c.slot.Length-m.Timeline.lastChange())
 	return added / startTieWindow * m.Type.Capacity.CPU
 }
 
-// expectedTardiness weighs in that a machine may be lost while the task runs: on average half
-// way, and then the task starts anew.
+// expectedTardiness returns the expected weighted tardiness, taking into account that the machine
+// may be lost while the task runs: on average halfway, after which the task restarts.
 func expectedTardiness(weight float64, finish, due, length micros.Time, lossRate float64) float64 {
 	tardiness := Tardiness(weight, finish, due)
 	if lossRate <= 0 || finish+length/2 <= due {
@@ -93,33 +94,33 @@
 	return tardiness + lossProbability*(Tardiness(weight, finish+length/2, due)-tardiness)
 }
 
-// candidates is a heap of the machines' best gaps for one job, the best on top. The heap is of
-// places in a list, which are small: most of a plan's time goes into moving its entries.
+// candidates is a heap of the machines' best gaps for one job, the best on top. It holds list
+// indices instead of candidates because most of the planning time is spent on moving heap entries.
 type candidates struct {
 	job       *workload.Job
 	packLimit int
 	list      []candidate
-	order     []int32 // places in list
+	order     []int32 // heap of indices into list
 }
 
-// best is the best gap there is.
+// best returns the top of the heap, which must not be empty.
 func (c *candidates) best() *candidate { return &c.list[c.order[0]] }
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (c *candidates) Len() int { return len(c.order) }
 
-// Less is part of heap.Interface.
+// Less implements heap.Interface.
 func (c *candidates) Less(i, j int) bool {
 	return better(c.job, c.packLimit, &c.list[c.order[i]], &c.list[c.order[j]])
 }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (c *candidates) Swap(i, j int) { c.order[i], c.order[j] = c.order[j], c.order[i] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (c *candidates) Push(x any) { c.order = append(c.order, x.(int32)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (c *candidates) Pop() any {
 	last := len(c.order) - 1
 	x := c.order[last]
