--- a/internal/coordination/scheduling/candidates_test.go
+++ b/internal/coordination/scheduling/candidates_test.go
@@ -7,25 +7,25 @@
 	"pipitlatch/internal/workload"
 )
 
-// gap is a machine's gap at a time, for a task of ten seconds.
+// gap returns a candidate on m for a task of ten seconds that starts at ready.
 func gap(m *Machine, tardiness float64, ready micros.Time) *candidate {
 	return &candidate{slot: Slot{Machine: m, Start: ready, Length: 10 * s, Tardiness: tardiness}, ready: ready, ok: true}
 }
 
-// with is a machine that has service replicas.
+// with sets the number of service replicas on m.
 func with(m *Machine, replicas int) *Machine {
 	m.Replicas = replicas
 	return m
 }
 
-// busy is a machine that has CPUs in use for five seconds.
+// busy reserves CPUs on m for five seconds.
 func busy(m *Machine, cpu int64) *Machine {
 	m.Timeline.Reserve(need(cpu), 0, 5*s)
 	return m
 }
 
-// TestBetterPrefers: what decides between two gaps, each case by the first thing that differs,
-// while what would decide after it says the opposite.
+// TestBetterPrefers checks the order of the comparison criteria: in most cases, the criterion
+// named decides although a lower-ranked criterion favors the other candidate.
 func TestBetterPrefers(t *testing.T) {
 	const array, service = workload.Array, workload.Service
 	for _, c := range []struct {
@@ -33,36 +33,36 @@
 		kind          workload.JobKind
 		better, worse *candidate
 	}{
-		{"a gap to none", array,
+		{"a gap over no gap", array,
 			gap(machine(2, false, 0), 9, 9*s), &candidate{}},
-		{"less tardiness to an early start", array,
+		{"less tardiness over an earlier start", array,
 			gap(machine(2, false, 0), 1, 9*s), gap(machine(1, true, 0), 2, 0)},
-		{"what is ready first to a spot machine", array,
+		{"an earlier ready time over a spot machine", array,
 			gap(machine(2, false, 0), 0, 0), gap(machine(1, true, 0), 0, startTieWindow)},
-		{"for an array a spot machine to what adds less", array,
+		{"array: a spot machine over less added machine time", array,
 			gap(machine(2, true, 0), 0, 0), gap(machine(1, false, 20*s), 0, 0)},
-		{"for an array what adds less to the fuller machine", array,
+		{"array: less added machine time over less free CPU", array,
 			gap(machine(2, false, 20*s), 0, 20*s), gap(busy(machine(1, false, 15*s), 4), 0, 20*s)},
-		{"the fuller machine to the first", array,
+		{"less free CPU over a lower machine index", array,
 			gap(busy(machine(2, false, 0), 4), 0, 5*s), gap(busy(machine(1, false, 0), 1), 0, 5*s)},
-		{"the first of two alike", array,
+		{"a lower machine index among equals", array,
 			gap(machine(1, false, 0), 0, 0), gap(machine(2, false, 0), 0, startTieWindow-1)},
-		{"for a replica more of them below the limit", service,
+		{"service: more replicas below the pack limit", service,
 			gap(with(machine(2, true, 0), 2), 0, 0), gap(with(busy(machine(1, false, 0), 4), 1), 0, 0)},
-		{"for a replica fewer of them from the limit on", service,
+		{"service: fewer replicas at or above the pack limit", service,
 			gap(with(machine(2, false, 0), 3), 0, 0), gap(with(busy(machine(1, false, 0), 4), 4), 0, 0)},
-		{"for a replica fewer where one is at the limit", service,
+		{"service: fewer replicas if one machine is at the pack limit", service,
 			gap(with(machine(2, false, 0), 2), 0, 0), gap(with(busy(machine(1, false, 0), 4), 3), 0, 0)},
-		{"for a replica the fuller of two alike, spot or not", service,
+		{"service: less free CPU, spot or not", service,
 			gap(busy(machine(2, false, 0), 4), 0, 0), gap(machine(1, true, 0), 0, 0)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			j := &workload.Job{Kind: c.kind}
 			if !better(j, 3, c.better, c.worse) {
-				t.Error("not preferred")
+				t.Error("the better candidate is not preferred")
 			}
 			if better(j, 3, c.worse, c.better) {
-				t.Error("the other one is preferred, too")
+				t.Error("the worse candidate is preferred")
 			}
 		})
 	}
