--- a/internal/coordination/scheduling/timeline.go
+++ b/internal/coordination/scheduling/timeline.go
@@ -8,34 +8,34 @@
 	"pipitlatch/internal/workload"
 )
 
-// Forever is the length of a service's open-ended slot.
+// Forever is the length of a service replica's slot, which has no end.
 const Forever = micros.Max
 
-// step is a part of a timeline, up to the next step.
+// step is an interval of constant free resources, which ends where the next step begins.
 type step struct {
 	from micros.Time
 	free workload.Resources
 }
 
-// Timeline is what a machine is planned to have free: a step function of time, the last step
-// lasting forever.
+// Timeline holds the planned free resources of a machine as a step function of time. The last step
+// has no end.
 type Timeline struct {
-	steps []step // in order of time, never empty
+	steps []step // ordered by time, never empty
 }
 
-// NewTimeline is the timeline of a machine that is empty from a time on, and has nothing before.
+// NewTimeline returns the timeline of an empty machine that is available starting at from.
 func NewTimeline(from micros.Time, capacity workload.Resources) *Timeline {
 	return &Timeline{steps: []step{{from, capacity}}}
 }
 
-// begin is when the machine is first there.
+// begin returns the time at which the machine becomes available.
 func (tl *Timeline) begin() micros.Time { return tl.steps[0].from }
 
-// lastChange is the end of the last reservation that ends.
+// lastChange returns the start of the last step, after which the free resources stay the same.
 func (tl *Timeline) lastChange() micros.Time { return tl.steps[len(tl.steps)-1].from }
 
-// split makes a step begin at an instant, which must not lie before the timeline, and returns
-// the step's place.
+// split ensures that a step begins at the given time, which must not be before the beginning of
+// the timeline, and returns the index of that step.
 func (tl *Timeline) split(at micros.Time) int {
 	i, found := slices.BinarySearchFunc(tl.steps, at, func(s step, at micros.Time) int {
 		return cmp.Compare(s.from, at)
@@ -47,8 +47,8 @@
 	return i
 }
 
-// Reserve takes resources from start for a length of time. It may take more than there is:
-// what runs already is reserved, too, whatever was expected of it.
+// Reserve subtracts resources from start for the given length of time. It may reserve more than
+// is free: tasks that already run are reserved regardless of what was expected of them.
 func (tl *Timeline) Reserve(need workload.Resources, start, length micros.Time) {
 	first := tl.split(max(start, tl.begin()))
 	last := len(tl.steps)
@@ -60,9 +60,9 @@
 	}
 }
 
-// Gap finds the first gap that takes the resources for a length of time, at or after an
-// instant. On one machine the first gap that fits also ends first, so no later one can have a
-// lower weighted tardiness, and only this one is compared between machines.
+// Gap returns the start of the first gap at or after from in which the resources are free for the
+// given length of time. A task that starts in the first gap of a machine also ends first, so no
+// later gap has a lower weighted tardiness and only this one is compared across machines.
 func (tl *Timeline) Gap(need workload.Resources, from, length micros.Time) (start micros.Time, found bool) {
 	const none = micros.Time(-1)
 	start = none
