--- a/internal/coordination/scheduling/timeline_test.go
+++ b/internal/coordination/scheduling/timeline_test.go
@@ -8,15 +8,15 @@
 	"pipitlatch/internal/workload"
 )
 
-// need is what a task of a number of CPUs needs.
+// need returns the resources of a task that requires the given number of CPUs.
 func need(cpu int64) workload.Resources { return workload.Resources{CPU: cpu * 1000, Mem: 1000} }
 
 func TestTimelineGaps(t *testing.T) {
 	tl := NewTimeline(0, need(8))
 	tl.steps[0].free.Mem = 64_000
-	tl.Reserve(need(6), 0, 10*s)       // 2 free until 10
-	tl.Reserve(need(4), 20*s, 10*s)    // 8 free 10..20, 4 free 20..30
-	tl.Reserve(need(8), 40*s, Forever) // none from 40 on
+	tl.Reserve(need(6), 0, 10*s)       // 2 CPUs free from 0 to 10 s
+	tl.Reserve(need(4), 20*s, 10*s)    // 8 free from 10 to 20 s, 4 from 20 to 30 s
+	tl.Reserve(need(8), 40*s, Forever) // none free from 40 s
 	for _, c := range []struct {
 		cpu          int64
 		from, length micros.Time
