--- a/internal/coordination/scheduling/reference_test.go
+++ b/internal/coordination/scheduling/reference_test.go
@@ -10,7 +10,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// plainPlace is Place without the heap: for every task it looks at every machine.
+// plainPlace is a reference implementation of Place that examines every machine for every task
+// instead of using a heap.
 func plainPlace(r *Request, machines []*Machine, out func(Slot)) int {
 	placed := 0
 	for ; placed < r.Count; placed++ {
@@ -40,12 +41,12 @@
 	return placed
 }
 
-// mayTakeAnother says again, for the reference, what a job's placed tasks allow of a zone.
+// mayTakeAnother is an independent implementation of zoneHasCapacity for the reference.
 func mayTakeAnother(r *Request, zone string) bool {
 	return (r.Zone == "" || zone == r.Zone) && (!r.Job.Spread || r.TasksByZone[zone] < r.Job.SpreadLimit())
 }
 
-// drawnFleet draws machines of three sizes, some of them busy for a while.
+// drawnFleet generates machines of three sizes, some of them with running tasks.
 func drawnFleet(t *rapid.T) []*Machine {
 	var out []*Machine
 	for i := range rapid.IntRange(1, 30).Draw(t, "machines") {
@@ -90,8 +91,8 @@
 	return out
 }
 
-// TestPlaceLikeThePlainOne holds Place against the plain reference: the heap may
-// make it faster, not decide otherwise.
+// TestPlaceLikeThePlainOne checks that Place makes the same placements as the reference
+// implementation without a heap.
 func TestPlaceLikeThePlainOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := drawnFleet(t)
@@ -117,12 +118,12 @@
 		placed := Place(request(), fleet, func(slot Slot) { got = append(got, slot) })
 		expected := plainPlace(request(), fleetForReference, func(slot Slot) { want = append(want, slot) })
 		if placed != expected {
-			t.Fatalf("placed %d, the plain one %d", placed, expected)
+			t.Fatalf("placed %d tasks, reference placed %d", placed, expected)
 		}
 		for i := range got {
 			g, w := got[i], want[i]
 			if g.Machine.Index != w.Machine.Index || g.Start != w.Start || g.Length != w.Length {
-				t.Fatalf("task %d: machine %d at %d, the plain one machine %d at %d",
+				t.Fatalf("task %d: placed on machine %d at %d, reference on machine %d at %d",
 					i, g.Machine.Index, g.Start, w.Machine.Index, w.Start)
 			}
 		}
@@ -145,7 +146,7 @@
 			placed += Place(r, fleet, func(Slot) {})
 		}
 		if placed != 2000 {
-			b.Fatal(placed)
+			b.Fatalf("placed %d tasks, want 2000", placed)
 		}
 	}
 }
