--- a/internal/coordination/provisioning/capacity.go
+++ b/internal/coordination/provisioning/capacity.go
@@ -3,27 +3,28 @@
 import "pipitlatch/internal/micros"
 
 const (
-	// minBackoff and maxBackoff bound the wait after the cloud had too few of a kind; it
-	// doubles each further time.
+	// minBackoff and maxBackoff bound the exponential backoff after the cloud reported
+	// insufficient capacity for a kind.
 	minBackoff = 4 * micros.Second
 	maxBackoff = 16 * micros.Second
-	// probeCount is how many instances are requested after the wait: it must not look as if
-	// the need were served by a kind that is most likely still exhausted.
+	// probeCount is the number of instances that may be requested after the backoff. It is small
+	// because the kind is most likely still exhausted, so a larger request would count as serving
+	// demand that it does not serve.
 	probeCount = 4
-	// Unlimited is the limit of a kind that the cloud has not run out of.
+	// Unlimited is the limit of a kind that is not exhausted.
 	Unlimited = 1 << 30
 )
 
-// CapacityTracker remembers which kinds of instances the cloud has run out of. Of such a kind
-// only what was terminated since is known to be available; beyond that a few are requested
-// now and then.
+// CapacityTracker tracks the instance kinds that the cloud has run out of. Of an exhausted kind,
+// only the instances terminated since are known to be available; if there are none, a few are
+// requested after each backoff as a probe.
 type CapacityTracker struct {
 	retryAt   map[InstanceKind]micros.Time
 	backoff   map[InstanceKind]micros.Time
-	available map[InstanceKind]int // of the exhausted kinds, those not in it are unlimited
+	available map[InstanceKind]int // exhausted kinds only; other kinds are unlimited
 }
 
-// NewCapacityTracker is a tracker to which no kind is exhausted.
+// NewCapacityTracker returns a tracker without exhausted kinds.
 func NewCapacityTracker() *CapacityTracker {
 	return &CapacityTracker{
 		retryAt:   map[InstanceKind]micros.Time{},
@@ -32,14 +33,14 @@
 	}
 }
 
-// Exhausted notes that the cloud had too few of the kind.
+// Exhausted records that the cloud had insufficient capacity for the kind.
 func (t *CapacityTracker) Exhausted(kind InstanceKind, now micros.Time) {
 	t.backoff[kind] = min(maxBackoff, max(minBackoff, 2*t.backoff[kind]))
 	t.retryAt[kind] = now + t.backoff[kind]
 	t.available[kind] = 0
 }
 
-// Granted notes that the cloud had as many as were requested.
+// Granted records that the cloud granted a request for count instances in full.
 func (t *CapacityTracker) Granted(kind InstanceKind, count int) {
 	delete(t.backoff, kind)
 	if available, ok := t.available[kind]; ok && available > count {
@@ -49,14 +50,14 @@
 	}
 }
 
-// Terminated notes that an instance of the kind is gone: the cloud has one more of it.
+// Terminated records the termination of an instance of the kind, which makes one more available.
 func (t *CapacityTracker) Terminated(kind InstanceKind) {
 	if available, ok := t.available[kind]; ok {
 		t.available[kind] = available + 1
 	}
 }
 
-// Limit is how many instances of the kind may be requested now.
+// Limit returns how many instances of the kind may be requested now.
 func (t *CapacityTracker) Limit(kind InstanceKind, now micros.Time) int {
 	available, exhausted := t.available[kind]
 	switch {
