--- a/internal/coordination/provisioning/capacity_test.go
+++ b/internal/coordination/provisioning/capacity_test.go
@@ -10,7 +10,7 @@
 
 type events = []func(*CapacityTracker)
 
-// exhausted is the cloud's running out of the kind, at time zero.
+// exhausted records the exhaustion of testKind at time 0.
 func exhausted(t *CapacityTracker) { t.Exhausted(testKind, 0) }
 
 func granted(count int) func(*CapacityTracker) {
@@ -25,25 +25,25 @@
 	now    micros.Time
 	want   int
 }{
-	{"a kind that nothing is known of", nil, 0, Unlimited},
+	{"unknown kind", nil, 0, Unlimited},
 	{"granted", events{granted(3)}, 0, Unlimited},
-	{"termination says nothing of a kind that is not exhausted", events{terminated}, 0, Unlimited},
+	{"terminated while not exhausted", events{terminated}, 0, Unlimited},
 	{"just exhausted", events{exhausted}, 0, 0},
-	{"exhausted, last instant of the wait", events{exhausted}, minBackoff - 1, 0},
-	{"exhausted, after the wait", events{exhausted}, minBackoff, probeCount},
-	{"the second wait is twice as long", events{exhausted, exhausted}, 2*minBackoff - 1, 0},
-	{"the second wait ends", events{exhausted, exhausted}, 2 * minBackoff, probeCount},
-	{"the longest wait", events{exhausted, exhausted, exhausted, exhausted}, maxBackoff - 1, 0},
-	{"the longest wait ends", events{exhausted, exhausted, exhausted, exhausted}, maxBackoff, probeCount},
-	{"what was terminated since may be requested at once", events{exhausted, terminated, terminated}, 0, 2},
-	{"no more than that after the wait", events{exhausted, terminated}, minBackoff, 1},
-	{"what was granted is taken off", events{exhausted, terminated, terminated, granted(1)}, 0, 1},
-	{"unlimited once all that was terminated was granted",
+	{"exhausted, just before the end of the backoff", events{exhausted}, minBackoff - 1, 0},
+	{"exhausted, after the backoff", events{exhausted}, minBackoff, probeCount},
+	{"second backoff is twice as long", events{exhausted, exhausted}, 2*minBackoff - 1, 0},
+	{"after the second backoff", events{exhausted, exhausted}, 2 * minBackoff, probeCount},
+	{"maximum backoff", events{exhausted, exhausted, exhausted, exhausted}, maxBackoff - 1, 0},
+	{"after the maximum backoff", events{exhausted, exhausted, exhausted, exhausted}, maxBackoff, probeCount},
+	{"instances terminated since may be requested at once", events{exhausted, terminated, terminated}, 0, 2},
+	{"only those after the backoff", events{exhausted, terminated}, minBackoff, 1},
+	{"granted instances are subtracted", events{exhausted, terminated, terminated, granted(1)}, 0, 1},
+	{"unlimited once all terminated instances were granted",
 		events{exhausted, terminated, terminated, granted(2)}, 0, Unlimited},
-	{"unlimited once a probe was granted", events{exhausted, granted(probeCount)}, 0, Unlimited},
-	{"the wait is short again after a grant", events{exhausted, exhausted, granted(1), exhausted},
+	{"unlimited after a granted probe", events{exhausted, granted(probeCount)}, 0, Unlimited},
+	{"a grant resets the backoff", events{exhausted, exhausted, granted(1), exhausted},
 		minBackoff, probeCount},
-	{"exhausted anew forgets what was terminated before", events{exhausted, terminated, exhausted}, 0, 0},
+	{"exhaustion discards earlier terminations", events{exhausted, terminated, exhausted}, 0, 0},
 }
 
 func TestCapacityTrackerLimit(t *testing.T) {
@@ -58,7 +58,7 @@
 			}
 			for _, other := range []InstanceKind{{"m", "a", true}, {"m", "b", false}, {"n", "a", false}} {
 				if got := tracker.Limit(other, test.now); got != Unlimited {
-					t.Errorf("Limit of %v = %d, want no limit: it is another kind", other, got)
+					t.Errorf("Limit of other kind %v = %d, want Unlimited", other, got)
 				}
 			}
 		})
