--- a/internal/coordination/provisioning/choose.go
+++ b/internal/coordination/provisioning/choose.go
@@ -10,16 +10,15 @@
 )
 
 const (
-	// urgentBoot is the boot time that doubles an instance's cost for services that wait
-	// for it.
+	// urgentBoot is the boot time that doubles the cost of an instance for an urgent service.
 	urgentBoot = 15 * micros.Second
-	// kindShare is the part of a round that one kind may take at most, as a divisor.
+	// kindShare is the divisor that limits each kind to a fraction of the instances of a round.
 	kindShare = 5
 )
 
-// Choose requests for the capacity requests, in their order, the instances that cost least a
-// task over boot and use, at most maxInstances in all and limit of each kind. Capacity left
-// on an instance chosen for one request is used for the next.
+// Choose selects instances for the capacity requests in order, minimizing the cost per task over
+// boot and use. It selects at most maxInstances in total and limit instances of each kind. Spare
+// capacity on an instance selected for one request is used for the following ones.
 func Choose(requests []CapacityRequest, catalog workload.Catalog, limit func(InstanceKind) int,
 	maxInstances int) []InstanceRequest {
 	r := newRound(catalog, limit, maxInstances)
@@ -29,16 +28,16 @@
 	return r.instanceRequests()
 }
 
-// round is one choice of instances.
+// round is the state of one call of Choose.
 type round struct {
-	types        []*workload.InstanceType // by name
+	types        []*workload.InstanceType // sorted by name
 	limit        func(InstanceKind) int
 	maxInstances int
-	remaining    map[InstanceKind]int // that may be added, of the kinds that were looked at
+	remaining    map[InstanceKind]int // instances that may still be planned, for the kinds seen so far
 	planned      []*plannedInstance
 }
 
-// plannedInstance is an instance to request, as it is filled.
+// plannedInstance is an instance to request and its capacity that is not used yet.
 type plannedInstance struct {
 	InstanceKind
 	free workload.Resources
@@ -51,7 +50,7 @@
 	return &round{types: types, limit: limit, maxInstances: maxInstances, remaining: map[InstanceKind]int{}}
 }
 
-// serve plans the instances for a request.
+// serve assigns the tasks of a request to planned instances, adding instances as needed.
 func (r *round) serve(request *CapacityRequest) {
 	missing := int64(request.Count)
 	for _, instance := range r.planned {
@@ -70,15 +69,15 @@
 	}
 }
 
-// fill takes as many tasks of the request as there is capacity for, and says how many.
+// fill assigns up to missing tasks of the request to the instance and returns how many fit.
 func (p *plannedInstance) fill(request *CapacityRequest, missing int64) int64 {
 	tasks := min(missing, request.Resources.Count(p.free))
 	p.free = p.free.Sub(request.Resources.Times(tasks))
 	return tasks
 }
 
-// available tells whether one more instance of the kind may be planned. Not all are of one
-// kind: what the cloud has of it shows in its answer only.
+// available reports whether another instance of the kind may be planned. A round is spread over
+// several kinds because the cloud reveals the available capacity of a kind only in its response.
 func (r *round) available(kind InstanceKind) bool {
 	remaining, seen := r.remaining[kind]
 	if !seen {
@@ -88,8 +87,8 @@
 	return remaining > 0
 }
 
-// cheapest is an empty instance of the kind that costs least a task, of those that are
-// available; nil if there is none.
+// cheapest returns an empty instance of the available kind with the lowest cost per task, or nil if
+// no kind is available.
 func (r *round) cheapest(request *CapacityRequest, missing int64) *plannedInstance {
 	best, bestCost := (*plannedInstance)(nil), 0.0
 	for _, instanceType := range r.types {
@@ -109,7 +108,7 @@
 	return best
 }
 
-// kindsOf are the kinds of an instance type in the order of preference among equal costs.
+// kindsOf returns the kinds of an instance type in order of preference at equal cost.
 func kindsOf(instanceType *workload.InstanceType) []InstanceKind {
 	kinds := make([]InstanceKind, 0, 2*len(instanceType.Zones))
 	for _, zone := range instanceType.Zones {
@@ -118,7 +117,7 @@
 	return kinds
 }
 
-// cost is what an instance costs over boot and use, for each task of the request that it takes.
+// cost returns the weighted cost of an instance over boot and use, per task that it would run.
 func (r *CapacityRequest) cost(instanceType *workload.InstanceType, spot bool, slots, missing int64) float64 {
 	price := instanceType.Price
 	if spot {
@@ -134,8 +133,8 @@
 	return cost
 }
 
-// instanceRequests are the planned instances by kind, in the order in which the kinds were
-// first chosen.
+// instanceRequests returns the planned instances grouped by kind, in the order in which the kinds
+// were first selected.
 func (r *round) instanceRequests() []InstanceRequest {
 	var requests []InstanceRequest
 	for _, instance := range r.planned {
