--- a/internal/coordination/provisioning/choose_test.go
+++ b/internal/coordination/provisioning/choose_test.go
@@ -8,7 +8,7 @@
 	"pipitlatch/internal/workload"
 )
 
-// instanceType is one without boot time in zone "a", for tasks of one CPU.
+// instanceType returns an instance type in zone "a" that boots instantly.
 func instanceType(name string, cpus int64, price, spotPrice float64) *workload.InstanceType {
 	return &workload.InstanceType{Name: name, Capacity: workload.Resources{CPU: cpus}, Price: price, SpotPrice: spotPrice,
 		Zones: []string{"a"}}
@@ -32,7 +32,7 @@
 	return catalog
 }
 
-// tasks is a request for tasks of one CPU that run for a second.
+// tasks returns a request for one-CPU tasks that run for one second, with the changes applied.
 func tasks(count int, change ...func(*CapacityRequest)) CapacityRequest {
 	request := CapacityRequest{Resources: workload.Resources{CPU: 1}, Count: count, Hold: micros.Second}
 	for _, f := range change {
@@ -70,67 +70,67 @@
 	maxInstances int
 	want         []InstanceRequest
 }{
-	{name: "nothing for no request", types: []*workload.InstanceType{small}, maxInstances: many},
-	{name: "nothing where no instance type is large enough",
+	{name: "no requests", types: []*workload.InstanceType{small}, maxInstances: many},
+	{name: "no instance type is large enough",
 		requests: []CapacityRequest{{Resources: workload.Resources{CPU: 3}, Count: 1}},
 		types:    []*workload.InstanceType{small}, maxInstances: many},
-	{name: "as many as the tasks need, the last one partly used",
+	{name: "as many as the tasks require, the last one partly used",
 		requests: []CapacityRequest{tasks(5)}, types: []*workload.InstanceType{small}, maxInstances: many,
 		want: []InstanceRequest{onDemand("small", "a", 3)}},
-	{name: "the cheapest a task that is used, not a slot",
+	{name: "lowest cost per task, not per slot",
 		requests: []CapacityRequest{tasks(9)},
 		types:    []*workload.InstanceType{small, instanceType("large", 8, 7.9, 4)}, maxInstances: many,
 		want: []InstanceRequest{onDemand("large", "a", 1), onDemand("small", "a", 1)}},
-	{name: "the first by name and zone of the type among equal costs",
+	{name: "at equal cost, first by type name and zone order of the type",
 		requests: []CapacityRequest{tasks(1)}, types: []*workload.InstanceType{zoned, small}, maxInstances: many,
 		want: []InstanceRequest{onDemand("zoned", "b", 1)}},
-	{name: "spot instances where they will do",
+	{name: "spot instances if allowed",
 		requests: []CapacityRequest{tasks(2, spot)}, types: []*workload.InstanceType{small}, maxInstances: many,
 		want: []InstanceRequest{{InstanceKind{"small", "a", true}, 1}}},
-	{name: "the cheapest spot instances by their own price",
+	{name: "spot instances compared by spot price",
 		requests: []CapacityRequest{tasks(2, spot)},
 		types:    []*workload.InstanceType{small, instanceType("volatile", 2, 3, 0.5)}, maxInstances: many,
 		want: []InstanceRequest{{InstanceKind{"volatile", "a", true}, 1}}},
-	{name: "of the instance types that will do",
+	{name: "allowed instance types only",
 		requests: []CapacityRequest{tasks(2, func(r *CapacityRequest) { r.InstanceTypes = []string{"large"} })},
 		types:    []*workload.InstanceType{small, large}, maxInstances: many,
 		want: []InstanceRequest{onDemand("large", "a", 1)}},
-	{name: "in the zone that is wanted",
+	{name: "requested zone only",
 		requests: []CapacityRequest{tasks(1, func(r *CapacityRequest) { r.Zone = "a" })},
 		types:    []*workload.InstanceType{zoned}, maxInstances: many,
 		want: []InstanceRequest{onDemand("zoned", "a", 1)}},
-	{name: "boot time is paid for",
+	{name: "cost includes boot time",
 		requests: []CapacityRequest{tasks(2)}, types: []*workload.InstanceType{small, slow}, maxInstances: many,
 		want: []InstanceRequest{onDemand("small", "a", 1)}},
-	{name: "boot time counts little for long tasks",
+	{name: "boot time matters little for long tasks",
 		requests: []CapacityRequest{tasks(2, func(r *CapacityRequest) { r.Hold = 3600 * micros.Second })},
 		types:    []*workload.InstanceType{small, slow}, maxInstances: many,
 		want: []InstanceRequest{onDemand("slow", "a", 1)}},
-	{name: "boot time counts for an urgent service, however long it runs",
+	{name: "boot time matters for an urgent service even if long-running",
 		requests: []CapacityRequest{tasks(2, func(r *CapacityRequest) {
 			r.Hold, r.Service, r.Urgent, r.Replicas = 3600*micros.Second, true, true, 100
 		})},
 		types: []*workload.InstanceType{small, slow}, maxInstances: many,
 		want: []InstanceRequest{onDemand("small", "a", 1)}},
-	{name: "small instances for a service of few replicas",
+	{name: "small instances for a service with few replicas",
 		requests: []CapacityRequest{tasks(8, func(r *CapacityRequest) { r.Service, r.Replicas = true, 8 })},
 		types:    []*workload.InstanceType{small, instanceType("large", 8, 7, 4)}, maxInstances: many,
 		want: []InstanceRequest{onDemand("small", "a", 4)}},
-	{name: "large instances for a service of many replicas",
+	{name: "large instances for a service with many replicas",
 		requests: []CapacityRequest{tasks(8, func(r *CapacityRequest) { r.Service, r.Replicas = true, 1000 })},
 		types:    []*workload.InstanceType{small, instanceType("large", 8, 7, 4)}, maxInstances: many,
 		want: []InstanceRequest{onDemand("large", "a", 1)}},
-	{name: "capacity left by one request is used for the next that allows it",
+	{name: "spare capacity is used for a later request that allows it",
 		requests: []CapacityRequest{
 			tasks(1, ofSmall), tasks(1, func(r *CapacityRequest) { r.Zone = "b" }), tasks(1, ofSmall),
 		},
 		types: []*workload.InstanceType{small, zoned}, maxInstances: many,
 		want: []InstanceRequest{onDemand("small", "a", 1), onDemand("zoned", "b", 1)}},
-	{name: "capacity left by one request is used once",
+	{name: "spare capacity is used only once",
 		requests: []CapacityRequest{tasks(1), tasks(1), tasks(1)},
 		types:    []*workload.InstanceType{small}, maxInstances: many,
 		want: []InstanceRequest{onDemand("small", "a", 2)}},
-	{name: "no more of a kind than its limit, then the next best",
+	{name: "next cheapest kind beyond the limit of a kind",
 		requests: []CapacityRequest{tasks(6)}, types: []*workload.InstanceType{small, instanceType("spare", 2, 3, 1)},
 		limit: func(k InstanceKind) int {
 			if k.InstanceType == "small" {
@@ -140,20 +140,20 @@
 		},
 		maxInstances: many,
 		want:         []InstanceRequest{onDemand("small", "a", 2), onDemand("spare", "a", 1)}},
-	{name: "the limit of a kind holds for all requests together",
+	{name: "limit of a kind applies across requests",
 		requests: []CapacityRequest{tasks(2), tasks(4)}, types: []*workload.InstanceType{small},
 		limit: func(InstanceKind) int { return 2 }, maxInstances: many,
 		want: []InstanceRequest{onDemand("small", "a", 2)}},
-	{name: "no more of a kind than a fifth of the round",
+	{name: "at most a fifth of the round of one kind",
 		requests: []CapacityRequest{tasks(100)}, types: []*workload.InstanceType{small}, maxInstances: 10,
 		want: []InstanceRequest{onDemand("small", "a", 2)}},
-	{name: "one of a kind in the smallest round, and no more instances than the round has",
+	{name: "at least one per kind in a small round, limited by maxInstances",
 		requests: []CapacityRequest{tasks(100)},
 		types: []*workload.InstanceType{small, instanceType("second", 2, 3, 1), instanceType("third", 2, 4, 1),
 			instanceType("fourth", 2, 5, 1)},
 		maxInstances: 3,
 		want:         []InstanceRequest{onDemand("small", "a", 1), onDemand("second", "a", 1), onDemand("third", "a", 1)}},
-	{name: "all resources count",
+	{name: "all resources must fit",
 		requests: []CapacityRequest{{Resources: workload.Resources{CPU: 1, GPU: 1}, Count: 2, Hold: micros.Second}},
 		types:    []*workload.InstanceType{small, withGPU}, maxInstances: many,
 		want: []InstanceRequest{onDemand("gpu", "a", 2)}},
