--- a/internal/coordination/provisioning/faults.go
+++ b/internal/coordination/provisioning/faults.go
@@ -1,20 +1,21 @@
 package provisioning
 
 const (
-	// jobFaultMachines is on how many machines a job has to fail to be at fault itself.
+	// jobFaultMachines is the number of machines on which a job must fail to be considered faulty.
 	jobFaultMachines = 2
-	// machineFaultFailures is how many failures put a machine at fault.
+	// machineFaultFailures is the number of failures after which a machine is considered faulty.
 	machineFaultFailures = 2
 )
 
-// FaultTracker tells faulty machines, which are quarantined, from mistaken jobs.
+// FaultTracker attributes task failures either to faulty machines, which are quarantined, or to
+// faulty jobs.
 type FaultTracker struct {
-	byMachine map[string]map[string]int // machine, job: failures since a success there
-	byJob     map[string]map[string]int // job, machine: failures
-	completed map[string]int            // job: completed tasks
+	byMachine map[string]map[string]int // failures by machine and job since the machine's last success
+	byJob     map[string]map[string]int // failures by job and machine
+	completed map[string]int            // completed tasks by job
 }
 
-// NewFaultTracker is a tracker without failures.
+// NewFaultTracker returns a tracker without failures.
 func NewFaultTracker() *FaultTracker {
 	return &FaultTracker{
 		byMachine: map[string]map[string]int{},
@@ -23,7 +24,7 @@
 	}
 }
 
-// Failed notes that a task of the job failed on the machine.
+// Failed records that a task of the job failed on the machine.
 func (t *FaultTracker) Failed(machine, job string) {
 	if t.byMachine[machine] == nil {
 		t.byMachine[machine] = map[string]int{}
@@ -35,20 +36,20 @@
 	t.byJob[job][machine]++
 }
 
-// Succeeded notes that a task of the job completed on the machine.
+// Succeeded records that a task of the job completed on the machine.
 func (t *FaultTracker) Succeeded(machine, job string) {
 	delete(t.byMachine, machine)
 	t.completed[job]++
 }
 
-// JobAtFault tells whether the job, not the machines, is to blame: it failed on two machines
-// or more and no task of it ever completed.
+// JobAtFault reports whether failures are attributed to the job instead of the machines: it failed
+// on at least two machines and none of its tasks has completed.
 func (t *FaultTracker) JobAtFault(job string) bool {
 	return t.completed[job] == 0 && len(t.byJob[job]) >= jobFaultMachines
 }
 
-// MachineAtFault tells whether the machine is to blame: since its last success, tasks of two
-// jobs that are not mistaken failed there, or one such job failed twice.
+// MachineAtFault reports whether failures are attributed to the machine: since the last success on
+// it, at least two tasks failed there whose jobs are not at fault.
 func (t *FaultTracker) MachineAtFault(machine string) bool {
 	failures := 0
 	for job, count := range t.byMachine[machine] {
@@ -59,7 +60,7 @@
 	return failures >= machineFaultFailures
 }
 
-// Failures is how often tasks of the job failed.
+// Failures returns the number of failures of the job's tasks.
 func (t *FaultTracker) Failures(job string) int {
 	failures := 0
 	for _, count := range t.byJob[job] {
@@ -68,10 +69,10 @@
 	return failures
 }
 
-// ForgetMachine drops what is known of a machine that is gone.
+// ForgetMachine removes the failures recorded for a machine, once it no longer exists.
 func (t *FaultTracker) ForgetMachine(machine string) { delete(t.byMachine, machine) }
 
-// ForgetJob drops what is known of a job that is over.
+// ForgetJob removes the results recorded for a job, once it has ended.
 func (t *FaultTracker) ForgetJob(job string) {
 	delete(t.byJob, job)
 	delete(t.completed, job)
