--- a/internal/coordination/provisioning/faults_test.go
+++ b/internal/coordination/provisioning/faults_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// taskEnd is the end of a task of a job on a machine.
+// taskEnd is the outcome of a task of a job on a machine.
 type taskEnd struct {
 	machine, job string
 	succeeded    bool
@@ -11,7 +11,7 @@
 func failed(machine, job string) taskEnd    { return taskEnd{machine, job, false} }
 func succeeded(machine, job string) taskEnd { return taskEnd{machine, job, true} }
 
-// trackerOf is a tracker that has seen tasks end.
+// trackerOf returns a tracker that has recorded the given outcomes.
 func trackerOf(ends ...taskEnd) *FaultTracker {
 	tracker := NewFaultTracker()
 	for _, end := range ends {
@@ -27,32 +27,32 @@
 var faultCases = []struct {
 	name       string
 	ends       []taskEnd
-	machine    bool // is machine m at fault
-	job        bool // is job j
+	machine    bool // whether machine m is at fault
+	job        bool // whether job j is at fault
 	ofJob      int  // failures of job j
-	withoutJob bool // is machine m at fault once job j is forgotten
+	withoutJob bool // whether machine m is at fault once job j is forgotten
 }{
-	{name: "nobody without failures"},
-	{name: "nobody for one failure", ends: []taskEnd{failed("m", "j")}, ofJob: 1},
-	{name: "the machine for two failures of one job", ends: []taskEnd{failed("m", "j"), failed("m", "j")},
+	{name: "no failures"},
+	{name: "one failure", ends: []taskEnd{failed("m", "j")}, ofJob: 1},
+	{name: "two failures of one job: machine", ends: []taskEnd{failed("m", "j"), failed("m", "j")},
 		machine: true, ofJob: 2},
-	{name: "the machine for failures of two jobs", ends: []taskEnd{failed("m", "j"), failed("m", "k")},
+	{name: "failures of two jobs: machine", ends: []taskEnd{failed("m", "j"), failed("m", "k")},
 		machine: true, ofJob: 1},
-	{name: "the job that failed on two machines", ends: []taskEnd{failed("m", "j"), failed("n", "j")},
+	{name: "failures on two machines: job", ends: []taskEnd{failed("m", "j"), failed("n", "j")},
 		job: true, ofJob: 2},
-	{name: "the job, not the machine on which it failed twice",
+	{name: "two failures on one of two machines: job, not machine",
 		ends: []taskEnd{failed("m", "j"), failed("m", "j"), failed("n", "j")}, job: true, ofJob: 3},
-	{name: "the machine for failures of two jobs besides a mistaken one",
+	{name: "failures of two jobs and a faulty job: machine and job",
 		ends:    []taskEnd{failed("m", "j"), failed("n", "j"), failed("m", "k"), failed("m", "l")},
 		machine: true, job: true, ofJob: 2, withoutJob: true},
-	{name: "not the job of which a task completed",
+	{name: "failures on two machines and a completed task: not job",
 		ends: []taskEnd{failed("m", "j"), failed("n", "j"), succeeded("o", "j")}, ofJob: 2},
-	{name: "not the machine where a task completed since",
+	{name: "task completed between two failures: not machine",
 		ends: []taskEnd{failed("m", "j"), succeeded("m", "k"), failed("m", "j")}, ofJob: 2},
-	{name: "the machine for two failures since a success",
+	{name: "two failures since a success: machine",
 		ends:    []taskEnd{succeeded("m", "j"), failed("m", "j"), failed("m", "j")},
 		machine: true, ofJob: 2},
-	{name: "not the machine for failures elsewhere", ends: []taskEnd{failed("n", "j"), failed("n", "j")}, ofJob: 2},
+	{name: "failures on another machine: not machine", ends: []taskEnd{failed("n", "j"), failed("n", "j")}, ofJob: 2},
 }
 
 func TestFaultTrackerBlames(t *testing.T) {
@@ -81,7 +81,7 @@
 				t.Error("a forgotten job is still at fault")
 			}
 			if got := tracker.MachineAtFault("m"); got != test.withoutJob {
-				t.Errorf("MachineAtFault once the job is forgotten = %v, want %v", got, test.withoutJob)
+				t.Errorf("MachineAtFault after ForgetJob = %v, want %v", got, test.withoutJob)
 			}
 			tracker.ForgetMachine("m")
 			if tracker.MachineAtFault("m") {
