--- a/internal/coordination/provisioning/inventory.go
+++ b/internal/coordination/provisioning/inventory.go
@@ -8,39 +8,40 @@
 )
 
 const (
-	// terminatedNoticeTTL is how long peers are sent that an instance is gone.
+	// terminatedNoticeTTL is how long peers are notified of a terminated instance.
 	terminatedNoticeTTL = 10 * micros.Second
-	// maxTerminatedNotices bounds the instances in one message. The blocks' records tell as well.
+	// maxTerminatedNotices limits the instances in one message. Instances left out are not lost to
+	// the peers, because block records show the termination as well.
 	maxTerminatedNotices = 1000
-	// terminatedTTL is how long an instance that is gone is remembered after its record went:
-	// late copies of its heartbeats, and lists, may still show it.
+	// terminatedTTL is how long after its confirmation a terminated instance without a record is
+	// remembered: delayed duplicates of its heartbeats and instance lists may still show it.
 	terminatedTTL = 300 * micros.Second
 )
 
-// TerminatedInstances remembers the instances that are surely gone.
+// TerminatedInstances tracks the instances whose termination is confirmed.
 type TerminatedInstances struct {
 	confirmedAt map[string]micros.Time
 }
 
-// NewTerminatedInstances remembers nothing yet.
+// NewTerminatedInstances returns an empty TerminatedInstances.
 func NewTerminatedInstances() *TerminatedInstances {
 	return &TerminatedInstances{confirmedAt: map[string]micros.Time{}}
 }
 
-// Reset forgets all instances, as a new cluster leader begins.
+// Reset removes all instances; a new cluster leader starts with none.
 func (t *TerminatedInstances) Reset() { clear(t.confirmedAt) }
 
-// Confirm notes proof that an instance is gone.
+// Confirm records that the termination of an instance is confirmed.
 func (t *TerminatedInstances) Confirm(name string, now micros.Time) { t.confirmedAt[name] = now }
 
-// Contains tells whether the instance is surely gone.
+// Contains reports whether the termination of the instance is confirmed.
 func (t *TerminatedInstances) Contains(name string) bool {
 	_, gone := t.confirmedAt[name]
 	return gone
 }
 
-// Recent are the instances that peers are to be sent, the latest first where one message has
-// no space for all.
+// Recent returns the instances of which peers are to be notified, the most recent first, up to the
+// limit of one message.
 func (t *TerminatedInstances) Recent(now micros.Time) []string {
 	var recent []string
 	for name, at := range t.confirmedAt {
@@ -54,8 +55,8 @@
 	return recent[:min(len(recent), maxTerminatedNotices)]
 }
 
-// Recorded are the instances that a block's record still has, by block and in order of their
-// names. Of the others those that went long ago are forgotten.
+// Recorded returns the instances that are still in the record of a block, grouped by block and
+// sorted by name. It removes instances without a record after terminatedTTL.
 func (t *TerminatedInstances) Recorded(now micros.Time, blockOf func(name string) (string, bool)) map[string][]string {
 	recorded := map[string][]string{}
 	for name, at := range t.confirmedAt {
@@ -71,22 +72,23 @@
 	return recorded
 }
 
-// AbsentInstances remembers since when instances of the records are not in the cloud's list.
-// The list lags, so absence from one proves nothing.
+// AbsentInstances tracks since when recorded instances have been missing from the cloud's instance
+// list. The list is eventually consistent, so absence from a single list is no proof of termination.
 type AbsentInstances struct {
 	since map[string]micros.Time
 }
 
-// NewAbsentInstances remembers nothing yet.
+// NewAbsentInstances returns an empty AbsentInstances.
 func NewAbsentInstances() *AbsentInstances {
 	return &AbsentInstances{since: map[string]micros.Time{}}
 }
 
-// Reset forgets all instances, as a new cluster leader begins.
+// Reset removes all instances; a new cluster leader starts with none.
 func (a *AbsentInstances) Reset() { clear(a.since) }
 
-// Observe takes a whole list, and returns the recorded instances that have been absent for
-// longer than the timeout, in order of their names. Their time begins anew.
+// Observe processes a complete instance list and returns, sorted by name, the recorded instances
+// that have been absent for longer than the timeout. The timers of the returned instances restart
+// when they are next observed absent.
 func (a *AbsentInstances) Observe(now, timeout micros.Time, listed map[string]bool, recorded []string) []string {
 	absent := map[string]micros.Time{}
 	var overdue []string
