--- a/internal/coordination/provisioning/inventory_test.go
+++ b/internal/coordination/provisioning/inventory_test.go
@@ -17,7 +17,7 @@
 	}
 	terminated.Reset()
 	if terminated.Contains("m") || len(terminated.Recent(5)) > 0 {
-		t.Error("an instance is remembered after a reset")
+		t.Error("instance m is still contained after Reset")
 	}
 }
 
@@ -32,9 +32,9 @@
 		now  micros.Time
 		want []string
 	}{
-		{"the latest first, then by name", 3, []string{"c", "a", "b", "old"}},
-		{"until the last instant", terminatedNoticeTTL - 1, []string{"c", "a", "b", "old"}},
-		{"no longer", terminatedNoticeTTL, []string{"c", "a", "b"}},
+		{"most recent first, then by name", 3, []string{"c", "a", "b", "old"}},
+		{"just before expiry", terminatedNoticeTTL - 1, []string{"c", "a", "b", "old"}},
+		{"expired", terminatedNoticeTTL, []string{"c", "a", "b"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := terminated.Recent(test.now); !slices.Equal(got, test.want) {
@@ -46,7 +46,7 @@
 		terminated.Confirm(fmt.Sprintf("m%d", i), 4)
 	}
 	if got := terminated.Recent(4); len(got) != maxTerminatedNotices || slices.Contains(got, "c") {
-		t.Errorf("a message has %d instances, want the latest %d", len(got), maxTerminatedNotices)
+		t.Errorf("Recent returned %d instances, want the most recent %d", len(got), maxTerminatedNotices)
 	}
 }
 
@@ -62,16 +62,16 @@
 		t.Errorf("Recorded = %v, want %v", got, want)
 	}
 	if !terminated.Contains("gone") {
-		t.Error("an instance without a record is forgotten too soon")
+		t.Error("instance without a record removed before terminatedTTL")
 	}
 	if got := terminated.Recorded(terminatedTTL+1, blockOf); !reflect.DeepEqual(got, want) {
 		t.Errorf("Recorded later = %v, want %v", got, want)
 	}
 	if terminated.Contains("gone") {
-		t.Error("an instance without a record is not forgotten")
+		t.Error("instance without a record not removed after terminatedTTL")
 	}
 	if !terminated.Contains("c1") {
-		t.Error("an instance that has a record is forgotten")
+		t.Error("instance with a record removed")
 	}
 }
 
@@ -88,15 +88,15 @@
 		name  string
 		lists []list
 	}{
-		{"listed ones are not absent", []list{{0, both, both, nil}, {100, both, both, nil}}},
-		{"first absence starts the time", []list{{100, nil, both, nil}, {100 + timeout, nil, both, nil}}},
-		{"overdue after the timeout, by name", []list{{0, nil, both, nil}, {timeout + 1, nil, both, []string{"a", "b"}}}},
-		{"only those that are absent", []list{{0, nil, both, nil}, {timeout + 1, []string{"a"}, both, []string{"b"}}}},
-		{"a list that has it starts anew",
+		{"listed instances are not absent", []list{{0, both, both, nil}, {100, both, both, nil}}},
+		{"first absence starts the timer", []list{{100, nil, both, nil}, {100 + timeout, nil, both, nil}}},
+		{"overdue after the timeout, sorted by name", []list{{0, nil, both, nil}, {timeout + 1, nil, both, []string{"a", "b"}}}},
+		{"only absent instances are overdue", []list{{0, nil, both, nil}, {timeout + 1, []string{"a"}, both, []string{"b"}}}},
+		{"presence in a list resets the timer",
 			[]list{{0, nil, both, nil}, {5, both, both, nil}, {timeout + 1, nil, both, nil}}},
-		{"a record that went and came back starts anew",
+		{"removal of the record resets the timer",
 			[]list{{0, nil, both, nil}, {5, nil, nil, nil}, {timeout + 1, nil, both, nil}}},
-		{"overdue once, then anew", []list{{0, nil, both, nil}, {timeout + 1, nil, both, []string{"a", "b"}},
+		{"timer restarts after the timeout", []list{{0, nil, both, nil}, {timeout + 1, nil, both, []string{"a", "b"}},
 			{timeout + 2, nil, both, nil}, {2*timeout + 2, nil, both, nil}, {2*timeout + 3, nil, both, []string{"a", "b"}}}},
 	}
 	for _, test := range tests {
@@ -120,6 +120,6 @@
 	absent.Observe(0, 10, nil, []string{"a"})
 	absent.Reset()
 	if got := absent.Observe(11, 10, nil, []string{"a"}); len(got) > 0 {
-		t.Errorf("Observe = %v, want none: the time starts anew", got)
+		t.Errorf("Observe after Reset = %v, want none", got)
 	}
 }
