--- a/internal/coordination/provisioning/pending.go
+++ b/internal/coordination/provisioning/pending.go
@@ -7,19 +7,19 @@
 	"pipitlatch/internal/micros"
 )
 
-// requestRate is the part of the cloud's rate limit that instance requests may take; lists,
-// terminations and the calls of peers have the rest.
+// requestRate is the fraction of the cloud's rate limit available to instance requests. The rest is
+// reserved for listing and terminating instances and for calls by peers.
 const requestRate = 0.6
 
-// RequestLimiter keeps instance requests within their part of the cloud's rate limit: a token
-// bucket that holds as many requests as a second allows.
+// RequestLimiter is a token bucket that limits instance requests to their fraction of the cloud's
+// rate limit. Its capacity is one second's worth of requests.
 type RequestLimiter struct {
-	tokens     float64 // requests that are allowed now
+	tokens     float64 // requests allowed now
 	refilledAt micros.Time
 }
 
-// Allow takes one request out of the limit, given in calls a second; it returns false if the
-// limit does not allow one now.
+// Allow reports whether a request may be sent now and, if so, takes a token for it. cloudRPS is the
+// cloud's rate limit in calls per second.
 func (l *RequestLimiter) Allow(now micros.Time, cloudRPS float64) bool {
 	rate := cloudRPS * requestRate
 	l.tokens = min(rate, l.tokens+rate*micros.Seconds(now-l.refilledAt))
@@ -31,42 +31,42 @@
 	return true
 }
 
-// PendingRequests are the instance requests that are on their way to become blocks, by name.
+// PendingRequests tracks, by name, the instance requests for which no block exists yet.
 type PendingRequests struct {
-	inFlight map[string]InstanceKind // with a call or write in flight
+	inFlight map[string]InstanceKind // requests with a call or write in flight
 	retryAt  map[string]micros.Time
 }
 
-// NewPendingRequests returns none.
+// NewPendingRequests returns an empty PendingRequests.
 func NewPendingRequests() *PendingRequests {
 	return &PendingRequests{inFlight: map[string]InstanceKind{}, retryAt: map[string]micros.Time{}}
 }
 
-// Reset forgets all requests, as a new cluster leader begins.
+// Reset removes all requests; a new cluster leader starts with none.
 func (p *PendingRequests) Reset() {
 	clear(p.inFlight)
 	clear(p.retryAt)
 }
 
-// Started notes that a call or write for the request was sent.
+// Started records that a call or write for the request was sent.
 func (p *PendingRequests) Started(name string, kind InstanceKind) { p.inFlight[name] = kind }
 
-// Finished notes that the call or write was answered.
+// Finished records that the call or write for the request was answered.
 func (p *PendingRequests) Finished(name string) { delete(p.inFlight, name) }
 
-// RetryAt sets when the request may be sent again.
+// RetryAt sets the time from which the request may be sent again.
 func (p *PendingRequests) RetryAt(name string, at micros.Time) { p.retryAt[name] = at }
 
-// MaySend tells whether the request may be sent now.
+// MaySend reports whether the request may be sent now.
 func (p *PendingRequests) MaySend(name string, now micros.Time) bool {
 	_, inFlight := p.inFlight[name]
 	return !inFlight && now >= p.retryAt[name]
 }
 
-// InFlight is how many requests have a call or write in flight.
+// InFlight returns the number of requests with a call or write in flight.
 func (p *PendingRequests) InFlight() int { return len(p.inFlight) }
 
-// InFlightOf tells whether a request for instances of the kind has a call or write in flight.
+// InFlightOf reports whether a request for instances of the kind has a call or write in flight.
 func (p *PendingRequests) InFlightOf(kind InstanceKind) bool {
 	return slices.Contains(slices.Collect(maps.Values(p.inFlight)), kind)
 }
