--- a/internal/coordination/provisioning/pending_test.go
+++ b/internal/coordination/provisioning/pending_test.go
@@ -7,20 +7,20 @@
 )
 
 func TestRequestLimiterAllowsItsPartOfTheCloudsLimit(t *testing.T) {
-	const cloudRPS = 10 // 6 requests a second
+	const cloudRPS = 10 // allows 6 requests per second
 	type attempt struct {
 		at      micros.Time
-		allowed int // of ten requests at once
+		allowed int // of ten simultaneous requests
 	}
 	tests := []struct {
 		name     string
 		attempts []attempt
 	}{
-		{"nothing at time zero", []attempt{{0, 0}}},
-		{"what a part of a second brings", []attempt{{micros.Second / 2, 3}}},
-		{"no more than a second brings, however long there was none", []attempt{{100 * micros.Second, 6}}},
-		{"fractions add up", []attempt{{0, 0}, {micros.Second / 10, 0}, {micros.Second / 5, 1}, {micros.Second / 4, 0}}},
-		{"what was used is not had twice", []attempt{{micros.Second, 6}, {micros.Second, 0}, {2 * micros.Second, 6}}},
+		{"none at time 0", []attempt{{0, 0}}},
+		{"tokens of half a second", []attempt{{micros.Second / 2, 3}}},
+		{"at most the tokens of one second after a long pause", []attempt{{100 * micros.Second, 6}}},
+		{"fractions of tokens add up", []attempt{{0, 0}, {micros.Second / 10, 0}, {micros.Second / 5, 1}, {micros.Second / 4, 0}}},
+		{"tokens are consumed", []attempt{{micros.Second, 6}, {micros.Second, 0}, {2 * micros.Second, 6}}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -49,17 +49,17 @@
 		inFlight   int
 		inFlightOf bool // of kind
 	}{
-		{"one that was never sent may be", func(*PendingRequests) {}, true, 0, false},
-		{"not while it is in flight", func(p *PendingRequests) { p.Started("r", kind) }, false, 1, true},
-		{"though another is", func(p *PendingRequests) { p.Started("s", other) }, true, 1, false},
-		{"again once it is answered",
+		{"never sent", func(*PendingRequests) {}, true, 0, false},
+		{"in flight", func(p *PendingRequests) { p.Started("r", kind) }, false, 1, true},
+		{"another request in flight", func(p *PendingRequests) { p.Started("s", other) }, true, 1, false},
+		{"answered",
 			func(p *PendingRequests) { p.Started("r", kind); p.Finished("r") }, true, 0, false},
-		{"not before it is retried",
+		{"before the retry time",
 			func(p *PendingRequests) { p.Started("r", kind); p.Finished("r"); p.RetryAt("r", 11) }, false, 0, false},
-		{"when it is retried", func(p *PendingRequests) { p.RetryAt("r", 10) }, true, 0, false},
-		{"not in flight, though its retry is due",
+		{"at the retry time", func(p *PendingRequests) { p.RetryAt("r", 10) }, true, 0, false},
+		{"in flight at the retry time",
 			func(p *PendingRequests) { p.RetryAt("r", 10); p.Started("r", kind) }, false, 1, true},
-		{"none after a reset",
+		{"after a reset",
 			func(p *PendingRequests) { p.Started("r", kind); p.RetryAt("r", 11); p.Reset() }, true, 0, false},
 		{"two in flight", func(p *PendingRequests) { p.Started("s", other); p.Started("r", kind) }, false, 2, true},
 	}
