--- a/internal/coordination/provisioning/inventory_test.go
+++ b/internal/coordination/provisioning/inventory_test.go
@@ -90,7 +90,7 @@
 	}{
 		{"listed instances are not absent", []list{{0, both, both, nil}, {100, both, both, nil}}},
 		{"first absence starts the timer", []list{{100, nil, both, nil}, {100 + timeout, nil, both, nil}}},
-		{"overdue after the timeout, sorted by name", []list{{0, nil, both, nil}, {timeout + 1, nil, both, []string{"a", "b"}}}},
+		{"overdue after the timeout, by name", []list{{0, nil, both, nil}, {timeout + 1, nil, both, []string{"a", "b"}}}},
 		{"only absent instances are overdue", []list{{0, nil, both, nil}, {timeout + 1, []string{"a"}, both, []string{"b"}}}},
 		{"presence in a list resets the timer",
 			[]list{{0, nil, both, nil}, {5, both, both, nil}, {timeout + 1, nil, both, nil}}},
