--- a/internal/coordination/provisioning/pending_test.go
+++ b/internal/coordination/provisioning/pending_test.go
@@ -19,7 +19,7 @@
 		{"none at time 0", []attempt{{0, 0}}},
 		{"tokens of half a second", []attempt{{micros.Second / 2, 3}}},
 		{"at most the tokens of one second after a long pause", []attempt{{100 * micros.Second, 6}}},
-		{"fractions of tokens add up", []attempt{{0, 0}, {micros.Second / 10, 0}, {micros.Second / 5, 1}, {micros.Second / 4, 0}}},
+		{"fractions add up", []attempt{{0, 0}, {micros.Second / 10, 0}, {micros.Second / 5, 1}, {micros.Second / 4, 0}}},
 		{"tokens are consumed", []attempt{{micros.Second, 6}, {micros.Second, 0}, {2 * micros.Second, 6}}},
 	}
 	for _, test := range tests {
