--- a/internal/coordination/provisioning/pending.go
+++ b/internal/coordination/provisioning/pending.go
@@ -31,7 +31,8 @@
 	return true
 }
 
-// PendingRequests tracks, by name, the instance requests for which no block exists yet.
+// PendingRequests tracks, by name, the instance requests that are not yet turned into blocks of
+// machines.
 type PendingRequests struct {
 	inFlight map[string]InstanceKind // requests with a call or write in flight
 	retryAt  map[string]micros.Time
