--- a/internal/coordination/provisioning/inventory.go
+++ b/internal/coordination/provisioning/inventory.go
@@ -10,8 +10,8 @@
 const (
 	// terminatedNoticeTTL is how long peers are notified of a terminated instance.
 	terminatedNoticeTTL = 10 * micros.Second
-	// maxTerminatedNotices limits the instances in one message. Instances left out are not lost to
-	// the peers, because block records show the termination as well.
+	// maxTerminatedNotices limits the instances in one message. Peers also learn of terminations
+	// from the block records.
 	maxTerminatedNotices = 1000
 	// terminatedTTL is how long after its confirmation a terminated instance without a record is
 	// remembered: delayed duplicates of its heartbeats and instance lists may still show it.
