--- a/internal/coordination/provisioning/capacity.go
+++ b/internal/coordination/provisioning/capacity.go
@@ -7,9 +7,8 @@
 	// insufficient capacity for a kind.
 	minBackoff = 4 * micros.Second
 	maxBackoff = 16 * micros.Second
-	// probeCount is the number of instances that may be requested after the backoff. It is small
-	// because the kind is most likely still exhausted, so a larger request would count as serving
-	// demand that it does not serve.
+	// probeCount is the number of instances that may be requested after the backoff. It is small so
+	// that little demand counts as served by a kind that is most likely still exhausted.
 	probeCount = 4
 	// Unlimited is the limit of a kind that is not exhausted.
 	Unlimited = 1 << 30
