--- a/internal/coordination/scheduling/place.go
+++ b/internal/coordination/scheduling/place.go
@@ -40,7 +40,7 @@
 	Now         micros.Time
 	Zone        string         // zone already in use by a single-zone job; empty: any
 	TasksByZone map[string]int // tasks of the job assigned to machines; updated by Place
-	PackLimit   int            // replicas on a machine above which other machines are preferred
+	PackLimit   int            // replicas at which a machine stops attracting further ones
 }
 
 // Place finds and reserves slots for the tasks one by one until all are placed or no machine has a
