--- a/internal/coordination/scheduling/reference_test.go
+++ b/internal/coordination/scheduling/reference_test.go
@@ -10,9 +10,9 @@
 	"pipitlatch/internal/workload"
 )
 
-// plainPlace is a reference implementation of Place that examines every machine for every task
+// referencePlace is a reference implementation of Place that examines every machine for every task
 // instead of using a heap.
-func plainPlace(r *Request, machines []*Machine, out func(Slot)) int {
+func referencePlace(r *Request, machines []*Machine, out func(Slot)) int {
 	placed := 0
 	for ; placed < r.Count; placed++ {
 		var best candidate
@@ -116,7 +116,7 @@
 		var got, want []Slot
 		fleetForReference := copyFleet(fleet)
 		placed := Place(request(), fleet, func(slot Slot) { got = append(got, slot) })
-		expected := plainPlace(request(), fleetForReference, func(slot Slot) { want = append(want, slot) })
+		expected := referencePlace(request(), fleetForReference, func(slot Slot) { want = append(want, slot) })
 		if placed != expected {
 			t.Fatalf("placed %d tasks, reference placed %d", placed, expected)
 		}
