--- a/internal/coordination/scheduling/reference_test.go
+++ b/internal/coordination/scheduling/reference_test.go
@@ -17,7 +17,7 @@
 	for ; placed < r.Count; placed++ {
 		var best candidate
 		for _, m := range machines {
-			if !mayTakeAnother(r, m.Zone) {
+			if !referenceZoneHasCapacity(r, m.Zone) {
 				continue
 			}
 			if c := r.candidate(m); better(r.Job, r.PackLimit, &c, &best) {
@@ -41,8 +41,8 @@
 	return placed
 }
 
-// mayTakeAnother is an independent implementation of zoneHasCapacity for the reference.
-func mayTakeAnother(r *Request, zone string) bool {
+// referenceZoneHasCapacity is an independent implementation of zoneHasCapacity for the reference.
+func referenceZoneHasCapacity(r *Request, zone string) bool {
 	return (r.Zone == "" || zone == r.Zone) && (!r.Job.Spread || r.TasksByZone[zone] < r.Job.SpreadLimit())
 }
 
