--- a/internal/coordination/scheduling/reference_test.go
+++ b/internal/coordination/scheduling/reference_test.go
@@ -46,8 +46,8 @@
 	return (r.Zone == "" || zone == r.Zone) && (!r.Job.Spread || r.TasksByZone[zone] < r.Job.SpreadLimit())
 }
 
-// drawnFleet generates machines of three sizes, some of them with running tasks.
-func drawnFleet(t *rapid.T) []*Machine {
+// drawMachines generates machines of three sizes, some of them with running tasks.
+func drawMachines(t *rapid.T) []*Machine {
 	var out []*Machine
 	for i := range rapid.IntRange(1, 30).Draw(t, "machines") {
 		size := rapid.IntRange(0, 2).Draw(t, "size")
@@ -95,7 +95,7 @@
 // implementation without a heap.
 func TestPlaceLikeThePlainOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		fleet := drawnFleet(t)
+		fleet := drawMachines(t)
 		j := &workload.Job{
 			Resources: need(rapid.Int64Range(1, 6).Draw(t, "need")),
 			Tasks:     40,
