--- a/internal/coordination/scheduling/reference_test.go
+++ b/internal/coordination/scheduling/reference_test.go
@@ -81,7 +81,7 @@
 	return out
 }
 
-func copyFleet(machines []*Machine) []*Machine {
+func cloneMachines(machines []*Machine) []*Machine {
 	out := make([]*Machine, len(machines))
 	for i, m := range machines {
 		c := *m
@@ -114,7 +114,7 @@
 			}
 		}
 		var got, want []Slot
-		fleetForReference := copyFleet(fleet)
+		fleetForReference := cloneMachines(fleet)
 		placed := Place(request(), fleet, func(slot Slot) { got = append(got, slot) })
 		expected := referencePlace(request(), fleetForReference, func(slot Slot) { want = append(want, slot) })
 		if placed != expected {
