--- a/internal/coordination/scheduling/reference_test.go
+++ b/internal/coordination/scheduling/reference_test.go
@@ -91,9 +91,9 @@
 	return out
 }
 
-// TestPlaceLikeThePlainOne checks that Place makes the same placements as the reference
+// TestPlaceMatchesReference checks that Place makes the same placements as the reference
 // implementation without a heap.
-func TestPlaceLikeThePlainOne(t *testing.T) {
+func TestPlaceMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := drawMachines(t)
 		j := &workload.Job{
