--- a/internal/coordination/scheduling/index_test.go
+++ b/internal/coordination/scheduling/index_test.go
@@ -9,7 +9,7 @@
 
 const s = micros.Second
 
-func near(t *testing.T, what string, got, want float64) {
+func assertNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9*max(1, math.Abs(want)) {
 		t.Errorf("%s: got %v, want %v", what, got, want)
@@ -43,14 +43,14 @@
 		{"without slack: weighted shortest processing time", 50 * s, 0.1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			near(t, "index", Index(2, 20*s, c.due, 40*s, 5, 10*s), c.want)
+			assertNear(t, "index", Index(2, 20*s, c.due, 40*s, 5, 10*s), c.want)
 		})
 	}
 }
 
 func TestLookAheadEquation7(t *testing.T) {
 	for dueDateRange, want := range map[float64]float64{0: 4.5, 0.25: 4.75, 0.5: 5, 0.75: 4.5, 1: 4} {
-		near(t, "K1", LookAhead(dueDateRange), want)
+		assertNear(t, "K1", LookAhead(dueDateRange), want)
 	}
 }
 
@@ -72,8 +72,8 @@
 			a := &QueuedJob{Weight: 2, Estimate: 10 * s, Due: 60 * s, Count: 2}
 			b := &QueuedJob{Weight: 4, Estimate: 20 * s, Due: c.latestDue, Count: 1}
 			Rank([]*QueuedJob{a, b}, 0)
-			near(t, "a", a.Index, c.wantA)
-			near(t, "b", b.Index, c.wantB)
+			assertNear(t, "a", a.Index, c.wantA)
+			assertNear(t, "b", b.Index, c.wantB)
 		})
 	}
 }
@@ -89,6 +89,6 @@
 		// after its due date.
 		{"with machine loss rate", expectedTardiness(1, 70*s, 60*s, 20*s, 0.01), 10 + (1-math.Exp(-0.2))*10},
 	} {
-		t.Run(c.name, func(t *testing.T) { near(t, "tardiness", c.got, c.want) })
+		t.Run(c.name, func(t *testing.T) { assertNear(t, "tardiness", c.got, c.want) })
 	}
 }
--- a/internal/coordination/scheduling/place_test.go
+++ b/internal/coordination/scheduling/place_test.go
@@ -46,7 +46,7 @@
 	if slots[0].Machine.Index != 2 || slots[0].Start != 12*s {
 		t.Errorf("got machine %d at %d s", slots[0].Machine.Index, slots[0].Start/s)
 	}
-	near(t, "tardiness", slots[0].Tardiness, 10)
+	assertNear(t, "tardiness", slots[0].Tardiness, 10)
 }
 
 func TestPlaceLeavesTasksWithoutAGapWaiting(t *testing.T) {
