--- a/internal/coordination/scheduling/place_test.go
+++ b/internal/coordination/scheduling/place_test.go
@@ -38,7 +38,7 @@
 	return slots, placed
 }
 
-func TestPlaceTakesTheLeastTardyGap(t *testing.T) {
+func TestPlaceMinimizesTardiness(t *testing.T) {
 	j := &workload.Job{Resources: need(8), Tasks: 9, Spot: true}
 	// The task would end 23 s late on machine 1, which is free at 30 s, and 5 s late on machine 2,
 	// which is free at 12 s.
