--- a/internal/coordination/scheduling/place_test.go
+++ b/internal/coordination/scheduling/place_test.go
@@ -49,7 +49,7 @@
 	assertNear(t, "tardiness", slots[0].Tardiness, 10)
 }
 
-func TestPlaceLeavesTasksWithoutAGapWaiting(t *testing.T) {
+func TestPlaceLeavesTasksWithoutGapQueued(t *testing.T) {
 	j := &workload.Job{Resources: need(8), Tasks: 9, Spot: true}
 	full := machine(1, false, 0)
 	full.Timeline.Reserve(need(1), 0, Forever)
