--- a/internal/coordination/scheduling/place_test.go
+++ b/internal/coordination/scheduling/place_test.go
@@ -80,7 +80,7 @@
 
 // In the service case, only as many tasks are placed as fit at the same time, because service
 // tasks do not end.
-func TestPlaceKeepsConstraints(t *testing.T) {
+func TestPlaceRespectsConstraints(t *testing.T) {
 	inZone := func(zone string, m *Machine) *Machine {
 		m.Zone = zone
 		return m
