--- a/internal/coordination/scheduling/place_test.go
+++ b/internal/coordination/scheduling/place_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestPlaceKeepsAOneZoneJobInOneZone(t *testing.T) {
+func TestPlaceKeepsSingleZoneJobInOneZone(t *testing.T) {
 	a, b := machine(1, false, 0), machine(2, true, 0)
 	b.Zone = "b"
 	slots, placed := place(&workload.Job{Resources: need(4), Tasks: 4, OneZone: true, Spot: true}, s, 9*s, 4, a, b)
