--- a/internal/coordination/scheduling/place_test.go
+++ b/internal/coordination/scheduling/place_test.go
@@ -60,18 +60,18 @@
 
 func TestPlaceAvoidsSpotForTightTasks(t *testing.T) {
 	j := &workload.Job{Resources: need(4), Tasks: 9, Spot: true}
-	spot, ordinary := machine(1, true, 0), machine(2, false, 0)
+	spot, onDemand := machine(1, true, 0), machine(2, false, 0)
 	spot.LossRate = 0.01
 	for _, c := range []struct {
 		name string
 		due  micros.Time
 		want *Machine
 	}{
-		{"on-demand machine for a task with little slack", 11 * s, ordinary},
+		{"on-demand machine for a task with little slack", 11 * s, onDemand},
 		{"spot machine for a task with ample slack", 100 * s, spot},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if slots, _ := place(j, 10*s, c.due, 1, spot, ordinary); slots[0].Machine != c.want {
+			if slots, _ := place(j, 10*s, c.due, 1, spot, onDemand); slots[0].Machine != c.want {
 				t.Errorf("got machine %d, want %d", slots[0].Machine.Index, c.want.Index)
 			}
 		})
