--- a/internal/coordination/scheduling/place_test.go
+++ b/internal/coordination/scheduling/place_test.go
@@ -7,9 +7,9 @@
 	"pipitlatch/internal/workload"
 )
 
-// machine returns an on-demand or spot machine with eight CPUs in zone a that is fully occupied
+// newMachine returns an on-demand or spot newMachine with eight CPUs in zone a that is fully occupied
 // until busyUntil.
-func machine(index int, spot bool, busyUntil micros.Time) *Machine {
+func newMachine(index int, spot bool, busyUntil micros.Time) *Machine {
 	instanceType := &workload.InstanceType{
 		Name:      "m",
 		Capacity:  workload.Resources{CPU: 8000, Mem: 64_000},
@@ -42,7 +42,7 @@
 	j := &workload.Job{Resources: need(8), Tasks: 9, Spot: true}
 	// The task would end 23 s late on machine 1, which is free at 30 s, and 5 s late on machine 2,
 	// which is free at 12 s.
-	slots, _ := place(j, 10*s, 17*s, 1, machine(1, false, 30*s), machine(2, false, 12*s))
+	slots, _ := place(j, 10*s, 17*s, 1, newMachine(1, false, 30*s), newMachine(2, false, 12*s))
 	if slots[0].Machine.Index != 2 || slots[0].Start != 12*s {
 		t.Errorf("got machine %d at %d s", slots[0].Machine.Index, slots[0].Start/s)
 	}
@@ -51,7 +51,7 @@
 
 func TestPlaceLeavesTasksWithoutGapQueued(t *testing.T) {
 	j := &workload.Job{Resources: need(8), Tasks: 9, Spot: true}
-	full := machine(1, false, 0)
+	full := newMachine(1, false, 0)
 	full.Timeline.Reserve(need(1), 0, Forever)
 	if _, placed := place(j, 10*s, 20*s, 1, full); placed != 0 {
 		t.Errorf("placed %d tasks on a machine without a gap", placed)
@@ -60,7 +60,7 @@
 
 func TestPlaceAvoidsSpotForTightTasks(t *testing.T) {
 	j := &workload.Job{Resources: need(4), Tasks: 9, Spot: true}
-	spot, onDemand := machine(1, true, 0), machine(2, false, 0)
+	spot, onDemand := newMachine(1, true, 0), newMachine(2, false, 0)
 	spot.LossRate = 0.01
 	for _, c := range []struct {
 		name string
@@ -99,7 +99,7 @@
 		{"spread limit in a single zone", workload.Job{Resources: need(1), Tasks: 5, Spread: true, Zone: "a"}, 5, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, placed := place(&c.job, s, 9*s, c.count, machine(1, false, 0), inZone("b", machine(2, true, 0)))
+			_, placed := place(&c.job, s, 9*s, c.count, newMachine(1, false, 0), inZone("b", newMachine(2, true, 0)))
 			if placed != c.want {
 				t.Errorf("placed %d of %d tasks, want %d", placed, c.count, c.want)
 			}
@@ -108,7 +108,7 @@
 }
 
 func TestPlaceKeepsSingleZoneJobInOneZone(t *testing.T) {
-	a, b := machine(1, false, 0), machine(2, true, 0)
+	a, b := newMachine(1, false, 0), newMachine(2, true, 0)
 	b.Zone = "b"
 	slots, placed := place(&workload.Job{Resources: need(4), Tasks: 4, OneZone: true, Spot: true}, s, 9*s, 4, a, b)
 	for _, slot := range slots {
--- a/internal/coordination/scheduling/reference_test.go
+++ b/internal/coordination/scheduling/reference_test.go
@@ -136,7 +136,7 @@
 	for b.Loop() {
 		var fleet []*Machine
 		for i := range 400 {
-			m := machine(i, i%2 == 0, micros.Time(i%40+1)*s)
+			m := newMachine(i, i%2 == 0, micros.Time(i%40+1)*s)
 			fleet = append(fleet, m)
 		}
 		placed := 0
