--- a/internal/coordination/scheduling/candidates_test.go
+++ b/internal/coordination/scheduling/candidates_test.go
@@ -20,7 +20,7 @@
 
 // busy reserves CPUs on m for five seconds.
 func busy(m *Machine, cpu int64) *Machine {
-	m.Timeline.Reserve(need(cpu), 0, 5*s)
+	m.Timeline.Reserve(cpuResources(cpu), 0, 5*s)
 	return m
 }
 
--- a/internal/coordination/scheduling/place_test.go
+++ b/internal/coordination/scheduling/place_test.go
@@ -26,7 +26,7 @@
 		Up:       true,
 	}
 	if busyUntil > 0 {
-		m.Timeline.Reserve(need(8), 0, busyUntil)
+		m.Timeline.Reserve(cpuResources(8), 0, busyUntil)
 	}
 	return m
 }
@@ -39,7 +39,7 @@
 }
 
 func TestPlaceMinimizesTardiness(t *testing.T) {
-	j := &workload.Job{Resources: need(8), Tasks: 9, Spot: true}
+	j := &workload.Job{Resources: cpuResources(8), Tasks: 9, Spot: true}
 	// The task would end 23 s late on machine 1, which is free at 30 s, and 5 s late on machine 2,
 	// which is free at 12 s.
 	slots, _ := place(j, 10*s, 17*s, 1, newMachine(1, false, 30*s), newMachine(2, false, 12*s))
@@ -50,16 +50,16 @@
 }
 
 func TestPlaceLeavesTasksWithoutGapQueued(t *testing.T) {
-	j := &workload.Job{Resources: need(8), Tasks: 9, Spot: true}
+	j := &workload.Job{Resources: cpuResources(8), Tasks: 9, Spot: true}
 	full := newMachine(1, false, 0)
-	full.Timeline.Reserve(need(1), 0, Forever)
+	full.Timeline.Reserve(cpuResources(1), 0, Forever)
 	if _, placed := place(j, 10*s, 20*s, 1, full); placed != 0 {
 		t.Errorf("placed %d tasks on a machine without a gap", placed)
 	}
 }
 
 func TestPlaceAvoidsSpotForTightTasks(t *testing.T) {
-	j := &workload.Job{Resources: need(4), Tasks: 9, Spot: true}
+	j := &workload.Job{Resources: cpuResources(4), Tasks: 9, Spot: true}
 	spot, onDemand := newMachine(1, true, 0), newMachine(2, false, 0)
 	spot.LossRate = 0.01
 	for _, c := range []struct {
@@ -91,12 +91,12 @@
 		count int
 		want  int
 	}{
-		{"no spot machine unless allowed", workload.Job{Resources: need(4), Tasks: 4, Zone: "b"}, 4, 0},
-		{"only in its zone", workload.Job{Kind: workload.Service, Resources: need(4), Tasks: 4, Zone: "a"}, 4, 2},
-		{"only on its instance types", workload.Job{Resources: need(4), Tasks: 4, InstanceTypes: []string{"l"}}, 4, 0},
-		{"not beyond the machine capacity", workload.Job{Resources: need(9), Tasks: 4, Spot: true}, 4, 0},
-		{"spread over two zones", workload.Job{Resources: need(1), Tasks: 5, Spread: true, Spot: true}, 5, 5},
-		{"spread limit in a single zone", workload.Job{Resources: need(1), Tasks: 5, Spread: true, Zone: "a"}, 5, 3},
+		{"no spot machine unless allowed", workload.Job{Resources: cpuResources(4), Tasks: 4, Zone: "b"}, 4, 0},
+		{"only in its zone", workload.Job{Kind: workload.Service, Resources: cpuResources(4), Tasks: 4, Zone: "a"}, 4, 2},
+		{"only on its instance types", workload.Job{Resources: cpuResources(4), Tasks: 4, InstanceTypes: []string{"l"}}, 4, 0},
+		{"not beyond the machine capacity", workload.Job{Resources: cpuResources(9), Tasks: 4, Spot: true}, 4, 0},
+		{"spread over two zones", workload.Job{Resources: cpuResources(1), Tasks: 5, Spread: true, Spot: true}, 5, 5},
+		{"spread limit in a single zone", workload.Job{Resources: cpuResources(1), Tasks: 5, Spread: true, Zone: "a"}, 5, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, placed := place(&c.job, s, 9*s, c.count, newMachine(1, false, 0), inZone("b", newMachine(2, true, 0)))
@@ -110,7 +110,7 @@
 func TestPlaceKeepsSingleZoneJobInOneZone(t *testing.T) {
 	a, b := newMachine(1, false, 0), newMachine(2, true, 0)
 	b.Zone = "b"
-	slots, placed := place(&workload.Job{Resources: need(4), Tasks: 4, OneZone: true, Spot: true}, s, 9*s, 4, a, b)
+	slots, placed := place(&workload.Job{Resources: cpuResources(4), Tasks: 4, OneZone: true, Spot: true}, s, 9*s, 4, a, b)
 	for _, slot := range slots {
 		if slot.Machine.Zone != slots[0].Machine.Zone {
 			t.Error("tasks of a single-zone job placed in two zones")
--- a/internal/coordination/scheduling/reference_test.go
+++ b/internal/coordination/scheduling/reference_test.go
@@ -74,7 +74,7 @@
 		for range rapid.IntRange(0, 3).Draw(t, "running") {
 			cpu := rapid.Int64Range(1, 4).Draw(t, "cpu")
 			remaining := rapid.Int64Range(1, 60).Draw(t, "remaining") * s
-			m.Timeline.Reserve(need(cpu), 0, remaining)
+			m.Timeline.Reserve(cpuResources(cpu), 0, remaining)
 		}
 		out = append(out, m)
 	}
@@ -97,7 +97,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := drawMachines(t)
 		j := &workload.Job{
-			Resources: need(rapid.Int64Range(1, 6).Draw(t, "need")),
+			Resources: cpuResources(rapid.Int64Range(1, 6).Draw(t, "need")),
 			Tasks:     40,
 			Spot:      rapid.Bool().Draw(t, "spot"),
 			Image:     "i",
@@ -141,7 +141,7 @@
 		}
 		placed := 0
 		for range 20 {
-			j := &workload.Job{Resources: need(2), Tasks: 100, Spot: true}
+			j := &workload.Job{Resources: cpuResources(2), Tasks: 100, Spot: true}
 			r := &Request{Job: j, Weight: 2, Estimate: 20 * s, Due: 60 * s, Count: 100, TasksByZone: map[string]int{}}
 			placed += Place(r, fleet, func(Slot) {})
 		}
--- a/internal/coordination/scheduling/timeline_test.go
+++ b/internal/coordination/scheduling/timeline_test.go
@@ -8,15 +8,17 @@
 	"pipitlatch/internal/workload"
 )
 
-// need returns the resources of a task that requires the given number of CPUs.
-func need(cpu int64) workload.Resources { return workload.Resources{CPU: cpu * 1000, Mem: 1000} }
+// cpuResources returns the resources of a task that requires the given number of CPUs.
+func cpuResources(cpu int64) workload.Resources {
+	return workload.Resources{CPU: cpu * 1000, Mem: 1000}
+}
 
 func TestTimelineGaps(t *testing.T) {
-	tl := NewTimeline(0, need(8))
+	tl := NewTimeline(0, cpuResources(8))
 	tl.steps[0].free.Mem = 64_000
-	tl.Reserve(need(6), 0, 10*s)       // 2 CPUs free from 0 to 10 s
-	tl.Reserve(need(4), 20*s, 10*s)    // 8 free from 10 to 20 s, 4 from 20 to 30 s
-	tl.Reserve(need(8), 40*s, Forever) // none free from 40 s
+	tl.Reserve(cpuResources(6), 0, 10*s)       // 2 CPUs free from 0 to 10 s
+	tl.Reserve(cpuResources(4), 20*s, 10*s)    // 8 free from 10 to 20 s, 4 from 20 to 30 s
+	tl.Reserve(cpuResources(8), 40*s, Forever) // none free from 40 s
 	for _, c := range []struct {
 		cpu          int64
 		from, length micros.Time
@@ -33,7 +35,7 @@
 		{1, 0, Forever, 0, false},
 	} {
 		t.Run(fmt.Sprintf("%d CPUs for %d s from %d s", c.cpu, c.length/s, c.from/s), func(t *testing.T) {
-			got, found := tl.Gap(need(c.cpu), c.from, c.length)
+			got, found := tl.Gap(cpuResources(c.cpu), c.from, c.length)
 			if found != c.found || (found && got != c.want) {
 				t.Errorf("got %d s %v, want %d s %v", got/s, found, c.want/s, c.found)
 			}
