--- a/internal/coordination/scheduling/candidates_test.go
+++ b/internal/coordination/scheduling/candidates_test.go
@@ -7,8 +7,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// gap returns a candidate on m for a task of ten seconds that starts at ready.
-func gap(m *Machine, tardiness float64, ready micros.Time) *candidate {
+// newCandidate returns a candidate on m for a task of ten seconds that starts at ready.
+func newCandidate(m *Machine, tardiness float64, ready micros.Time) *candidate {
 	return &candidate{slot: Slot{Machine: m, Start: ready, Length: 10 * s, Tardiness: tardiness}, ready: ready, ok: true}
 }
 
@@ -34,27 +34,27 @@
 		better, worse *candidate
 	}{
 		{"a gap over no gap", array,
-			gap(newMachine(2, false, 0), 9, 9*s), &candidate{}},
+			newCandidate(newMachine(2, false, 0), 9, 9*s), &candidate{}},
 		{"less tardiness over an earlier start", array,
-			gap(newMachine(2, false, 0), 1, 9*s), gap(newMachine(1, true, 0), 2, 0)},
+			newCandidate(newMachine(2, false, 0), 1, 9*s), newCandidate(newMachine(1, true, 0), 2, 0)},
 		{"an earlier ready time over a spot machine", array,
-			gap(newMachine(2, false, 0), 0, 0), gap(newMachine(1, true, 0), 0, startTieWindow)},
+			newCandidate(newMachine(2, false, 0), 0, 0), newCandidate(newMachine(1, true, 0), 0, startTieWindow)},
 		{"array: a spot machine over less added machine time", array,
-			gap(newMachine(2, true, 0), 0, 0), gap(newMachine(1, false, 20*s), 0, 0)},
+			newCandidate(newMachine(2, true, 0), 0, 0), newCandidate(newMachine(1, false, 20*s), 0, 0)},
 		{"array: less added machine time over less free CPU", array,
-			gap(newMachine(2, false, 20*s), 0, 20*s), gap(busy(newMachine(1, false, 15*s), 4), 0, 20*s)},
+			newCandidate(newMachine(2, false, 20*s), 0, 20*s), newCandidate(busy(newMachine(1, false, 15*s), 4), 0, 20*s)},
 		{"less free CPU over a lower machine index", array,
-			gap(busy(newMachine(2, false, 0), 4), 0, 5*s), gap(busy(newMachine(1, false, 0), 1), 0, 5*s)},
+			newCandidate(busy(newMachine(2, false, 0), 4), 0, 5*s), newCandidate(busy(newMachine(1, false, 0), 1), 0, 5*s)},
 		{"a lower machine index among equals", array,
-			gap(newMachine(1, false, 0), 0, 0), gap(newMachine(2, false, 0), 0, startTieWindow-1)},
+			newCandidate(newMachine(1, false, 0), 0, 0), newCandidate(newMachine(2, false, 0), 0, startTieWindow-1)},
 		{"service: more replicas below the pack limit", service,
-			gap(with(newMachine(2, true, 0), 2), 0, 0), gap(with(busy(newMachine(1, false, 0), 4), 1), 0, 0)},
+			newCandidate(with(newMachine(2, true, 0), 2), 0, 0), newCandidate(with(busy(newMachine(1, false, 0), 4), 1), 0, 0)},
 		{"service: fewer replicas at or above the pack limit", service,
-			gap(with(newMachine(2, false, 0), 3), 0, 0), gap(with(busy(newMachine(1, false, 0), 4), 4), 0, 0)},
+			newCandidate(with(newMachine(2, false, 0), 3), 0, 0), newCandidate(with(busy(newMachine(1, false, 0), 4), 4), 0, 0)},
 		{"service: fewer replicas if one machine is at the pack limit", service,
-			gap(with(newMachine(2, false, 0), 2), 0, 0), gap(with(busy(newMachine(1, false, 0), 4), 3), 0, 0)},
+			newCandidate(with(newMachine(2, false, 0), 2), 0, 0), newCandidate(with(busy(newMachine(1, false, 0), 4), 3), 0, 0)},
 		{"service: less free CPU, spot or not", service,
-			gap(busy(newMachine(2, false, 0), 4), 0, 0), gap(newMachine(1, true, 0), 0, 0)},
+			newCandidate(busy(newMachine(2, false, 0), 4), 0, 0), newCandidate(newMachine(1, true, 0), 0, 0)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			j := &workload.Job{Kind: c.kind}
