--- a/internal/coordination/scheduling/candidates_test.go
+++ b/internal/coordination/scheduling/candidates_test.go
@@ -12,8 +12,8 @@
 	return &candidate{slot: Slot{Machine: m, Start: ready, Length: 10 * s, Tardiness: tardiness}, ready: ready, ok: true}
 }
 
-// with sets the number of service replicas on m.
-func with(m *Machine, replicas int) *Machine {
+// withReplicas sets the number of service replicas on m.
+func withReplicas(m *Machine, replicas int) *Machine {
 	m.Replicas = replicas
 	return m
 }
@@ -48,11 +48,11 @@
 		{"a lower machine index among equals", array,
 			newCandidate(newMachine(1, false, 0), 0, 0), newCandidate(newMachine(2, false, 0), 0, startTieWindow-1)},
 		{"service: more replicas below the pack limit", service,
-			newCandidate(with(newMachine(2, true, 0), 2), 0, 0), newCandidate(with(busy(newMachine(1, false, 0), 4), 1), 0, 0)},
+			newCandidate(withReplicas(newMachine(2, true, 0), 2), 0, 0), newCandidate(withReplicas(busy(newMachine(1, false, 0), 4), 1), 0, 0)},
 		{"service: fewer replicas at or above the pack limit", service,
-			newCandidate(with(newMachine(2, false, 0), 3), 0, 0), newCandidate(with(busy(newMachine(1, false, 0), 4), 4), 0, 0)},
+			newCandidate(withReplicas(newMachine(2, false, 0), 3), 0, 0), newCandidate(withReplicas(busy(newMachine(1, false, 0), 4), 4), 0, 0)},
 		{"service: fewer replicas if one machine is at the pack limit", service,
-			newCandidate(with(newMachine(2, false, 0), 2), 0, 0), newCandidate(with(busy(newMachine(1, false, 0), 4), 3), 0, 0)},
+			newCandidate(withReplicas(newMachine(2, false, 0), 2), 0, 0), newCandidate(withReplicas(busy(newMachine(1, false, 0), 4), 3), 0, 0)},
 		{"service: less free CPU, spot or not", service,
 			newCandidate(busy(newMachine(2, false, 0), 4), 0, 0), newCandidate(newMachine(1, true, 0), 0, 0)},
 	} {
