--- a/internal/coordination/scheduling/candidates_test.go
+++ b/internal/coordination/scheduling/candidates_test.go
@@ -18,8 +18,8 @@
 	return m
 }
 
-// busy reserves CPUs on m for five seconds.
-func busy(m *Machine, cpu int64) *Machine {
+// withBusyCPUs reserves CPUs on m for five seconds.
+func withBusyCPUs(m *Machine, cpu int64) *Machine {
 	m.Timeline.Reserve(cpuResources(cpu), 0, 5*s)
 	return m
 }
@@ -42,19 +42,19 @@
 		{"array: a spot machine over less added machine time", array,
 			newCandidate(newMachine(2, true, 0), 0, 0), newCandidate(newMachine(1, false, 20*s), 0, 0)},
 		{"array: less added machine time over less free CPU", array,
-			newCandidate(newMachine(2, false, 20*s), 0, 20*s), newCandidate(busy(newMachine(1, false, 15*s), 4), 0, 20*s)},
+			newCandidate(newMachine(2, false, 20*s), 0, 20*s), newCandidate(withBusyCPUs(newMachine(1, false, 15*s), 4), 0, 20*s)},
 		{"less free CPU over a lower machine index", array,
-			newCandidate(busy(newMachine(2, false, 0), 4), 0, 5*s), newCandidate(busy(newMachine(1, false, 0), 1), 0, 5*s)},
+			newCandidate(withBusyCPUs(newMachine(2, false, 0), 4), 0, 5*s), newCandidate(withBusyCPUs(newMachine(1, false, 0), 1), 0, 5*s)},
 		{"a lower machine index among equals", array,
 			newCandidate(newMachine(1, false, 0), 0, 0), newCandidate(newMachine(2, false, 0), 0, startTieWindow-1)},
 		{"service: more replicas below the pack limit", service,
-			newCandidate(withReplicas(newMachine(2, true, 0), 2), 0, 0), newCandidate(withReplicas(busy(newMachine(1, false, 0), 4), 1), 0, 0)},
+			newCandidate(withReplicas(newMachine(2, true, 0), 2), 0, 0), newCandidate(withReplicas(withBusyCPUs(newMachine(1, false, 0), 4), 1), 0, 0)},
 		{"service: fewer replicas at or above the pack limit", service,
-			newCandidate(withReplicas(newMachine(2, false, 0), 3), 0, 0), newCandidate(withReplicas(busy(newMachine(1, false, 0), 4), 4), 0, 0)},
+			newCandidate(withReplicas(newMachine(2, false, 0), 3), 0, 0), newCandidate(withReplicas(withBusyCPUs(newMachine(1, false, 0), 4), 4), 0, 0)},
 		{"service: fewer replicas if one machine is at the pack limit", service,
-			newCandidate(withReplicas(newMachine(2, false, 0), 2), 0, 0), newCandidate(withReplicas(busy(newMachine(1, false, 0), 4), 3), 0, 0)},
+			newCandidate(withReplicas(newMachine(2, false, 0), 2), 0, 0), newCandidate(withReplicas(withBusyCPUs(newMachine(1, false, 0), 4), 3), 0, 0)},
 		{"service: less free CPU, spot or not", service,
-			newCandidate(busy(newMachine(2, false, 0), 4), 0, 0), newCandidate(newMachine(1, true, 0), 0, 0)},
+			newCandidate(withBusyCPUs(newMachine(2, false, 0), 4), 0, 0), newCandidate(newMachine(1, true, 0), 0, 0)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			j := &workload.Job{Kind: c.kind}
