--- a/internal/coordination/scheduling/candidates.go
+++ b/internal/coordination/scheduling/candidates.go
@@ -43,7 +43,7 @@
 func betterForReplica(packLimit int, a, b *Machine) bool {
 	switch {
 	case a.Replicas == b.Replicas:
-		return fuller(a, b)
+		return betterByFreeCPU(a, b)
 	case a.Replicas < packLimit && b.Replicas < packLimit:
 		return a.Replicas > b.Replicas
 	default:
@@ -60,12 +60,12 @@
 	if aAdded, bAdded := a.addedMachineTime(), b.addedMachineTime(); aAdded != bAdded {
 		return aAdded < bAdded
 	}
-	return fuller(a.slot.Machine, b.slot.Machine)
+	return betterByFreeCPU(a.slot.Machine, b.slot.Machine)
 }
 
-// fuller prefers the machine with less free CPU at the beginning of its timeline, then the one
+// betterByFreeCPU prefers the machine with less free CPU at the beginning of its timeline, then the one
 // that comes first in the caller's list.
-func fuller(a, b *Machine) bool {
+func betterByFreeCPU(a, b *Machine) bool {
 	aFree, bFree := a.Timeline.steps[0].free.CPU, b.Timeline.steps[0].free.CPU
 	if aFree != bFree {
 		return aFree < bFree
