--- a/internal/coordination/scheduling/place.go
+++ b/internal/coordination/scheduling/place.go
@@ -64,7 +64,7 @@
 		r.reserve(best.slot)
 		out(best.slot)
 		placed++
-		if *best = r.candidate(best.slot.Machine); best.ok {
+		if *best = r.candidateFor(best.slot.Machine); best.ok {
 			heap.Fix(c, 0)
 		} else {
 			heap.Pop(c)
@@ -104,7 +104,7 @@
 		order:     make([]int32, 0, len(machines)),
 	}
 	for _, m := range machines {
-		if best := r.candidate(m); best.ok {
+		if best := r.candidateFor(m); best.ok {
 			c.order = append(c.order, int32(len(c.list)))
 			c.list = append(c.list, best)
 		}
@@ -113,8 +113,8 @@
 	return c
 }
 
-// candidate returns the best gap of the machine for the job.
-func (r *Request) candidate(m *Machine) candidate {
+// candidateFor returns the best gap of the machine for the job.
+func (r *Request) candidateFor(m *Machine) candidate {
 	j := r.Job
 	if !MayRunOn(j, m.Type.Name, m.Zone, m.Spot) || (r.Zone != "" && r.Zone != m.Zone) ||
 		!j.Resources.Fits(m.Type.Capacity) {
--- a/internal/coordination/scheduling/reference_test.go
+++ b/internal/coordination/scheduling/reference_test.go
@@ -20,7 +20,7 @@
 			if !referenceZoneHasCapacity(r, m.Zone) {
 				continue
 			}
-			if c := r.candidate(m); better(r.Job, r.PackLimit, &c, &best) {
+			if c := r.candidateFor(m); better(r.Job, r.PackLimit, &c, &best) {
 				best = c
 			}
 		}
