--- a/internal/coordination/scheduling/place.go
+++ b/internal/coordination/scheduling/place.go
@@ -53,7 +53,7 @@
 	if r.Count <= 0 {
 		return 0
 	}
-	c := r.candidates(machines)
+	c := r.newCandidateHeap(machines)
 	placed := 0
 	for placed < r.Count && c.Len() > 0 {
 		best := c.best()
@@ -95,8 +95,8 @@
 	}
 }
 
-// candidates returns a heap of the best gap of each machine that has one for the job.
-func (r *Request) candidates(machines []*Machine) *candidates {
+// newCandidateHeap returns a heap of the best gap of each machine that has one for the job.
+func (r *Request) newCandidateHeap(machines []*Machine) *candidates {
 	c := &candidates{
 		job:       r.Job,
 		packLimit: r.PackLimit,
