--- a/internal/coordination/scheduling/candidates.go
+++ b/internal/coordination/scheduling/candidates.go
@@ -94,9 +94,9 @@
 	return tardiness + lossProbability*(Tardiness(weight, finish+length/2, due)-tardiness)
 }
 
-// candidates is a heap of the machines' best gaps for one job, the best on top. It holds list
-// indices instead of candidates because most of the planning time is spent on moving heap entries.
-type candidates struct {
+// candidateHeap is a heap of the machines' best gaps for one job, the best on top. It holds list
+// indices instead of candidateHeap because most of the planning time is spent on moving heap entries.
+type candidateHeap struct {
 	job       *workload.Job
 	packLimit int
 	list      []candidate
@@ -104,24 +104,24 @@
 }
 
 // best returns the top of the heap, which must not be empty.
-func (c *candidates) best() *candidate { return &c.list[c.order[0]] }
+func (c *candidateHeap) best() *candidate { return &c.list[c.order[0]] }
 
 // Len implements heap.Interface.
-func (c *candidates) Len() int { return len(c.order) }
+func (c *candidateHeap) Len() int { return len(c.order) }
 
 // Less implements heap.Interface.
-func (c *candidates) Less(i, j int) bool {
+func (c *candidateHeap) Less(i, j int) bool {
 	return better(c.job, c.packLimit, &c.list[c.order[i]], &c.list[c.order[j]])
 }
 
 // Swap implements heap.Interface.
-func (c *candidates) Swap(i, j int) { c.order[i], c.order[j] = c.order[j], c.order[i] }
+func (c *candidateHeap) Swap(i, j int) { c.order[i], c.order[j] = c.order[j], c.order[i] }
 
 // Push implements heap.Interface.
-func (c *candidates) Push(x any) { c.order = append(c.order, x.(int32)) }
+func (c *candidateHeap) Push(x any) { c.order = append(c.order, x.(int32)) }
 
 // Pop implements heap.Interface.
-func (c *candidates) Pop() any {
+func (c *candidateHeap) Pop() any {
 	last := len(c.order) - 1
 	x := c.order[last]
 	c.order = c.order[:last]
--- a/internal/coordination/scheduling/place.go
+++ b/internal/coordination/scheduling/place.go
@@ -96,8 +96,8 @@
 }
 
 // newCandidateHeap returns a heap of the best gap of each machine that has one for the job.
-func (r *Request) newCandidateHeap(machines []*Machine) *candidates {
-	c := &candidates{
+func (r *Request) newCandidateHeap(machines []*Machine) *candidateHeap {
+	c := &candidateHeap{
 		job:       r.Job,
 		packLimit: r.PackLimit,
 		list:      make([]candidate, 0, len(machines)),
