--- a/internal/coordination/scheduling/precedence.go
+++ b/internal/coordination/scheduling/precedence.go
@@ -29,19 +29,19 @@
 func (p Precedence) Compare(o Precedence) int {
 	switch {
 	case p.WithinGuarantee != o.WithinGuarantee:
-		return first(p.WithinGuarantee)
+		return compareTrueFirst(p.WithinGuarantee)
 	case p.Lag != o.Lag:
 		return p.Lag.Compare(o.Lag)
 	case p.NearObjective != o.NearObjective:
-		return first(p.NearObjective)
+		return compareTrueFirst(p.NearObjective)
 	case p.NearObjective:
 		return cmp.Compare(p.ReadySince, o.ReadySince)
 	}
 	return cmp.Compare(o.Queued.Index, p.Queued.Index)
 }
 
-// first returns the comparison result that orders a true value before a false one.
-func first(is bool) int {
+// compareTrueFirst returns the comparison result that orders a true value before a false one.
+func compareTrueFirst(is bool) int {
 	if is {
 		return -1
 	}
