--- a/internal/coordination/scheduling/precedence.go
+++ b/internal/coordination/scheduling/precedence.go
@@ -41,8 +41,8 @@
 }
 
 // compareTrueFirst returns the comparison result that orders a true value before a false one.
-func compareTrueFirst(is bool) int {
-	if is {
+func compareTrueFirst(value bool) int {
+	if value {
 		return -1
 	}
 	return 1
