--- a/internal/coordination/scheduling/precedence_test.go
+++ b/internal/coordination/scheduling/precedence_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestPrecedenceIsAnOrder checks that sorting by Compare leaves no pair of jobs out of order.
-func TestPrecedenceIsAnOrder(t *testing.T) {
+// TestPrecedenceSortsConsistently checks that sorting by Compare leaves no pair of jobs out of order.
+func TestPrecedenceSortsConsistently(t *testing.T) {
 	draw := rapid.Custom(func(t *rapid.T) Precedence {
 		small := rapid.Int64Range(0, 2)
 		return Precedence{
