--- a/internal/coordination/scheduling/timeline.go
+++ b/internal/coordination/scheduling/timeline.go
@@ -28,8 +28,8 @@
 	return &Timeline{steps: []step{{from, capacity}}}
 }
 
-// begin returns the time at which the machine becomes available.
-func (tl *Timeline) begin() micros.Time { return tl.steps[0].from }
+// start returns the time at which the machine becomes available.
+func (tl *Timeline) start() micros.Time { return tl.steps[0].from }
 
 // lastChange returns the start of the last step, after which the free resources stay the same.
 func (tl *Timeline) lastChange() micros.Time { return tl.steps[len(tl.steps)-1].from }
@@ -50,10 +50,10 @@
 // Reserve subtracts resources from start for the given length of time. It may reserve more than
 // is free: tasks that already run are reserved regardless of what was expected of them.
 func (tl *Timeline) Reserve(need workload.Resources, start, length micros.Time) {
-	first := tl.split(max(start, tl.begin()))
+	first := tl.split(max(start, tl.start()))
 	last := len(tl.steps)
 	if end := start + length; end < micros.Max {
-		last = tl.split(max(end, tl.begin()))
+		last = tl.split(max(end, tl.start()))
 	}
 	for i := first; i < last; i++ {
 		tl.steps[i].free = tl.steps[i].free.Sub(need)
