--- a/internal/coordination/scheduling/candidates.go
+++ b/internal/coordination/scheduling/candidates.go
@@ -79,7 +79,7 @@
 // all of the time until the task ends counts.
 func (c *candidate) addedMachineTime() int64 {
 	m := c.slot.Machine
-	added := max(0, c.slot.Start+c.slot.Length-m.Timeline.lastChange())
+	added := max(0, c.slot.Start+c.slot.Length-m.Timeline.lastStepStart())
 	return added / startTieWindow * m.Type.Capacity.CPU
 }
 
--- a/internal/coordination/scheduling/timeline.go
+++ b/internal/coordination/scheduling/timeline.go
@@ -31,8 +31,8 @@
 // start returns the time at which the machine becomes available.
 func (tl *Timeline) start() micros.Time { return tl.steps[0].from }
 
-// lastChange returns the start of the last step, after which the free resources stay the same.
-func (tl *Timeline) lastChange() micros.Time { return tl.steps[len(tl.steps)-1].from }
+// lastStepStart returns the start of the last step, after which the free resources stay the same.
+func (tl *Timeline) lastStepStart() micros.Time { return tl.steps[len(tl.steps)-1].from }
 
 // split ensures that a step begins at the given time, which must not be before the beginning of
 // the timeline, and returns the index of that step.
