--- a/internal/coordination/provisioning/choose.go
+++ b/internal/coordination/provisioning/choose.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// urgentBoot is the boot time that doubles the cost of an instance for an urgent service.
-	urgentBoot = 15 * micros.Second
+	// urgentBootScale is the boot time that doubles the cost of an instance for an urgent service.
+	urgentBootScale = 15 * micros.Second
 	// kindShare is the divisor that limits each kind to a fraction of the instances of a round.
 	kindShare = 5
 )
@@ -127,7 +127,7 @@
 	if r.Service {
 		cost *= 1 + float64(slots)/float64(max(1, r.Replicas))
 		if r.Urgent {
-			cost *= 1 + float64(instanceType.Boot)/float64(urgentBoot)
+			cost *= 1 + float64(instanceType.Boot)/float64(urgentBootScale)
 		}
 	}
 	return cost
