--- a/internal/coordination/provisioning/choose.go
+++ b/internal/coordination/provisioning/choose.go
@@ -12,8 +12,8 @@
 const (
 	// urgentBootScale is the boot time that doubles the cost of an instance for an urgent service.
 	urgentBootScale = 15 * micros.Second
-	// kindShare is the divisor that limits each kind to a fraction of the instances of a round.
-	kindShare = 5
+	// kindShareDivisor is the divisor that limits each kind to a fraction of the instances of a round.
+	kindShareDivisor = 5
 )
 
 // Choose selects instances for the capacity requests in order, minimizing the cost per task over
@@ -81,7 +81,7 @@
 func (r *round) available(kind InstanceKind) bool {
 	remaining, seen := r.remaining[kind]
 	if !seen {
-		remaining = min(r.limit(kind), max(1, r.maxInstances/kindShare))
+		remaining = min(r.limit(kind), max(1, r.maxInstances/kindShareDivisor))
 		r.remaining[kind] = remaining
 	}
 	return remaining > 0
