--- a/internal/coordination/provisioning/choose.go
+++ b/internal/coordination/provisioning/choose.go
@@ -28,8 +28,8 @@
 	return r.instanceRequests()
 }
 
-// round is the state of one call of Choose.
-type round struct {
+// selection is the state of one call of Choose.
+type selection struct {
 	types        []*workload.InstanceType // sorted by name
 	limit        func(InstanceKind) int
 	maxInstances int
@@ -43,15 +43,15 @@
 	free workload.Resources
 }
 
-func newRound(catalog workload.Catalog, limit func(InstanceKind) int, maxInstances int) *round {
+func newRound(catalog workload.Catalog, limit func(InstanceKind) int, maxInstances int) *selection {
 	types := slices.SortedFunc(maps.Values(catalog), func(a, b *workload.InstanceType) int {
 		return cmp.Compare(a.Name, b.Name)
 	})
-	return &round{types: types, limit: limit, maxInstances: maxInstances, remaining: map[InstanceKind]int{}}
+	return &selection{types: types, limit: limit, maxInstances: maxInstances, remaining: map[InstanceKind]int{}}
 }
 
 // serve assigns the tasks of a request to planned instances, adding instances as needed.
-func (r *round) serve(request *CapacityRequest) {
+func (r *selection) serve(request *CapacityRequest) {
 	missing := int64(request.Count)
 	for _, instance := range r.planned {
 		if missing > 0 && request.Allows(instance.InstanceKind) {
@@ -78,7 +78,7 @@
 
 // available reports whether another instance of the kind may be planned. A round is spread over
 // several kinds because the cloud reveals the available capacity of a kind only in its response.
-func (r *round) available(kind InstanceKind) bool {
+func (r *selection) available(kind InstanceKind) bool {
 	remaining, seen := r.remaining[kind]
 	if !seen {
 		remaining = min(r.limit(kind), max(1, r.maxInstances/kindShareDivisor))
@@ -89,7 +89,7 @@
 
 // cheapest returns an empty instance of the available kind with the lowest cost per task, or nil if
 // no kind is available.
-func (r *round) cheapest(request *CapacityRequest, missing int64) *plannedInstance {
+func (r *selection) cheapest(request *CapacityRequest, missing int64) *plannedInstance {
 	best, bestCost := (*plannedInstance)(nil), 0.0
 	for _, instanceType := range r.types {
 		slots := request.Resources.Count(instanceType.Capacity)
@@ -135,7 +135,7 @@
 
 // instanceRequests returns the planned instances grouped by kind, in the order in which the kinds
 // were first selected.
-func (r *round) instanceRequests() []InstanceRequest {
+func (r *selection) instanceRequests() []InstanceRequest {
 	var requests []InstanceRequest
 	for _, instance := range r.planned {
 		sameKind := func(request InstanceRequest) bool { return request.InstanceKind == instance.InstanceKind }
