--- a/internal/coordination/provisioning/choose.go
+++ b/internal/coordination/provisioning/choose.go
@@ -21,7 +21,7 @@
 // capacity on an instance selected for one request is used for the following ones.
 func Choose(requests []CapacityRequest, catalog workload.Catalog, limit func(InstanceKind) int,
 	maxInstances int) []InstanceRequest {
-	r := newRound(catalog, limit, maxInstances)
+	r := newSelection(catalog, limit, maxInstances)
 	for i := range requests {
 		r.serve(&requests[i])
 	}
@@ -43,7 +43,7 @@
 	free workload.Resources
 }
 
-func newRound(catalog workload.Catalog, limit func(InstanceKind) int, maxInstances int) *selection {
+func newSelection(catalog workload.Catalog, limit func(InstanceKind) int, maxInstances int) *selection {
 	types := slices.SortedFunc(maps.Values(catalog), func(a, b *workload.InstanceType) int {
 		return cmp.Compare(a.Name, b.Name)
 	})
