--- a/internal/coordination/provisioning/choose.go
+++ b/internal/coordination/provisioning/choose.go
@@ -23,7 +23,7 @@
 	maxInstances int) []InstanceRequest {
 	r := newSelection(catalog, limit, maxInstances)
 	for i := range requests {
-		r.serve(&requests[i])
+		r.plan(&requests[i])
 	}
 	return r.instanceRequests()
 }
@@ -50,8 +50,8 @@
 	return &selection{types: types, limit: limit, maxInstances: maxInstances, remaining: map[InstanceKind]int{}}
 }
 
-// serve assigns the tasks of a request to planned instances, adding instances as needed.
-func (r *selection) serve(request *CapacityRequest) {
+// plan assigns the tasks of a request to planned instances, adding instances as needed.
+func (r *selection) plan(request *CapacityRequest) {
 	missing := int64(request.Count)
 	for _, instance := range r.planned {
 		if missing > 0 && request.Allows(instance.InstanceKind) {
