--- a/internal/coordination/provisioning/choose.go
+++ b/internal/coordination/provisioning/choose.go
@@ -96,7 +96,7 @@
 		if slots == 0 {
 			continue
 		}
-		for _, kind := range kindsOf(instanceType) {
+		for _, kind := range instanceKinds(instanceType) {
 			if !request.Allows(kind) || !r.available(kind) {
 				continue
 			}
@@ -108,8 +108,8 @@
 	return best
 }
 
-// kindsOf returns the kinds of an instance type in order of preference at equal cost.
-func kindsOf(instanceType *workload.InstanceType) []InstanceKind {
+// instanceKinds returns the kinds of an instance type in order of preference at equal cost.
+func instanceKinds(instanceType *workload.InstanceType) []InstanceKind {
 	kinds := make([]InstanceKind, 0, 2*len(instanceType.Zones))
 	for _, zone := range instanceType.Zones {
 		kinds = append(kinds, InstanceKind{instanceType.Name, zone, true}, InstanceKind{instanceType.Name, zone, false})
