--- a/internal/coordination/provisioning/choose_test.go
+++ b/internal/coordination/provisioning/choose_test.go
@@ -14,7 +14,7 @@
 		Zones: []string{"a"}}
 }
 
-func booting(t *workload.InstanceType, boot micros.Time) *workload.InstanceType {
+func withBoot(t *workload.InstanceType, boot micros.Time) *workload.InstanceType {
 	t.Boot = boot
 	return t
 }
@@ -55,7 +55,7 @@
 
 var (
 	small, large = instanceType("small", 2, 2, 1), instanceType("large", 8, 8, 4)
-	slow         = booting(instanceType("slow", 2, 1.9, 1), 30*micros.Second)
+	slow         = withBoot(instanceType("slow", 2, 1.9, 1), 30*micros.Second)
 	zoned        = inZones(instanceType("zoned", 1, 1, 1), "b", "a")
 	withGPU      = &workload.InstanceType{
 		Name: "gpu", Capacity: workload.Resources{CPU: 8, GPU: 1}, Price: 1, Zones: []string{"a"},
