--- a/internal/coordination/provisioning/choose_test.go
+++ b/internal/coordination/provisioning/choose_test.go
@@ -19,7 +19,7 @@
 	return t
 }
 
-func inZones(t *workload.InstanceType, zones ...string) *workload.InstanceType {
+func withZones(t *workload.InstanceType, zones ...string) *workload.InstanceType {
 	t.Zones = zones
 	return t
 }
@@ -56,7 +56,7 @@
 var (
 	small, large = instanceType("small", 2, 2, 1), instanceType("large", 8, 8, 4)
 	slow         = withBoot(instanceType("slow", 2, 1.9, 1), 30*micros.Second)
-	zoned        = inZones(instanceType("zoned", 1, 1, 1), "b", "a")
+	zoned        = withZones(instanceType("zoned", 1, 1, 1), "b", "a")
 	withGPU      = &workload.InstanceType{
 		Name: "gpu", Capacity: workload.Resources{CPU: 8, GPU: 1}, Price: 1, Zones: []string{"a"},
 	}
