--- a/internal/coordination/provisioning/choose_test.go
+++ b/internal/coordination/provisioning/choose_test.go
@@ -43,7 +43,7 @@
 
 func spot(r *CapacityRequest) { r.Spot = true }
 
-func ofSmall(r *CapacityRequest) { r.InstanceTypes = []string{"small"} }
+func onlySmall(r *CapacityRequest) { r.InstanceTypes = []string{"small"} }
 
 func onDemand(instanceType, zone string, count int) InstanceRequest {
 	return InstanceRequest{InstanceKind{InstanceType: instanceType, Zone: zone}, count}
@@ -122,7 +122,7 @@
 		want: []InstanceRequest{onDemand("large", "a", 1)}},
 	{name: "spare capacity is used for a later request that allows it",
 		requests: []CapacityRequest{
-			tasks(1, ofSmall), tasks(1, func(r *CapacityRequest) { r.Zone = "b" }), tasks(1, ofSmall),
+			tasks(1, onlySmall), tasks(1, func(r *CapacityRequest) { r.Zone = "b" }), tasks(1, onlySmall),
 		},
 		types: []*workload.InstanceType{small, zoned}, maxInstances: many,
 		want: []InstanceRequest{onDemand("small", "a", 1), onDemand("zoned", "b", 1)}},
