--- a/internal/coordination/provisioning/choose_test.go
+++ b/internal/coordination/provisioning/choose_test.go
@@ -41,7 +41,7 @@
 	return request
 }
 
-func spot(r *CapacityRequest) { r.Spot = true }
+func allowSpot(r *CapacityRequest) { r.Spot = true }
 
 func onlySmall(r *CapacityRequest) { r.InstanceTypes = []string{"small"} }
 
@@ -85,10 +85,10 @@
 		requests: []CapacityRequest{tasks(1)}, types: []*workload.InstanceType{zoned, small}, maxInstances: many,
 		want: []InstanceRequest{onDemand("zoned", "b", 1)}},
 	{name: "spot instances if allowed",
-		requests: []CapacityRequest{tasks(2, spot)}, types: []*workload.InstanceType{small}, maxInstances: many,
+		requests: []CapacityRequest{tasks(2, allowSpot)}, types: []*workload.InstanceType{small}, maxInstances: many,
 		want: []InstanceRequest{{InstanceKind{"small", "a", true}, 1}}},
 	{name: "spot instances compared by spot price",
-		requests: []CapacityRequest{tasks(2, spot)},
+		requests: []CapacityRequest{tasks(2, allowSpot)},
 		types:    []*workload.InstanceType{small, instanceType("volatile", 2, 3, 0.5)}, maxInstances: many,
 		want: []InstanceRequest{{InstanceKind{"volatile", "a", true}, 1}}},
 	{name: "allowed instance types only",
