--- a/internal/coordination/provisioning/choose_test.go
+++ b/internal/coordination/provisioning/choose_test.go
@@ -51,7 +51,7 @@
 
 func unlimited(InstanceKind) int { return Unlimited }
 
-const many = 1000
+const manyInstances = 1000
 
 var (
 	small, large = instanceType("small", 2, 2, 1), instanceType("large", 8, 8, 4)
@@ -70,65 +70,65 @@
 	maxInstances int
 	want         []InstanceRequest
 }{
-	{name: "no requests", types: []*workload.InstanceType{small}, maxInstances: many},
+	{name: "no requests", types: []*workload.InstanceType{small}, maxInstances: manyInstances},
 	{name: "no instance type is large enough",
 		requests: []CapacityRequest{{Resources: workload.Resources{CPU: 3}, Count: 1}},
-		types:    []*workload.InstanceType{small}, maxInstances: many},
+		types:    []*workload.InstanceType{small}, maxInstances: manyInstances},
 	{name: "as many as the tasks require, the last one partly used",
-		requests: []CapacityRequest{tasks(5)}, types: []*workload.InstanceType{small}, maxInstances: many,
+		requests: []CapacityRequest{tasks(5)}, types: []*workload.InstanceType{small}, maxInstances: manyInstances,
 		want: []InstanceRequest{onDemand("small", "a", 3)}},
 	{name: "lowest cost per task, not per slot",
 		requests: []CapacityRequest{tasks(9)},
-		types:    []*workload.InstanceType{small, instanceType("large", 8, 7.9, 4)}, maxInstances: many,
+		types:    []*workload.InstanceType{small, instanceType("large", 8, 7.9, 4)}, maxInstances: manyInstances,
 		want: []InstanceRequest{onDemand("large", "a", 1), onDemand("small", "a", 1)}},
 	{name: "at equal cost, first by type name and zone order of the type",
-		requests: []CapacityRequest{tasks(1)}, types: []*workload.InstanceType{zoned, small}, maxInstances: many,
+		requests: []CapacityRequest{tasks(1)}, types: []*workload.InstanceType{zoned, small}, maxInstances: manyInstances,
 		want: []InstanceRequest{onDemand("zoned", "b", 1)}},
 	{name: "spot instances if allowed",
-		requests: []CapacityRequest{tasks(2, allowSpot)}, types: []*workload.InstanceType{small}, maxInstances: many,
+		requests: []CapacityRequest{tasks(2, allowSpot)}, types: []*workload.InstanceType{small}, maxInstances: manyInstances,
 		want: []InstanceRequest{{InstanceKind{"small", "a", true}, 1}}},
 	{name: "spot instances compared by spot price",
 		requests: []CapacityRequest{tasks(2, allowSpot)},
-		types:    []*workload.InstanceType{small, instanceType("volatile", 2, 3, 0.5)}, maxInstances: many,
+		types:    []*workload.InstanceType{small, instanceType("volatile", 2, 3, 0.5)}, maxInstances: manyInstances,
 		want: []InstanceRequest{{InstanceKind{"volatile", "a", true}, 1}}},
 	{name: "allowed instance types only",
 		requests: []CapacityRequest{tasks(2, func(r *CapacityRequest) { r.InstanceTypes = []string{"large"} })},
-		types:    []*workload.InstanceType{small, large}, maxInstances: many,
+		types:    []*workload.InstanceType{small, large}, maxInstances: manyInstances,
 		want: []InstanceRequest{onDemand("large", "a", 1)}},
 	{name: "requested zone only",
 		requests: []CapacityRequest{tasks(1, func(r *CapacityRequest) { r.Zone = "a" })},
-		types:    []*workload.InstanceType{zoned}, maxInstances: many,
+		types:    []*workload.InstanceType{zoned}, maxInstances: manyInstances,
 		want: []InstanceRequest{onDemand("zoned", "a", 1)}},
 	{name: "cost includes boot time",
-		requests: []CapacityRequest{tasks(2)}, types: []*workload.InstanceType{small, slow}, maxInstances: many,
+		requests: []CapacityRequest{tasks(2)}, types: []*workload.InstanceType{small, slow}, maxInstances: manyInstances,
 		want: []InstanceRequest{onDemand("small", "a", 1)}},
 	{name: "boot time matters little for long tasks",
 		requests: []CapacityRequest{tasks(2, func(r *CapacityRequest) { r.Hold = 3600 * micros.Second })},
-		types:    []*workload.InstanceType{small, slow}, maxInstances: many,
+		types:    []*workload.InstanceType{small, slow}, maxInstances: manyInstances,
 		want: []InstanceRequest{onDemand("slow", "a", 1)}},
 	{name: "boot time matters for an urgent service even if long-running",
 		requests: []CapacityRequest{tasks(2, func(r *CapacityRequest) {
 			r.Hold, r.Service, r.Urgent, r.Replicas = 3600*micros.Second, true, true, 100
 		})},
-		types: []*workload.InstanceType{small, slow}, maxInstances: many,
+		types: []*workload.InstanceType{small, slow}, maxInstances: manyInstances,
 		want: []InstanceRequest{onDemand("small", "a", 1)}},
 	{name: "small instances for a service with few replicas",
 		requests: []CapacityRequest{tasks(8, func(r *CapacityRequest) { r.Service, r.Replicas = true, 8 })},
-		types:    []*workload.InstanceType{small, instanceType("large", 8, 7, 4)}, maxInstances: many,
+		types:    []*workload.InstanceType{small, instanceType("large", 8, 7, 4)}, maxInstances: manyInstances,
 		want: []InstanceRequest{onDemand("small", "a", 4)}},
 	{name: "large instances for a service with many replicas",
 		requests: []CapacityRequest{tasks(8, func(r *CapacityRequest) { r.Service, r.Replicas = true, 1000 })},
-		types:    []*workload.InstanceType{small, instanceType("large", 8, 7, 4)}, maxInstances: many,
+		types:    []*workload.InstanceType{small, instanceType("large", 8, 7, 4)}, maxInstances: manyInstances,
 		want: []InstanceRequest{onDemand("large", "a", 1)}},
 	{name: "spare capacity is used for a later request that allows it",
 		requests: []CapacityRequest{
 			tasks(1, onlySmall), tasks(1, func(r *CapacityRequest) { r.Zone = "b" }), tasks(1, onlySmall),
 		},
-		types: []*workload.InstanceType{small, zoned}, maxInstances: many,
+		types: []*workload.InstanceType{small, zoned}, maxInstances: manyInstances,
 		want: []InstanceRequest{onDemand("small", "a", 1), onDemand("zoned", "b", 1)}},
 	{name: "spare capacity is used only once",
 		requests: []CapacityRequest{tasks(1), tasks(1), tasks(1)},
-		types:    []*workload.InstanceType{small}, maxInstances: many,
+		types:    []*workload.InstanceType{small}, maxInstances: manyInstances,
 		want: []InstanceRequest{onDemand("small", "a", 2)}},
 	{name: "next cheapest kind beyond the limit of a kind",
 		requests: []CapacityRequest{tasks(6)}, types: []*workload.InstanceType{small, instanceType("spare", 2, 3, 1)},
@@ -138,11 +138,11 @@
 			}
 			return Unlimited
 		},
-		maxInstances: many,
+		maxInstances: manyInstances,
 		want:         []InstanceRequest{onDemand("small", "a", 2), onDemand("spare", "a", 1)}},
 	{name: "limit of a kind applies across requests",
 		requests: []CapacityRequest{tasks(2), tasks(4)}, types: []*workload.InstanceType{small},
-		limit: func(InstanceKind) int { return 2 }, maxInstances: many,
+		limit: func(InstanceKind) int { return 2 }, maxInstances: manyInstances,
 		want: []InstanceRequest{onDemand("small", "a", 2)}},
 	{name: "at most a fifth of the round of one kind",
 		requests: []CapacityRequest{tasks(100)}, types: []*workload.InstanceType{small}, maxInstances: 10,
@@ -155,7 +155,7 @@
 		want:         []InstanceRequest{onDemand("small", "a", 1), onDemand("second", "a", 1), onDemand("third", "a", 1)}},
 	{name: "all resources must fit",
 		requests: []CapacityRequest{{Resources: workload.Resources{CPU: 1, GPU: 1}, Count: 2, Hold: micros.Second}},
-		types:    []*workload.InstanceType{small, withGPU}, maxInstances: many,
+		types:    []*workload.InstanceType{small, withGPU}, maxInstances: manyInstances,
 		want: []InstanceRequest{onDemand("gpu", "a", 2)}},
 }
 
