--- a/internal/coordination/provisioning/choose_test.go
+++ b/internal/coordination/provisioning/choose_test.go
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestInstanceKindsAreOrderedByTypeZoneAndOnDemandFirst(t *testing.T) {
+func TestInstanceKindCompare(t *testing.T) {
 	ordered := []InstanceKind{
 		{"a", "a", false}, {"a", "a", true}, {"a", "b", false}, {"b", "a", false}, {"b", "a", true}, {"b", "b", true},
 	}
