--- a/internal/coordination/provisioning/faults_test.go
+++ b/internal/coordination/provisioning/faults_test.go
@@ -55,7 +55,7 @@
 	{name: "failures on another machine: not machine", ends: []taskEnd{failed("n", "j"), failed("n", "j")}, ofJob: 2},
 }
 
-func TestFaultTrackerBlames(t *testing.T) {
+func TestFaultTrackerAttribution(t *testing.T) {
 	for _, test := range faultCases {
 		t.Run(test.name, func(t *testing.T) {
 			tracker := trackerOf(test.ends...)
