--- a/internal/coordination/provisioning/faults_test.go
+++ b/internal/coordination/provisioning/faults_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestFaultTrackerForgetJobForgetsItsSuccesses(t *testing.T) {
+func TestFaultTrackerForgetJobRemovesSuccesses(t *testing.T) {
 	tracker := NewFaultTracker()
 	tracker.Succeeded("m", "j")
 	tracker.ForgetJob("j")
