--- a/internal/coordination/provisioning/faults_test.go
+++ b/internal/coordination/provisioning/faults_test.go
@@ -25,34 +25,34 @@
 }
 
 var faultCases = []struct {
-	name       string
-	ends       []taskEnd
-	machine    bool // whether machine m is at fault
-	job        bool // whether job j is at fault
-	ofJob      int  // failures of job j
-	withoutJob bool // whether machine m is at fault once job j is forgotten
+	name        string
+	ends        []taskEnd
+	machine     bool // whether machine m is at fault
+	job         bool // whether job j is at fault
+	jobFailures int  // failures of job j
+	withoutJob  bool // whether machine m is at fault once job j is forgotten
 }{
 	{name: "no failures"},
-	{name: "one failure", ends: []taskEnd{failed("m", "j")}, ofJob: 1},
+	{name: "one failure", ends: []taskEnd{failed("m", "j")}, jobFailures: 1},
 	{name: "two failures of one job: machine", ends: []taskEnd{failed("m", "j"), failed("m", "j")},
-		machine: true, ofJob: 2},
+		machine: true, jobFailures: 2},
 	{name: "failures of two jobs: machine", ends: []taskEnd{failed("m", "j"), failed("m", "k")},
-		machine: true, ofJob: 1},
+		machine: true, jobFailures: 1},
 	{name: "failures on two machines: job", ends: []taskEnd{failed("m", "j"), failed("n", "j")},
-		job: true, ofJob: 2},
+		job: true, jobFailures: 2},
 	{name: "two failures on one of two machines: job, not machine",
-		ends: []taskEnd{failed("m", "j"), failed("m", "j"), failed("n", "j")}, job: true, ofJob: 3},
+		ends: []taskEnd{failed("m", "j"), failed("m", "j"), failed("n", "j")}, job: true, jobFailures: 3},
 	{name: "failures of two jobs and a faulty job: machine and job",
 		ends:    []taskEnd{failed("m", "j"), failed("n", "j"), failed("m", "k"), failed("m", "l")},
-		machine: true, job: true, ofJob: 2, withoutJob: true},
+		machine: true, job: true, jobFailures: 2, withoutJob: true},
 	{name: "failures on two machines and a completed task: not job",
-		ends: []taskEnd{failed("m", "j"), failed("n", "j"), succeeded("o", "j")}, ofJob: 2},
+		ends: []taskEnd{failed("m", "j"), failed("n", "j"), succeeded("o", "j")}, jobFailures: 2},
 	{name: "task completed between two failures: not machine",
-		ends: []taskEnd{failed("m", "j"), succeeded("m", "k"), failed("m", "j")}, ofJob: 2},
+		ends: []taskEnd{failed("m", "j"), succeeded("m", "k"), failed("m", "j")}, jobFailures: 2},
 	{name: "two failures since a success: machine",
 		ends:    []taskEnd{succeeded("m", "j"), failed("m", "j"), failed("m", "j")},
-		machine: true, ofJob: 2},
-	{name: "failures on another machine: not machine", ends: []taskEnd{failed("n", "j"), failed("n", "j")}, ofJob: 2},
+		machine: true, jobFailures: 2},
+	{name: "failures on another machine: not machine", ends: []taskEnd{failed("n", "j"), failed("n", "j")}, jobFailures: 2},
 }
 
 func TestFaultTrackerAttribution(t *testing.T) {
@@ -65,8 +65,8 @@
 			if got := tracker.JobAtFault("j"); got != test.job {
 				t.Errorf("JobAtFault = %v, want %v", got, test.job)
 			}
-			if got := tracker.Failures("j"); got != test.ofJob {
-				t.Errorf("Failures = %d, want %d", got, test.ofJob)
+			if got := tracker.Failures("j"); got != test.jobFailures {
+				t.Errorf("Failures = %d, want %d", got, test.jobFailures)
 			}
 		})
 	}
