--- a/internal/coordination/provisioning/faults_test.go
+++ b/internal/coordination/provisioning/faults_test.go
@@ -25,12 +25,12 @@
 }
 
 var faultCases = []struct {
-	name        string
-	ends        []taskEnd
-	machine     bool // whether machine m is at fault
-	job         bool // whether job j is at fault
-	jobFailures int  // failures of job j
-	withoutJob  bool // whether machine m is at fault once job j is forgotten
+	name                  string
+	ends                  []taskEnd
+	machine               bool // whether machine m is at fault
+	job                   bool // whether job j is at fault
+	jobFailures           int  // failures of job j
+	machineAfterForgetJob bool // whether machine m is at fault once job j is forgotten
 }{
 	{name: "no failures"},
 	{name: "one failure", ends: []taskEnd{failed("m", "j")}, jobFailures: 1},
@@ -44,7 +44,7 @@
 		ends: []taskEnd{failed("m", "j"), failed("m", "j"), failed("n", "j")}, job: true, jobFailures: 3},
 	{name: "failures of two jobs and a faulty job: machine and job",
 		ends:    []taskEnd{failed("m", "j"), failed("n", "j"), failed("m", "k"), failed("m", "l")},
-		machine: true, job: true, jobFailures: 2, withoutJob: true},
+		machine: true, job: true, jobFailures: 2, machineAfterForgetJob: true},
 	{name: "failures on two machines and a completed task: not job",
 		ends: []taskEnd{failed("m", "j"), failed("n", "j"), succeeded("o", "j")}, jobFailures: 2},
 	{name: "task completed between two failures: not machine",
@@ -80,8 +80,8 @@
 			if tracker.JobAtFault("j") || tracker.Failures("j") != 0 {
 				t.Error("a forgotten job is still at fault")
 			}
-			if got := tracker.MachineAtFault("m"); got != test.withoutJob {
-				t.Errorf("MachineAtFault after ForgetJob = %v, want %v", got, test.withoutJob)
+			if got := tracker.MachineAtFault("m"); got != test.machineAfterForgetJob {
+				t.Errorf("MachineAtFault after ForgetJob = %v, want %v", got, test.machineAfterForgetJob)
 			}
 			tracker.ForgetMachine("m")
 			if tracker.MachineAtFault("m") {
