--- a/internal/coordination/provisioning/inventory_test.go
+++ b/internal/coordination/provisioning/inventory_test.go
@@ -9,7 +9,7 @@
 	"pipitlatch/internal/micros"
 )
 
-func TestTerminatedInstancesAreRemembered(t *testing.T) {
+func TestTerminatedInstancesContains(t *testing.T) {
 	terminated := NewTerminatedInstances()
 	terminated.Confirm("m", 5)
 	if !terminated.Contains("m") || terminated.Contains("n") {
