--- a/internal/coordination/provisioning/inventory_test.go
+++ b/internal/coordination/provisioning/inventory_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestAbsentInstancesResetStartsAnew(t *testing.T) {
+func TestAbsentInstancesResetRestartsTimers(t *testing.T) {
 	absent := NewAbsentInstances()
 	absent.Observe(0, 10, nil, []string{"a"})
 	absent.Reset()
