--- a/internal/coordination/provisioning/pending_test.go
+++ b/internal/coordination/provisioning/pending_test.go
@@ -6,7 +6,7 @@
 	"pipitlatch/internal/micros"
 )
 
-func TestRequestLimiterAllowsItsPartOfTheCloudsLimit(t *testing.T) {
+func TestRequestLimiterAllowsFractionOfCloudLimit(t *testing.T) {
 	const cloudRPS = 10 // allows 6 requests per second
 	type attempt struct {
 		at      micros.Time
