--- a/internal/coordination/scheduling/place_test.go
+++ b/internal/coordination/scheduling/place_test.go
@@ -96,7 +96,7 @@
 		{"only on its instance types", workload.Job{Resources: cpuResources(4), Tasks: 4, InstanceTypes: []string{"l"}}, 4, 0},
 		{"not beyond the machine capacity", workload.Job{Resources: cpuResources(9), Tasks: 4, Spot: true}, 4, 0},
 		{"spread over two zones", workload.Job{Resources: cpuResources(1), Tasks: 5, Spread: true, Spot: true}, 5, 5},
-		{"spread limit in a single zone", workload.Job{Resources: cpuResources(1), Tasks: 5, Spread: true, Zone: "a"}, 5, 3},
+		{"spread limit in one zone", workload.Job{Resources: cpuResources(1), Tasks: 5, Spread: true, Zone: "a"}, 5, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, placed := place(&c.job, s, 9*s, c.count, newMachine(1, false, 0), inZone("b", newMachine(2, true, 0)))
