--- a/internal/coordination/provisioning/faults_test.go
+++ b/internal/coordination/provisioning/faults_test.go
@@ -52,7 +52,8 @@
 	{name: "two failures since a success: machine",
 		ends:    []taskEnd{succeeded("m", "j"), failed("m", "j"), failed("m", "j")},
 		machine: true, jobFailures: 2},
-	{name: "failures on another machine: not machine", ends: []taskEnd{failed("n", "j"), failed("n", "j")}, jobFailures: 2},
+	{name: "failures on another machine: not machine",
+		ends: []taskEnd{failed("n", "j"), failed("n", "j")}, jobFailures: 2},
 }
 
 func TestFaultTrackerAttribution(t *testing.T) {
