--- a/internal/coordination/scheduling/candidates.go
+++ b/internal/coordination/scheduling/candidates.go
@@ -63,8 +63,8 @@
 	return betterByFreeCPU(a.slot.Machine, b.slot.Machine)
 }
 
-// betterByFreeCPU prefers the machine with less free CPU at the beginning of its timeline, then the one
-// that comes first in the caller's list.
+// betterByFreeCPU prefers the machine with less free CPU at the beginning of its timeline, then the
+// one that comes first in the caller's list.
 func betterByFreeCPU(a, b *Machine) bool {
 	aFree, bFree := a.Timeline.steps[0].free.CPU, b.Timeline.steps[0].free.CPU
 	if aFree != bFree {
