--- a/internal/coordination/provisioning/choose.go
+++ b/internal/coordination/provisioning/choose.go
@@ -12,7 +12,7 @@
 const (
 	// urgentBootScale is the boot time that doubles the cost of an instance for an urgent service.
 	urgentBootScale = 15 * micros.Second
-	// kindShareDivisor is the divisor that limits each kind to a fraction of the instances of a round.
+	// kindShareDivisor limits each kind to 1/kindShareDivisor of the instances of a selection.
 	kindShareDivisor = 5
 )
 
@@ -76,7 +76,7 @@
 	return tasks
 }
 
-// available reports whether another instance of the kind may be planned. A round is spread over
+// available reports whether another instance of the kind may be planned. A selection is spread over
 // several kinds because the cloud reveals the available capacity of a kind only in its response.
 func (r *selection) available(kind InstanceKind) bool {
 	remaining, seen := r.remaining[kind]
