--- a/internal/coordination/scheduling/place_test.go
+++ b/internal/coordination/scheduling/place_test.go
@@ -93,7 +93,8 @@
 	}{
 		{"no spot machine unless allowed", workload.Job{Resources: cpuResources(4), Tasks: 4, Zone: "b"}, 4, 0},
 		{"only in its zone", workload.Job{Kind: workload.Service, Resources: cpuResources(4), Tasks: 4, Zone: "a"}, 4, 2},
-		{"only on its instance types", workload.Job{Resources: cpuResources(4), Tasks: 4, InstanceTypes: []string{"l"}}, 4, 0},
+		{"only on its instance types",
+			workload.Job{Resources: cpuResources(4), Tasks: 4, InstanceTypes: []string{"l"}}, 4, 0},
 		{"not beyond the machine capacity", workload.Job{Resources: cpuResources(9), Tasks: 4, Spot: true}, 4, 0},
 		{"spread over two zones", workload.Job{Resources: cpuResources(1), Tasks: 5, Spread: true, Spot: true}, 5, 5},
 		{"spread limit in one zone", workload.Job{Resources: cpuResources(1), Tasks: 5, Spread: true, Zone: "a"}, 5, 3},
