--- a/internal/coordination/scheduling/timeline.go
+++ b/internal/coordination/scheduling/timeline.go
@@ -49,14 +49,14 @@
 
 // Reserve subtracts resources from start for the given length of time. It may reserve more than
 // is free: tasks that already run are reserved regardless of what was expected of them.
-func (tl *Timeline) Reserve(need workload.Resources, start, length micros.Time) {
+func (tl *Timeline) Reserve(resources workload.Resources, start, length micros.Time) {
 	first := tl.split(max(start, tl.start()))
 	last := len(tl.steps)
 	if end := start + length; end < micros.Max {
 		last = tl.split(max(end, tl.start()))
 	}
 	for i := first; i < last; i++ {
-		tl.steps[i].free = tl.steps[i].free.Sub(need)
+		tl.steps[i].free = tl.steps[i].free.Sub(resources)
 	}
 }
 
