--- a/internal/coordination/scheduling/timeline.go
+++ b/internal/coordination/scheduling/timeline.go
@@ -63,7 +63,7 @@
 // Gap returns the start of the first gap at or after from in which the resources are free for the
 // given length of time. A task that starts in the first gap of a machine also ends first, so no
 // later gap has a lower weighted tardiness and only this one is compared across machines.
-func (tl *Timeline) Gap(need workload.Resources, from, length micros.Time) (start micros.Time, found bool) {
+func (tl *Timeline) Gap(resources workload.Resources, from, length micros.Time) (start micros.Time, found bool) {
 	const none = micros.Time(-1)
 	start = none
 	for i, s := range tl.steps {
@@ -74,7 +74,7 @@
 		if next <= from {
 			continue
 		}
-		if !need.Fits(s.free) {
+		if !resources.Fits(s.free) {
 			start = none
 			continue
 		}
