--- a/internal/coordination/scheduling/place.go
+++ b/internal/coordination/scheduling/place.go
@@ -49,7 +49,7 @@
 //
 // A reservation changes the gaps of one machine only, so only the candidate of that machine is
 // recomputed.
-func Place(r *Request, machines []*Machine, out func(Slot)) int {
+func Place(r *Request, machines []*Machine, emit func(Slot)) int {
 	if r.Count <= 0 {
 		return 0
 	}
@@ -62,7 +62,7 @@
 			continue
 		}
 		r.reserve(best.slot)
-		out(best.slot)
+		emit(best.slot)
 		placed++
 		if *best = r.candidateFor(best.slot.Machine); best.ok {
 			heap.Fix(c, 0)
