--- a/internal/coordination/scheduling/reference_test.go
+++ b/internal/coordination/scheduling/reference_test.go
@@ -12,7 +12,7 @@
 
 // referencePlace is a reference implementation of Place that examines every machine for every task
 // instead of using a heap.
-func referencePlace(r *Request, machines []*Machine, out func(Slot)) int {
+func referencePlace(r *Request, machines []*Machine, emit func(Slot)) int {
 	placed := 0
 	for ; placed < r.Count; placed++ {
 		var best candidate
@@ -36,7 +36,7 @@
 		if r.Job.OneZone {
 			r.Zone = m.Zone
 		}
-		out(best.slot)
+		emit(best.slot)
 	}
 	return placed
 }
