--- a/internal/coordination/scheduling/candidates.go
+++ b/internal/coordination/scheduling/candidates.go
@@ -97,33 +97,35 @@
 // candidateHeap is a heap of the machines' best gaps for one job, the best on top. It holds list
 // indices instead of candidateHeap because most of the planning time is spent on moving heap entries.
 type candidateHeap struct {
-	job       *workload.Job
-	packLimit int
-	list      []candidate
-	order     []int32 // heap of indices into list
+	job         *workload.Job
+	packLimit   int
+	list        []candidate
+	heapIndices []int32 // heap of indices into list
 }
 
 // best returns the top of the heap, which must not be empty.
-func (c *candidateHeap) best() *candidate { return &c.list[c.order[0]] }
+func (c *candidateHeap) best() *candidate { return &c.list[c.heapIndices[0]] }
 
 // Len implements heap.Interface.
-func (c *candidateHeap) Len() int { return len(c.order) }
+func (c *candidateHeap) Len() int { return len(c.heapIndices) }
 
 // Less implements heap.Interface.
 func (c *candidateHeap) Less(i, j int) bool {
-	return better(c.job, c.packLimit, &c.list[c.order[i]], &c.list[c.order[j]])
+	return better(c.job, c.packLimit, &c.list[c.heapIndices[i]], &c.list[c.heapIndices[j]])
 }
 
 // Swap implements heap.Interface.
-func (c *candidateHeap) Swap(i, j int) { c.order[i], c.order[j] = c.order[j], c.order[i] }
+func (c *candidateHeap) Swap(i, j int) {
+	c.heapIndices[i], c.heapIndices[j] = c.heapIndices[j], c.heapIndices[i]
+}
 
 // Push implements heap.Interface.
-func (c *candidateHeap) Push(x any) { c.order = append(c.order, x.(int32)) }
+func (c *candidateHeap) Push(x any) { c.heapIndices = append(c.heapIndices, x.(int32)) }
 
 // Pop implements heap.Interface.
 func (c *candidateHeap) Pop() any {
-	last := len(c.order) - 1
-	x := c.order[last]
-	c.order = c.order[:last]
+	last := len(c.heapIndices) - 1
+	x := c.heapIndices[last]
+	c.heapIndices = c.heapIndices[:last]
 	return x
 }
--- a/internal/coordination/scheduling/place.go
+++ b/internal/coordination/scheduling/place.go
@@ -98,14 +98,14 @@
 // newCandidateHeap returns a heap of the best gap of each machine that has one for the job.
 func (r *Request) newCandidateHeap(machines []*Machine) *candidateHeap {
 	c := &candidateHeap{
-		job:       r.Job,
-		packLimit: r.PackLimit,
-		list:      make([]candidate, 0, len(machines)),
-		order:     make([]int32, 0, len(machines)),
+		job:         r.Job,
+		packLimit:   r.PackLimit,
+		list:        make([]candidate, 0, len(machines)),
+		heapIndices: make([]int32, 0, len(machines)),
 	}
 	for _, m := range machines {
 		if best := r.candidateFor(m); best.ok {
-			c.order = append(c.order, int32(len(c.list)))
+			c.heapIndices = append(c.heapIndices, int32(len(c.list)))
 			c.list = append(c.list, best)
 		}
 	}
