--- a/internal/coordination/scheduling/reference_test.go
+++ b/internal/coordination/scheduling/reference_test.go
@@ -95,7 +95,7 @@
 // implementation without a heap.
 func TestPlaceMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		fleet := drawMachines(t)
+		machines := drawMachines(t)
 		j := &workload.Job{
 			Resources: cpuResources(rapid.Int64Range(1, 6).Draw(t, "need")),
 			Tasks:     40,
@@ -114,8 +114,8 @@
 			}
 		}
 		var got, want []Slot
-		fleetForReference := cloneMachines(fleet)
-		placed := Place(request(), fleet, func(slot Slot) { got = append(got, slot) })
+		fleetForReference := cloneMachines(machines)
+		placed := Place(request(), machines, func(slot Slot) { got = append(got, slot) })
 		expected := referencePlace(request(), fleetForReference, func(slot Slot) { want = append(want, slot) })
 		if placed != expected {
 			t.Fatalf("placed %d tasks, reference placed %d", placed, expected)
