--- a/internal/coordination/scheduling/reference_test.go
+++ b/internal/coordination/scheduling/reference_test.go
@@ -114,9 +114,9 @@
 			}
 		}
 		var got, want []Slot
-		fleetForReference := cloneMachines(machines)
+		referenceMachines := cloneMachines(machines)
 		placed := Place(request(), machines, func(slot Slot) { got = append(got, slot) })
-		expected := referencePlace(request(), fleetForReference, func(slot Slot) { want = append(want, slot) })
+		expected := referencePlace(request(), referenceMachines, func(slot Slot) { want = append(want, slot) })
 		if placed != expected {
 			t.Fatalf("placed %d tasks, reference placed %d", placed, expected)
 		}
