--- a/internal/coordination/provisioning/choose.go
+++ b/internal/coordination/provisioning/choose.go
@@ -52,19 +52,19 @@
 
 // plan assigns the tasks of a request to planned instances, adding instances as needed.
 func (r *selection) plan(request *CapacityRequest) {
-	missing := int64(request.Count)
+	unassigned := int64(request.Count)
 	for _, instance := range r.planned {
-		if missing > 0 && request.Allows(instance.InstanceKind) {
-			missing -= instance.fill(request, missing)
+		if unassigned > 0 && request.Allows(instance.InstanceKind) {
+			unassigned -= instance.fill(request, unassigned)
 		}
 	}
-	for missing > 0 && len(r.planned) < r.maxInstances {
-		instance := r.cheapest(request, missing)
+	for unassigned > 0 && len(r.planned) < r.maxInstances {
+		instance := r.cheapest(request, unassigned)
 		if instance == nil {
 			return
 		}
 		r.remaining[instance.InstanceKind]--
-		missing -= instance.fill(request, missing)
+		unassigned -= instance.fill(request, unassigned)
 		r.planned = append(r.planned, instance)
 	}
 }
