--- a/internal/coordination/provisioning/choose.go
+++ b/internal/coordination/provisioning/choose.go
@@ -70,8 +70,8 @@
 }
 
 // fill assigns up to missing tasks of the request to the instance and returns how many fit.
-func (p *plannedInstance) fill(request *CapacityRequest, missing int64) int64 {
-	tasks := min(missing, request.Resources.Count(p.free))
+func (p *plannedInstance) fill(request *CapacityRequest, unassigned int64) int64 {
+	tasks := min(unassigned, request.Resources.Count(p.free))
 	p.free = p.free.Sub(request.Resources.Times(tasks))
 	return tasks
 }
