--- a/internal/coordination/provisioning/choose.go
+++ b/internal/coordination/provisioning/choose.go
@@ -89,7 +89,7 @@
 
 // cheapest returns an empty instance of the available kind with the lowest cost per task, or nil if
 // no kind is available.
-func (r *selection) cheapest(request *CapacityRequest, missing int64) *plannedInstance {
+func (r *selection) cheapest(request *CapacityRequest, unassigned int64) *plannedInstance {
 	best, bestCost := (*plannedInstance)(nil), 0.0
 	for _, instanceType := range r.types {
 		slots := request.Resources.Count(instanceType.Capacity)
@@ -100,7 +100,7 @@
 			if !request.Allows(kind) || !r.available(kind) {
 				continue
 			}
-			if cost := request.cost(instanceType, kind.Spot, slots, missing); best == nil || cost < bestCost {
+			if cost := request.cost(instanceType, kind.Spot, slots, unassigned); best == nil || cost < bestCost {
 				best, bestCost = &plannedInstance{kind, instanceType.Capacity}, cost
 			}
 		}
