--- a/internal/coordination/provisioning/choose.go
+++ b/internal/coordination/provisioning/choose.go
@@ -118,12 +118,12 @@
 }
 
 // cost returns the weighted cost of an instance over boot and use, per task that it would run.
-func (r *CapacityRequest) cost(instanceType *workload.InstanceType, spot bool, slots, missing int64) float64 {
+func (r *CapacityRequest) cost(instanceType *workload.InstanceType, spot bool, slots, unassigned int64) float64 {
 	price := instanceType.Price
 	if spot {
 		price = instanceType.SpotPrice
 	}
-	cost := price * micros.Seconds(instanceType.Boot+r.Hold) / float64(min(slots, missing))
+	cost := price * micros.Seconds(instanceType.Boot+r.Hold) / float64(min(slots, unassigned))
 	if r.Service {
 		cost *= 1 + float64(slots)/float64(max(1, r.Replicas))
 		if r.Urgent {
