--- a/internal/coordination/scheduling/candidates.go
+++ b/internal/coordination/scheduling/candidates.go
@@ -95,7 +95,7 @@
 }
 
 // candidateHeap is a heap of the machines' best gaps for one job, the best on top. It holds list
-// indices instead of candidateHeap because most of the planning time is spent on moving heap entries.
+// indices instead of candidates because most of the planning time is spent on moving heap entries.
 type candidateHeap struct {
 	job         *workload.Job
 	packLimit   int
