--- a/internal/coordination/scheduling/place.go
+++ b/internal/coordination/scheduling/place.go
@@ -44,7 +44,7 @@
 }
 
 // Place finds and reserves slots for the tasks one by one until all are placed or no machine has a
-// gap, passes each slot to out, and returns the number of tasks placed. The other tasks stay
+// gap, passes each slot to emit, and returns the number of tasks placed. The other tasks stay
 // queued in index order.
 //
 // A reservation changes the gaps of one machine only, so only the candidate of that machine is
