--- a/internal/coordination/provisioning/choose.go
+++ b/internal/coordination/provisioning/choose.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// fill assigns up to missing tasks of the request to the instance and returns how many fit.
+// fill assigns as many of the unassigned tasks of the request to the instance as fit and returns
+// their number.
 func (p *plannedInstance) fill(request *CapacityRequest, unassigned int64) int64 {
 	tasks := min(unassigned, request.Resources.Count(p.free))
 	p.free = p.free.Sub(request.Resources.Times(tasks))
