--- a/internal/coordination/provisioning/faults_test.go
+++ b/internal/coordination/provisioning/faults_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// taskEnd is the end of a task of a job on a machine.
+// taskEnd is the outcome of a task of a job on a machine.
 type taskEnd struct {
 	machine, job string
 	succeeded    bool
@@ -11,7 +11,7 @@
 func failed(machine, job string) taskEnd    { return taskEnd{machine, job, false} }
 func succeeded(machine, job string) taskEnd { return taskEnd{machine, job, true} }
 
-// trackerOf is a tracker that has seen tasks end.
+// trackerOf returns a tracker that has recorded the given outcomes.
 func trackerOf(ends ...taskEnd) *FaultTracker {
 	tracker := NewFaultTracker()
 	for _, end := range ends {
@@ -25,37 +25,38 @@
 }
 
 var faultCases = []struct {
-	name       string
-	ends       []taskEnd
-	machine    bool // is machine m at fault
-	job        bool // is job j
-	ofJob      int  // failures of job j
-	withoutJob bool // is machine m at fault once job j is forgotten
+	name                  string
+	ends                  []taskEnd
+	machine               bool // whether machine m is at fault
+	job                   bool // whether job j is at fault
+	jobFailures           int  // failures of job j
+	machineAfterForgetJob bool // whether machine m is at fault once job j is forgotten
 }{
-	{name: "nobody without failures"},
-	{name: "nobody for one failure", ends: []taskEnd{failed("m", "j")}, ofJob: 1},
-	{name: "the machine for two failures of one job", ends: []taskEnd{failed("m", "j"), failed("m", "j")},
-		machine: true, ofJob: 2},
-	{name: "the machine for failures of two jobs", ends: []taskEnd{failed("m", "j"), failed("m", "k")},
-		machine: true, ofJob: 1},
-	{name: "the job that failed on two machines", ends: []taskEnd{failed("m", "j"), failed("n", "j")},
-		job: true, ofJob: 2},
-	{name: "the job, not the machine on which it failed twice",
-		ends: []taskEnd{failed("m", "j"), failed("m", "j"), failed("n", "j")}, job: true, ofJob: 3},
-	{name: "the machine for failures of two jobs besides a mistaken one",
+	{name: "no failures"},
+	{name: "one failure", ends: []taskEnd{failed("m", "j")}, jobFailures: 1},
+	{name: "two failures of one job: machine", ends: []taskEnd{failed("m", "j"), failed("m", "j")},
+		machine: true, jobFailures: 2},
+	{name: "failures of two jobs: machine", ends: []taskEnd{failed("m", "j"), failed("m", "k")},
+		machine: true, jobFailures: 1},
+	{name: "failures on two machines: job", ends: []taskEnd{failed("m", "j"), failed("n", "j")},
+		job: true, jobFailures: 2},
+	{name: "two failures on one of two machines: job, not machine",
+		ends: []taskEnd{failed("m", "j"), failed("m", "j"), failed("n", "j")}, job: true, jobFailures: 3},
+	{name: "failures of two jobs and a faulty job: machine and job",
 		ends:    []taskEnd{failed("m", "j"), failed("n", "j"), failed("m", "k"), failed("m", "l")},
-		machine: true, job: true, ofJob: 2, withoutJob: true},
-	{name: "not the job of which a task completed",
-		ends: []taskEnd{failed("m", "j"), failed("n", "j"), succeeded("o", "j")}, ofJob: 2},
-	{name: "not the machine where a task completed since",
-		ends: []taskEnd{failed("m", "j"), succeeded("m", "k"), failed("m", "j")}, ofJob: 2},
-	{name: "the machine for two failures since a success",
+		machine: true, job: true, jobFailures: 2, machineAfterForgetJob: true},
+	{name: "failures on two machines and a completed task: not job",
+		ends: []taskEnd{failed("m", "j"), failed("n", "j"), succeeded("o", "j")}, jobFailures: 2},
+	{name: "task completed between two failures: not machine",
+		ends: []taskEnd{failed("m", "j"), succeeded("m", "k"), failed("m", "j")}, jobFailures: 2},
+	{name: "two failures since a success: machine",
 		ends:    []taskEnd{succeeded("m", "j"), failed("m", "j"), failed("m", "j")},
-		machine: true, ofJob: 2},
-	{name: "not the machine for failures elsewhere", ends: []taskEnd{failed("n", "j"), failed("n", "j")}, ofJob: 2},
+		machine: true, jobFailures: 2},
+	{name: "failures on another machine: not machine",
+		ends: []taskEnd{failed("n", "j"), failed("n", "j")}, jobFailures: 2},
 }
 
-func TestFaultTrackerBlames(t *testing.T) {
+func TestFaultTrackerAttribution(t *testing.T) {
 	for _, test := range faultCases {
 		t.Run(test.name, func(t *testing.T) {
 			tracker := trackerOf(test.ends...)
@@ -65,8 +66,8 @@
 			if got := tracker.JobAtFault("j"); got != test.job {
 				t.Errorf("JobAtFault = %v, want %v", got, test.job)
 			}
-			if got := tracker.Failures("j"); got != test.ofJob {
-				t.Errorf("Failures = %d, want %d", got, test.ofJob)
+			if got := tracker.Failures("j"); got != test.jobFailures {
+				t.Errorf("Failures = %d, want %d", got, test.jobFailures)
 			}
 		})
 	}
@@ -80,8 +81,8 @@
 			if tracker.JobAtFault("j") || tracker.Failures("j") != 0 {
 				t.Error("a forgotten job is still at fault")
 			}
-			if got := tracker.MachineAtFault("m"); got != test.withoutJob {
-				t.Errorf("MachineAtFault once the job is forgotten = %v, want %v", got, test.withoutJob)
+			if got := tracker.MachineAtFault("m"); got != test.machineAfterForgetJob {
+				t.Errorf("MachineAtFault after ForgetJob = %v, want %v", got, test.machineAfterForgetJob)
 			}
 			tracker.ForgetMachine("m")
 			if tracker.MachineAtFault("m") {
@@ -91,7 +92,7 @@
 	}
 }
 
-func TestFaultTrackerForgetJobForgetsItsSuccesses(t *testing.T) {
+func TestFaultTrackerForgetJobRemovesSuccesses(t *testing.T) {
 	tracker := NewFaultTracker()
 	tracker.Succeeded("m", "j")
 	tracker.ForgetJob("j")
--- a/internal/coordination/scheduling/reference_test.go
+++ b/internal/coordination/scheduling/reference_test.go
@@ -10,16 +10,17 @@
 	"pipitlatch/internal/workload"
 )
 
-// plainPlace is Place without the heap: for every task it looks at every machine.
-func plainPlace(r *Request, machines []*Machine, out func(Slot)) int {
+// referencePlace is a reference implementation of Place that examines every machine for every task
+// instead of using a heap.
+func referencePlace(r *Request, machines []*Machine, emit func(Slot)) int {
 	placed := 0
 	for ; placed < r.Count; placed++ {
 		var best candidate
 		for _, m := range machines {
-			if !mayTakeAnother(r, m.Zone) {
+			if !referenceZoneHasCapacity(r, m.Zone) {
 				continue
 			}
-			if c := r.candidate(m); better(r.Job, r.PackLimit, &c, &best) {
+			if c := r.candidateFor(m); better(r.Job, r.PackLimit, &c, &best) {
 				best = c
 			}
 		}
@@ -35,18 +36,18 @@
 		if r.Job.OneZone {
 			r.Zone = m.Zone
 		}
-		out(best.slot)
+		emit(best.slot)
 	}
 	return placed
 }
 
-// mayTakeAnother says again, for the reference, what a job's placed tasks allow of a zone.
-func mayTakeAnother(r *Request, zone string) bool {
+// referenceZoneHasCapacity is an independent implementation of zoneHasCapacity for the reference.
+func referenceZoneHasCapacity(r *Request, zone string) bool {
 	return (r.Zone == "" || zone == r.Zone) && (!r.Job.Spread || r.TasksByZone[zone] < r.Job.SpreadLimit())
 }
 
-// drawnFleet draws machines of three sizes, some of them busy for a while.
-func drawnFleet(t *rapid.T) []*Machine {
+// drawMachines generates machines of three sizes, some of them with running tasks.
+func drawMachines(t *rapid.T) []*Machine {
 	var out []*Machine
 	for i := range rapid.IntRange(1, 30).Draw(t, "machines") {
 		size := rapid.IntRange(0, 2).Draw(t, "size")
@@ -73,14 +74,14 @@
 		for range rapid.IntRange(0, 3).Draw(t, "running") {
 			cpu := rapid.Int64Range(1, 4).Draw(t, "cpu")
 			remaining := rapid.Int64Range(1, 60).Draw(t, "remaining") * s
-			m.Timeline.Reserve(need(cpu), 0, remaining)
+			m.Timeline.Reserve(cpuResources(cpu), 0, remaining)
 		}
 		out = append(out, m)
 	}
 	return out
 }
 
-func copyFleet(machines []*Machine) []*Machine {
+func cloneMachines(machines []*Machine) []*Machine {
 	out := make([]*Machine, len(machines))
 	for i, m := range machines {
 		c := *m
@@ -90,13 +91,13 @@
 	return out
 }
 
-// TestPlaceLikeThePlainOne holds Place against the plain reference: the heap may
-// make it faster, not decide otherwise.
-func TestPlaceLikeThePlainOne(t *testing.T) {
+// TestPlaceMatchesReference checks that Place makes the same placements as the reference
+// implementation without a heap.
+func TestPlaceMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		fleet := drawnFleet(t)
+		machines := drawMachines(t)
 		j := &workload.Job{
-			Resources: need(rapid.Int64Range(1, 6).Draw(t, "need")),
+			Resources: cpuResources(rapid.Int64Range(1, 6).Draw(t, "need")),
 			Tasks:     40,
 			Spot:      rapid.Bool().Draw(t, "spot"),
 			Image:     "i",
@@ -113,16 +114,16 @@
 			}
 		}
 		var got, want []Slot
-		fleetForReference := copyFleet(fleet)
-		placed := Place(request(), fleet, func(slot Slot) { got = append(got, slot) })
-		expected := plainPlace(request(), fleetForReference, func(slot Slot) { want = append(want, slot) })
+		referenceMachines := cloneMachines(machines)
+		placed := Place(request(), machines, func(slot Slot) { got = append(got, slot) })
+		expected := referencePlace(request(), referenceMachines, func(slot Slot) { want = append(want, slot) })
 		if placed != expected {
-			t.Fatalf("placed %d, the plain one %d", placed, expected)
+			t.Fatalf("placed %d tasks, reference placed %d", placed, expected)
 		}
 		for i := range got {
 			g, w := got[i], want[i]
 			if g.Machine.Index != w.Machine.Index || g.Start != w.Start || g.Length != w.Length {
-				t.Fatalf("task %d: machine %d at %d, the plain one machine %d at %d",
+				t.Fatalf("task %d: placed on machine %d at %d, reference on machine %d at %d",
 					i, g.Machine.Index, g.Start, w.Machine.Index, w.Start)
 			}
 		}
@@ -135,17 +136,17 @@
 	for b.Loop() {
 		var fleet []*Machine
 		for i := range 400 {
-			m := machine(i, i%2 == 0, micros.Time(i%40+1)*s)
+			m := newMachine(i, i%2 == 0, micros.Time(i%40+1)*s)
 			fleet = append(fleet, m)
 		}
 		placed := 0
 		for range 20 {
-			j := &workload.Job{Resources: need(2), Tasks: 100, Spot: true}
+			j := &workload.Job{Resources: cpuResources(2), Tasks: 100, Spot: true}
 			r := &Request{Job: j, Weight: 2, Estimate: 20 * s, Due: 60 * s, Count: 100, TasksByZone: map[string]int{}}
 			placed += Place(r, fleet, func(Slot) {})
 		}
 		if placed != 2000 {
-			b.Fatal(placed)
+			b.Fatalf("placed %d tasks, want 2000", placed)
 		}
 	}
 }
