--- a/internal/coordination/replication/replica.go
+++ b/internal/coordination/replication/replica.go
@@ -1,6 +1,6 @@
-// Package replication keeps a controller's copy of the key-value store: it loads a snapshot,
-// follows the change stream, counts how long the leadership term lasts without confirmation,
-// and makes the copy good for linearizable reads.
+// Package replication maintains a controller's local copy of the key-value store: it loads a
+// snapshot, follows the change stream, tracks how long the leadership term remains valid without
+// confirmation, and supports linearizable reads from the copy.
 package replication
 
 import (
@@ -10,43 +10,43 @@
 	"pipitlatch/internal/storage"
 )
 
-// staleAfter is how old the last confirmation by the change stream may be before the key-value
-// store counts as out of reach: a watch comes back once a second.
+// staleAfter is the age of the last confirmation by the change stream from which the key-value
+// store is considered unreachable. An idle watch returns once per second.
 const staleAfter = 2500 * micros.Millisecond
 
-// Environment is what a replica needs of the core.
+// Environment is the part of the core that a replica depends on.
 type Environment interface {
-	// Now is the steady time of this step.
+	// Now returns the monotonic time of this step.
 	Now() micros.Time
-	// Log adds a record to the log; attributes are keys and values in turn.
+	// Log writes a log record; attributes are alternating keys and values.
 	Log(level int, message string, attributes ...any)
-	// CallStore sends a request to the key-value store. It returns false, and done is never
-	// called, if the request budget does not allow it now.
+	// CallStore sends a request to the key-value store. If the request budget does not
+	// allow it at present, it returns false and never calls done.
 	CallStore(r *storage.Request, urgency storage.Urgency, timeout micros.Time, done func(*storage.Reply)) bool
 }
 
-// Observer reacts to what the replica learns.
+// Observer is notified of changes to the local copy.
 type Observer interface {
-	// SnapshotInstalled takes that a new cache replaced the previous one. What happened
-	// between the two is unknown. The last page was requested at a time.
+	// SnapshotInstalled is called after a new cache has replaced the previous one. The changes
+	// between the two are unknown. sent is the time at which the last page was requested.
 	SnapshotInstalled(previous *storage.Cache, sent micros.Time)
-	// Changed takes one change, which the cache has already.
+	// Changed is called for each change, after it has been applied to the cache.
 	Changed(change storage.Change, item storage.Item)
-	// AdmissionChanged takes, after all changes that came with it, that the record of the
-	// admission epoch changed; the watch that brought it was sent at a time.
+	// AdmissionChanged is called if a batch changed the record of the admission epoch, after all
+	// changes of that batch. sent is the time at which the watch was sent.
 	AdmissionChanged(sent micros.Time)
-	// ChangesApplied takes that all changes which came together are in the cache.
+	// ChangesApplied is called after a batch of changes has been applied to the cache.
 	ChangesApplied()
 }
 
-// Replica is a controller's copy of the key-value store.
+// Replica is a controller's local copy of the key-value store.
 type Replica struct {
 	environment Environment
 	observer    Observer
 	keys        storage.Keys
 
 	cache  *storage.Cache
-	synced bool // the cache is whole: the change stream continues it
+	synced bool // the cache is complete and the change stream can continue from it
 	term   leadership.Term
 
 	snapshot snapshotLoad
@@ -54,14 +54,14 @@
 	reads    *readBarrier
 }
 
-// Settings are what a replica is configured with.
+// Settings configures a replica.
 type Settings struct {
 	Keys          storage.Keys
-	TermLength    micros.Time // of the leadership of partitions and of the cluster
-	WatchInterval micros.Time // the least time between two watches
+	TermLength    micros.Time // of partition and cluster leadership
+	WatchInterval micros.Time // minimum time between two watches
 }
 
-// New returns a replica that has loaded nothing.
+// New returns a replica with an empty cache.
 func New(environment Environment, observer Observer, settings Settings) *Replica {
 	r := &Replica{
 		environment: environment,
@@ -75,10 +75,10 @@
 	return r
 }
 
-// Cache is the copy of the store. Install replaces it.
+// Cache returns the local copy of the store. Install replaces it.
 func (r *Replica) Cache() *storage.Cache { return r.cache }
 
-// Synced tells whether the cache is whole, though it may be old.
+// Synced reports whether the cache is complete, although it may be outdated.
 func (r *Replica) Synced() bool { return r.synced }
 
 // Term counts how long a leader may act without a confirmation by the change stream.
@@ -94,33 +94,34 @@
 // Revision is how far the cache has come.
 func (r *Replica) Revision() uint64 { return r.cache.Revision }
 
-// Refresh loads a snapshot if there is no valid copy, and follows the change stream if there is.
+// Refresh loads a snapshot if there is no complete copy, and otherwise follows the change stream.
 func (r *Replica) Refresh() {
 	r.loadSnapshot()
 	r.watchChanges()
 }
 
-// LinearizableRead calls then(true) when the cache is as new as this moment, and then(false),
-// at once where that is known, when it cannot be made so.
+// LinearizableRead calls then(true) once the cache is at least as recent as this call, or
+// then(false) if that cannot be achieved, immediately if this is already known.
 func (r *Replica) LinearizableRead(then func(ok bool)) { r.reads.read(then) }
 
-// AdvanceReads ends linearizable reads that waited too long, and begins those that wait.
+// AdvanceReads fails linearizable reads that have timed out, and starts pending ones.
 func (r *Replica) AdvanceReads() { r.reads.advance() }
 
-// Install takes a fresh copy of the store, of which the last page was requested at a time. What
-// happened between the copies is unknown, so a lease counts as the same only if its mod
-// revision is, and nothing is done under it until the stream has confirmed it once more.
+// Install replaces the cache with a new copy of the store, whose last page was requested at the
+// time sent. The changes between the two copies are unknown, so a lease is considered unchanged
+// only if its mod revision is the same, and the leader must not act under it until the change
+// stream has confirmed it again.
 func (r *Replica) Install(cache *storage.Cache, sent micros.Time) {
 	previous := r.cache
 	r.cache, r.synced = cache, true
 	r.term.Invalidate()
 	r.observer.SnapshotInstalled(previous, sent)
-	cache.TakeAffected() // the observer looked at everything
+	cache.TakeAffected() // SnapshotInstalled has already examined all jobs
 	r.environment.Log(messages.LevelInfo, "snapshot loaded", "revision", cache.Revision, "jobs", len(cache.Jobs))
 }
 
-// logUndecodable tells of a record that is passed over: one that cannot be read must not keep
-// the others from being read.
+// logUndecodable logs a record that is skipped: one that cannot be decoded must not prevent the
+// others from being read.
 func (r *Replica) logUndecodable(err error) {
 	r.environment.Log(messages.LevelWarn, "undecodable record", "err", err)
 }
