--- a/internal/coordination/replication/read_barrier.go
+++ b/internal/coordination/replication/read_barrier.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// readTimeout is how long a linearizable read may wait for the stream.
+	// readTimeout limits how long a linearizable read waits for the change stream.
 	readTimeout = 1200 * micros.Millisecond
-	// readInterval bounds the requests while there are many reads.
+	// readInterval is the minimum time between two requests, however many reads are pending.
 	readInterval = 100 * micros.Millisecond
-	// readRequestTimeout is how long the store's reply is waited for.
+	// readRequestTimeout limits the wait for the store's reply.
 	readRequestTimeout = micros.Second
 )
 
-// stream is what a read barrier needs of the change stream.
+// stream is the part of the change stream that a read barrier depends on.
 type stream interface {
-	// Current tells whether the stream has been heard of late.
+	// Current reports whether the stream has been confirmed recently.
 	Current() bool
-	// Revision is how far the stream has come.
+	// Revision returns the latest revision that the stream has reached.
 	Revision() uint64
 }
 
-// readBarrier makes the cache good for responses to users: a read of the key-value store tells
-// its revision, and once the stream has reached that, the cache is at least as new as the
-// moment of that read. One request serves all reads that wait.
+// readBarrier provides linearizable reads of the cache. A request to the key-value store returns
+// its current revision; once the change stream has reached that revision, the cache is at least
+// as recent as the request. One request serves all pending reads.
 type readBarrier struct {
 	environment    Environment
 	stream         stream
-	key            string        // of a record that never exists
-	waiting        []pendingRead // for the next request
+	key            string        // key of a record that never exists
+	waiting        []pendingRead // reads to be served by the next request
 	inFlight       bool
 	lastSentAt     micros.Time
-	awaitingStream []pendingRead // their revision is known
+	awaitingStream []pendingRead // reads whose revision is known
 }
 
 type pendingRead struct {
@@ -47,17 +47,17 @@
 	return &readBarrier{environment: environment, stream: stream, key: key}
 }
 
-// read calls then when the stream has reached this moment, or cannot.
+// read calls then(true) once the stream has caught up with this call, or then(false) if it cannot.
 func (b *readBarrier) read(then func(ok bool)) {
 	if !b.stream.Current() {
-		then(false) // the stream is silent for long: waiting would only hold the response back
+		then(false) // the stream is stale: waiting would only delay the response
 		return
 	}
 	b.waiting = append(b.waiting, pendingRead{deadline: b.environment.Now() + readTimeout, then: then})
 	b.advance()
 }
 
-// advance fails the reads whose time is over and sends a request for those that wait.
+// advance fails reads that have timed out, and sends a request for the pending ones.
 func (b *readBarrier) advance() {
 	now := b.environment.Now()
 	b.waiting = failOverdue(b.waiting, now)
@@ -76,8 +76,8 @@
 	b.inFlight, b.lastSentAt = true, now
 }
 
-// takeRevision takes the store's reply to the request for a batch of reads: as the record does
-// not exist, all that a reply tells is the revision.
+// takeRevision handles the store's reply to the request for a batch of reads. As the record does
+// not exist, a successful reply contains only the revision.
 func (b *readBarrier) takeRevision(batch []pendingRead, reply *storage.Reply) {
 	b.inFlight = false
 	if reply.Outcome != storage.NotFound {
@@ -107,7 +107,7 @@
 	}
 }
 
-// failOverdue fails the reads whose time is over, and returns the others.
+// failOverdue fails the reads that have timed out, and returns the others.
 func failOverdue(reads []pendingRead, now micros.Time) []pendingRead {
 	return slices.DeleteFunc(reads, func(read pendingRead) bool {
 		if read.deadline > now {
