--- a/internal/coordination/replication/snapshot.go
+++ b/internal/coordination/replication/snapshot.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// snapshotPageItems is how many items one page of a snapshot has at most.
+	// snapshotPageItems is the maximum number of items in a page of a snapshot.
 	snapshotPageItems = 500
-	// snapshotPageTimeout is how long a page is waited for.
+	// snapshotPageTimeout limits the wait for a page.
 	snapshotPageTimeout = 4 * micros.Second
-	// snapshotRetryInterval is how long after a page failed the snapshot is begun anew.
+	// snapshotRetryInterval is the delay before a snapshot is restarted after a failed page.
 	snapshotRetryInterval = 200 * micros.Millisecond
 )
 
-// snapshotLoad is the snapshot that is being loaded.
+// snapshotLoad is the state of loading a snapshot.
 type snapshotLoad struct {
 	inProgress bool
 	retryAt    micros.Time
 }
 
-// loadSnapshot reads the whole store, page by page, when there is no valid copy.
+// loadSnapshot reads the whole store page by page if there is no complete copy.
 func (r *Replica) loadSnapshot() {
 	if r.synced || r.snapshot.inProgress || r.environment.Now() < r.snapshot.retryAt {
 		return
@@ -29,8 +29,9 @@
 	r.loadPage(storage.NewCache(r.keys), "", 0)
 }
 
-// loadPage requests the page after a key. The change stream starts at the revision of the first
-// page, which is 0 until that has come: what changed while the others were read comes again.
+// loadPage requests the page that follows the key after. The change stream starts at the revision
+// of the first page, so that it repeats the changes made while later pages were read.
+// firstRevision is 0 until the first page has been received.
 func (r *Replica) loadPage(into *storage.Cache, after string, firstRevision uint64) {
 	sent := r.environment.Now()
 	request := &storage.Request{Kind: storage.List, Key: r.keys.Prefix, After: after, Limit: snapshotPageItems}
@@ -53,7 +54,7 @@
 			r.logUndecodable(err)
 		}
 		if into.Archived {
-			break // what follows is read when somebody asks for it
+			break // archived jobs are read on demand
 		}
 	}
 	if page.More && !into.Archived {
