--- a/internal/coordination/replication/watch.go
+++ b/internal/coordination/replication/watch.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// watchWait is how long the store holds a watch back while nothing changes.
+	// watchWait is how long the store holds a watch open while nothing changes.
 	watchWait = micros.Second
-	// watchTimeout is how long the reply to a watch is waited for.
+	// watchTimeout limits the wait for the reply to a watch.
 	watchTimeout = watchWait + 3*micros.Second
-	// watchRetryInterval is how long after a watch failed the next one is sent.
+	// watchRetryInterval is the delay before the next watch after a failed one.
 	watchRetryInterval = 100 * micros.Millisecond
 )
 
-// watchState paces the watches, of which one is in flight at a time.
+// watchState limits the rate of watches; at most one is in flight at a time.
 type watchState struct {
 	interval       micros.Time
 	inFlight       bool
@@ -23,11 +23,12 @@
 	previousSentAt micros.Time
 }
 
-// PreviousWatchSentAt is when the watch before the last that succeeded was sent: what the last
-// one brought happened after it.
+// PreviousWatchSentAt returns when the second most recent successful watch was sent: the changes
+// returned by the most recent one were made after that time. While the reply to a watch is being
+// applied, that watch is the most recent one.
 func (r *Replica) PreviousWatchSentAt() micros.Time { return r.watch.previousSentAt }
 
-// watchChanges asks for what changed after the revision of the cache.
+// watchChanges requests the changes after the revision of the cache.
 func (r *Replica) watchChanges() {
 	sent := r.environment.Now()
 	if !r.synced || r.watch.inFlight || sent < r.watch.retryAt || sent-r.watch.sentAt < r.watch.interval {
@@ -41,8 +42,8 @@
 	}
 }
 
-// takeChanges takes the reply to a watch that was sent at a time. A successful one confirms the
-// term from that time on, whether anything changed or not.
+// takeChanges handles the reply to a watch sent at the time sent. A successful reply confirms the
+// term as of that time, whether or not it contains changes.
 func (r *Replica) takeChanges(reply *storage.Reply, sent micros.Time) {
 	r.watch.inFlight = false
 	switch reply.Outcome {
@@ -51,17 +52,17 @@
 		r.applyChanges(reply.Items, sent)
 		r.cache.Revision = max(r.cache.Revision, reply.Revision)
 		r.reads.release()
-		r.watch.previousSentAt = sent // what the next brings came after this
+		r.watch.previousSentAt = sent // the next reply contains only changes made after this time
 	case storage.Compacted:
-		r.synced = false // changes are lost: a new snapshot is needed
+		r.synced = false // changes were lost, so a new snapshot is needed
 	case storage.Conflict, storage.NotFound, storage.LeaseNotFound,
 		storage.Unavailable, storage.Invalid, storage.OutcomeUnknown:
 		r.watch.retryAt = r.environment.Now() + watchRetryInterval
 	}
 }
 
-// applyChanges applies changes in their order. The stream is the only way in which a partition
-// leader learns of jobs and of the loss of its lease, so that it learns them in their order.
+// applyChanges applies changes in order. A partition leader learns of jobs and of the loss of its
+// lease only through the change stream, so it sees both in the order in which they happened.
 func (r *Replica) applyChanges(items []storage.Item, sent micros.Time) {
 	admissionRevision := r.cache.Admission.ModRevision
 	for _, item := range items {
