--- a/internal/coordination/replication/replica.go
+++ b/internal/coordination/replication/replica.go
@@ -81,17 +81,19 @@
 // Synced reports whether the cache is complete, although it may be outdated.
 func (r *Replica) Synced() bool { return r.synced }
 
-// Term counts how long a leader may act without a confirmation by the change stream.
+// Term returns the leadership term, which limits how long a leader may act without a confirmation
+// by the change stream.
 func (r *Replica) Term() *leadership.Term { return &r.term }
 
-// Stale tells whether the change stream has not confirmed the cache of late: the store
-// counts as out of reach.
+// Stale reports whether the change stream has not confirmed the cache recently, so that the store
+// is considered unreachable.
 func (r *Replica) Stale() bool { return r.term.SinceConfirmed(r.environment.Now()) >= staleAfter }
 
-// Current tells whether the cache is whole and the change stream has confirmed it of late.
+// Current reports whether the cache is complete and has recently been confirmed by the change
+// stream.
 func (r *Replica) Current() bool { return r.synced && !r.Stale() }
 
-// Revision is how far the cache has come.
+// Revision returns the revision of the store that the cache has reached.
 func (r *Replica) Revision() uint64 { return r.cache.Revision }
 
 // Refresh loads a snapshot if there is no complete copy, and otherwise follows the change stream.
