--- a/internal/coordination/replication/watch.go
+++ b/internal/coordination/replication/watch.go
@@ -23,9 +23,8 @@
 	previousSentAt micros.Time
 }
 
-// PreviousWatchSentAt returns when the second most recent successful watch was sent: the changes
-// returned by the most recent one were made after that time. While the reply to a watch is being
-// applied, that watch is the most recent one.
+// PreviousWatchSentAt returns when the last watch whose reply has been completely applied was
+// sent. The changes in the reply being applied, or in the next one, were made after that time.
 func (r *Replica) PreviousWatchSentAt() micros.Time { return r.watch.previousSentAt }
 
 // watchChanges requests the changes after the revision of the cache.
