--- a/internal/coordination/replication/replica_test.go
+++ b/internal/coordination/replication/replica_test.go
@@ -21,7 +21,7 @@
 	leader   = storage.Process{Member: "n1", Incarnation: "x"}
 )
 
-// replicaTest is a replica and what its observer was told, in order.
+// replicaTest is a replica that records the notifications to its observer in order.
 type replicaTest struct {
 	*Replica
 	environment *storetest.Environment
@@ -44,14 +44,14 @@
 
 func (r *replicaTest) ChangesApplied() { r.events = append(r.events, "applied") }
 
-// newReplicaTest returns a replica at ten seconds that has loaded nothing.
+// newReplicaTest returns a replica with an empty cache, at a time of 10 s.
 func newReplicaTest() *replicaTest {
 	r := &replicaTest{environment: &storetest.Environment{Time: 10 * micros.Second}}
 	r.Replica = New(r.environment, r, Settings{Keys: testKeys, TermLength: testTerm, WatchInterval: testInterval})
 	return r
 }
 
-// newSyncedReplicaTest returns a replica at ten seconds that has just loaded revision 20.
+// newSyncedReplicaTest returns a replica that has just loaded revision 20, at a time of 10 s.
 func newSyncedReplicaTest(t *testing.T) *replicaTest {
 	t.Helper()
 	r := newReplicaTest()
@@ -102,7 +102,7 @@
 		t.Errorf("second page after %q", second.Request.After)
 	}
 	second.Reply(storage.Reply{Outcome: storage.OK, Revision: 25, Items: []storage.Item{undecodable(24), member("n3", 5)}})
-	// The stream begins at the first page: what changed since may be missing in the others.
+	// The stream starts at the revision of the first page: later pages may lack changes made since.
 	r.requireEvents(t, "snapshot 20 sent at 10000")
 	if !r.Synced() || len(r.Cache().Members) != 3 || r.previous != empty {
 		t.Errorf("synced %v with %d members", r.Synced(), len(r.Cache().Members))
@@ -112,7 +112,8 @@
 	}
 }
 
-// TestSnapshotEndsAtTheArchive: the archive's keys are the last, and it may be large.
+// TestSnapshotEndsAtTheArchive checks that a snapshot stops at the first key of the archive: its
+// keys sort last, and it may be large.
 func TestSnapshotEndsAtTheArchive(t *testing.T) {
 	r := newReplicaTest()
 	r.Refresh()
@@ -127,8 +128,8 @@
 	}
 }
 
-// TestSnapshotForgetsSegmentsWithoutAJob: they are of a job that was deleted, and must not count
-// for a later one of the same name.
+// TestSnapshotForgetsSegmentsWithoutAJob checks that completed-task segments of a deleted job are
+// not attributed to a later job of the same name.
 func TestSnapshotForgetsSegmentsWithoutAJob(t *testing.T) {
 	r := newReplicaTest()
 	r.Refresh()
@@ -144,7 +145,8 @@
 	}
 }
 
-// TestSnapshotLeavesNoAffectedJobs: the observer looked at all jobs when it took the snapshot.
+// TestSnapshotLeavesNoAffectedJobs checks that no affected jobs remain after a snapshot, as the
+// observer has examined all jobs when it was notified.
 func TestSnapshotLeavesNoAffectedJobs(t *testing.T) {
 	r := newReplicaTest()
 	cache := storage.NewCache(testKeys)
@@ -163,12 +165,12 @@
 	}
 }
 
-func TestSnapshotIsBegunAnewAfterAFailure(t *testing.T) {
+func TestSnapshotIsRestartedAfterAFailure(t *testing.T) {
 	page := storage.Reply{Outcome: storage.OK, Revision: 20, More: true, Items: []storage.Item{member("n1", 3)}}
 	for name, replies := range map[string][]storage.Reply{
-		"first page unavailable":     {{Outcome: storage.Unavailable}},
-		"second page lost":           {page, {Outcome: storage.OutcomeUnknown}},
-		"a page that does not go on": {page, {Outcome: storage.OK, Revision: 20, More: true}},
+		"first page unavailable":             {{Outcome: storage.Unavailable}},
+		"outcome of the second page unknown": {page, {Outcome: storage.OutcomeUnknown}},
+		"an empty page with more to come":    {page, {Outcome: storage.OK, Revision: 20, More: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newReplicaTest()
@@ -183,7 +185,7 @@
 			r.environment.Time++
 			r.Refresh()
 			if call := r.environment.Take(t, storage.List); call.Request.After != "" {
-				t.Errorf("begun anew after %q", call.Request.After)
+				t.Errorf("restarted after key %q, want from the start", call.Request.After)
 			}
 		})
 	}
@@ -200,14 +202,14 @@
 	})
 }
 
-// TestSnapshotEndsTheTerm: nothing is done under a lease that the stream has not confirmed since
-// the changes before the snapshot were lost.
+// TestSnapshotEndsTheTerm checks that a leader does not act after a snapshot, before which changes
+// may have been missed, until the change stream has confirmed its lease again.
 func TestSnapshotEndsTheTerm(t *testing.T) {
 	r := newReplicaTest()
 	r.Term().Confirm(r.environment.Time)
 	r.Install(storage.NewCache(testKeys), r.environment.Time)
 	if r.Term().Valid(r.environment.Time) || r.Current() || !r.Stale() {
-		t.Error("the term goes on after a snapshot")
+		t.Error("the term is still valid after a snapshot")
 	}
 }
 
@@ -222,7 +224,7 @@
 	r.environment.Time += micros.Second
 	call.Reply(storage.Reply{Outcome: storage.OK, Revision: 20})
 	if got := r.Term().SinceConfirmed(r.environment.Time); got != micros.Second {
-		t.Errorf("confirmed %d µs ago, want a second: when the watch was sent", got)
+		t.Errorf("confirmed %d µs ago, want 1 s: when the watch was sent", got)
 	}
 	for _, age := range []struct {
 		time    micros.Time
@@ -235,7 +237,7 @@
 	}
 }
 
-func TestChangesAreToldInTheirOrder(t *testing.T) {
+func TestChangesAreReportedInOrder(t *testing.T) {
 	r := newSyncedReplicaTest(t)
 	r.Refresh()
 	call := r.environment.Take(t, storage.Watch)
@@ -244,7 +246,7 @@
 	call.Reply(storage.Reply{Outcome: storage.OK, Revision: 25, Items: []storage.Item{
 		member("n2", 21), epoch, undecodable(23), member("n2", 21), member("n1", 24),
 	}})
-	// Neither what cannot be read nor what is known already is a change.
+	// Undecodable records and changes that are already in the cache are not reported.
 	r.requireEvents(t, "node n2 at 21", "admission  at 22", "node n1 at 24", "admission sent at 10000", "applied")
 	if r.Revision() != 25 || !r.Cache().Live(leader) {
 		t.Errorf("at revision %d with members %v", r.Revision(), r.Cache().Members)
@@ -274,7 +276,7 @@
 	r.environment.OverBudget = true
 	r.Refresh()
 	r.environment.OverBudget = false
-	r.Refresh() // the one that was not sent doesn't count
+	r.Refresh() // a watch that was not sent does not delay the next one
 	call := r.environment.Take(t, storage.Watch)
 	r.environment.Time += testInterval
 	r.Refresh()
@@ -312,7 +314,7 @@
 	r.Refresh()
 	r.environment.Take(t, storage.Watch).Reply(storage.Reply{Outcome: storage.Compacted})
 	if r.Synced() || r.Current() {
-		t.Error("synced or current though changes are lost")
+		t.Error("synced or current although changes were lost")
 	}
 	old := r.Cache()
 	r.environment.Time += testInterval
@@ -338,8 +340,8 @@
 	}
 }
 
-// TestReadIsReleasedByTheWatch: a linearizable read succeeds when its revision is in the cache,
-// and with the previous watch still that before the one that brought it.
+// TestReadIsReleasedByTheWatch checks that a linearizable read succeeds once the cache has reached
+// its revision, before PreviousWatchSentAt advances to the watch that returned that revision.
 func TestReadIsReleasedByTheWatch(t *testing.T) {
 	r := newSyncedReplicaTest(t)
 	r.Refresh()
