--- a/internal/coordination/replication/read_barrier_test.go
+++ b/internal/coordination/replication/read_barrier_test.go
@@ -9,16 +9,16 @@
 	"pipitlatch/internal/storage"
 )
 
-// fakeStream is a change stream that comes as far as the test lets it.
+// fakeStream is a change stream whose state is set by the test.
 type fakeStream struct {
-	silent   bool
+	stale    bool
 	revision uint64
 }
 
-func (s *fakeStream) Current() bool    { return !s.silent }
+func (s *fakeStream) Current() bool    { return !s.stale }
 func (s *fakeStream) Revision() uint64 { return s.revision }
 
-// barrierTest is a read barrier, its surroundings, and what became of reads by their names.
+// barrierTest is a read barrier with its fake environment and the names of the completed reads.
 type barrierTest struct {
 	*readBarrier
 	environment *storetest.Environment
@@ -27,7 +27,7 @@
 	failed      []string
 }
 
-// newBarrierTest returns a barrier at ten seconds whose stream has come to revision 10.
+// newBarrierTest returns a barrier at a time of 10 s whose stream has reached revision 10.
 func newBarrierTest() *barrierTest {
 	b := &barrierTest{
 		environment: &storetest.Environment{Time: 10 * micros.Second},
@@ -59,7 +59,7 @@
 	}
 }
 
-// notFound is the store's reply at a revision.
+// notFound returns the store's reply for a missing key at a revision.
 func notFound(revision uint64) storage.Reply {
 	return storage.Reply{Outcome: storage.NotFound, Revision: revision}
 }
@@ -71,7 +71,7 @@
 	if call.Request.Key != "test/barrier" || call.Urgency != storage.Deferrable {
 		t.Errorf("sent %+v of urgency %d", call.Request, call.Urgency)
 	}
-	b.reach(99) // before the reply this says nothing: nobody knows what revision to wait for
+	b.reach(99) // no effect before the reply, as the required revision is still unknown
 	b.stream.revision = 10
 	b.require(t, nil, nil)
 	call.Reply(notFound(12))
@@ -84,15 +84,15 @@
 	b.require(t, []string{"a"}, nil)
 }
 
-func TestReadSucceedsAtOnceIfTheStreamIsFarEnough(t *testing.T) {
+func TestReadSucceedsImmediatelyIfTheStreamHasReachedItsRevision(t *testing.T) {
 	b := newBarrierTest()
 	b.begin("a")
 	b.environment.Take(t, storage.Get).Reply(notFound(10))
 	b.require(t, []string{"a"}, nil)
 }
 
-// TestReadsShareRequests: a read that begins after a request was sent needs the next one, as the
-// revision of that reply may be older than the read.
+// TestReadsShareRequests checks that pending reads share one request. A read that begins while a
+// request is in flight needs the next one, as the revision in the reply may predate the read.
 func TestReadsShareRequests(t *testing.T) {
 	b := newBarrierTest()
 	b.begin("a")
@@ -116,10 +116,10 @@
 	b.environment.Take(t, storage.Get)
 }
 
-func TestReadFailsAtOnce(t *testing.T) {
-	t.Run("while the stream is silent", func(t *testing.T) {
+func TestReadFailsImmediately(t *testing.T) {
+	t.Run("while the stream is stale", func(t *testing.T) {
 		b := newBarrierTest()
-		b.stream.silent = true
+		b.stream.stale = true
 		b.begin("a")
 		b.environment.RequireNoCall(t)
 		b.require(t, nil, []string{"a"})
@@ -130,13 +130,13 @@
 		b.begin("a")
 		b.require(t, nil, []string{"a"})
 		b.environment.OverBudget = false
-		b.begin("b") // nothing was sent, so the interval doesn't count
+		b.begin("b") // no request was sent, so the interval does not apply
 		b.environment.Take(t, storage.Get).Reply(notFound(10))
 		b.require(t, []string{"b"}, []string{"a"})
 	})
 }
 
-func TestReadFailsIfTheStoreDoesNotTellItsRevision(t *testing.T) {
+func TestReadFailsIfTheStoreDoesNotReturnItsRevision(t *testing.T) {
 	for name, outcome := range map[string]storage.Outcome{
 		"unavailable":       storage.Unavailable,
 		"outcome unknown":   storage.OutcomeUnknown,
