--- a/internal/coordination/membership/member.go
+++ b/internal/coordination/membership/member.go
@@ -1,6 +1,6 @@
-// Package membership is a controller's standing among the controllers of its cluster: its
-// member lease and registration in the key-value store, what it hears of its peers, and
-// whether it should be sent users' requests.
+// Package membership manages a controller's membership in its cluster: its member lease and
+// registration in the key-value store, the status messages of its peers, and whether it should
+// receive users' requests.
 package membership
 
 import (
@@ -10,30 +10,30 @@
 )
 
 const (
-	// requestTimeout is how long a reply to a request is waited for.
+	// requestTimeout limits the wait for the reply to a request.
 	requestTimeout = 2 * micros.Second
-	// grantRetryInterval is how long after a lease was not granted it is asked for again.
+	// grantRetryInterval is the delay before a lease is requested again after a failed request.
 	grantRetryInterval = 200 * micros.Millisecond
-	// keepaliveRetryInterval is how long after a keepalive without an answer the next is sent.
+	// keepaliveRetryInterval is the delay before the next keepalive after a failed one.
 	keepaliveRetryInterval = 100 * micros.Millisecond
-	// registerRetryInterval is how long after a registration it may be written again: until
-	// then the change stream has brought it.
+	// registerRetryInterval is the minimum time before a registration is written again. It gives
+	// the change stream time to deliver the previous one.
 	registerRetryInterval = 300 * micros.Millisecond
 )
 
-// Environment is what a member needs of the core.
+// Environment is the part of the core that a member depends on.
 type Environment interface {
-	// Now is the steady time of this step.
+	// Now returns the monotonic time of this step.
 	Now() micros.Time
-	// Log adds a record to the log; attributes are keys and values in turn.
+	// Log writes a log record; attributes are alternating keys and values.
 	Log(level int, message string, attributes ...any)
-	// CallStore sends a request to the key-value store. It returns false, and done is never
-	// called, if the request budget does not allow it now.
+	// CallStore sends a request to the key-value store. If the request budget does not
+	// allow it at present, it returns false and never calls done.
 	CallStore(r *storage.Request, urgency storage.Urgency, timeout micros.Time, done func(*storage.Reply)) bool
 }
 
-// Member keeps the lease and the registration of one controller process. What is attached to
-// the lease, its registration and its cluster leadership, ends with it.
+// Member maintains the lease and the registration of one controller process. The registration
+// and the cluster leadership are attached to the lease, and are deleted when it expires.
 type Member struct {
 	environment Environment
 	process     storage.Process
@@ -54,13 +54,14 @@
 	return &Member{environment: environment, process: process, keys: keys, ttl: ttl}
 }
 
-// LeaseID names the member lease; it is 0 while there is none.
+// LeaseID returns the ID of the member lease, or 0 if there is none.
 func (m *Member) LeaseID() uint64 { return m.leaseID }
 
-// LeaseNotFound takes that the key-value store does not know the member lease.
+// LeaseNotFound must be called when the key-value store reports that the member lease does not
+// exist.
 func (m *Member) LeaseNotFound() { m.leaseID = 0 }
 
-// RenewLease asks for a lease if there is none, and keeps the present one alive.
+// RenewLease requests a lease if there is none, and otherwise renews the present one when due.
 func (m *Member) RenewLease() {
 	now := m.environment.Now()
 	switch {
@@ -100,7 +101,7 @@
 	})
 }
 
-// Register writes the registration, attached to the lease, unless the cache has it.
+// Register writes the registration, attached to the lease, unless the cache already contains it.
 func (m *Member) Register(cache *storage.Cache) {
 	now := m.environment.Now()
 	if m.leaseID == 0 || m.registerInFlight || now < m.registerRetryAt || cache.Live(m.process) {
@@ -110,7 +111,7 @@
 	registration := storage.Encode(storage.Registration{Process: m.process, Format: storage.Format})
 	request := &storage.Request{
 		Kind: storage.Txn,
-		// The compare keeps a late copy of an older process's registration from replacing
+		// The compare prevents a delayed registration of an older process from overwriting
 		// that of its successor.
 		Compares: []storage.Compare{{Key: key, ModRevision: cache.Members[m.process.Member].ModRevision}},
 		Puts:     []storage.Put{{Key: key, Value: registration, Lease: m.leaseID}},
