--- a/internal/coordination/membership/health.go
+++ b/internal/coordination/membership/health.go
@@ -6,46 +6,45 @@
 )
 
 const (
-	// peerTimeout is how long after its last status a peer counts as reachable.
+	// peerTimeout is how long a peer is considered reachable after its last status.
 	peerTimeout = 2 * micros.Second
 	// startupTime is how long a new process may take to load the key-value store.
 	startupTime = micros.Second
-	// isolationTimeout is how long a controller without key-value store and peers takes it
-	// for an outage for all.
+	// isolationTimeout is how long a controller that reaches neither the key-value store nor any
+	// peer assumes an outage of the store rather than its own isolation.
 	isolationTimeout = 6 * micros.Second
 )
 
-// Health judges whether a controller should be sent users' requests, and whether it is cut
-// off, by what it hears of the key-value store and of its peers.
+// Health determines whether a controller should receive users' requests, and whether it is
+// isolated, from the reachability of the key-value store and of its peers.
 type Health struct {
 	peers        *Peers
 	startedAt    micros.Time
-	lastServedAt micros.Time // when the key-value store last answered in time
+	lastServedAt micros.Time // when the key-value store was last reachable
 }
 
-// NewHealth returns the health of a controller that has not started.
+// NewHealth returns the health of a controller that has not been started.
 func NewHealth(peers *Peers) *Health { return &Health{peers: peers} }
 
-// Start takes when the process started.
+// Start records when the process started.
 func (h *Health) Start(now micros.Time) { h.startedAt = now }
 
-// StoreServed takes that the key-value store is reachable.
+// StoreServed records that the key-value store is reachable.
 func (h *Health) StoreServed(now micros.Time) { h.lastServedAt = now }
 
-// Isolated tells whether neither the key-value store, whose last confirmation is stale, nor
-// any peer has been heard of late: then this controller's view may be outdated, whatever it
-// says.
+// Isolated reports whether the last confirmation by the key-value store is stale and no peer has
+// sent a status recently. The view of an isolated controller may be outdated in every respect.
 func (h *Health) Isolated(now micros.Time, storeStale bool) bool {
 	return storeStale && now > h.startedAt+peerTimeout && !h.peers.AnyHeard(now, peerTimeout, anyStatus)
 }
 
-// Healthy tells whether the controller should be sent users' requests: it is not while a
-// peer can serve them and this one cannot. In an outage for all, everybody stays and tells
-// users when to come back: being taken out of the load balancer outlasts the outage. With its
-// peers out of reach too, a controller cannot tell an outage from its own isolation. It leaves
-// after a while: in an outage that costs users seconds after its end, while in a network
-// partition those whose connections stay open here would not be answered for as long as it
-// lasts.
+// Healthy reports whether the controller should receive users' requests. It should not while it
+// cannot reach the key-value store and a peer can. In an outage of the store for all controllers,
+// all of them stay in the load balancer and tell users when to retry, as returning to the load
+// balancer would take longer than the outage. If its peers are unreachable too, a controller
+// cannot distinguish an outage from its own isolation, and becomes unhealthy after
+// isolationTimeout: in an outage this costs users a few seconds after its end, whereas in a network
+// partition users with open connections to this controller would get no answer until it ends.
 func (h *Health) Healthy(now micros.Time, storeReachable bool) bool {
 	switch {
 	case storeReachable:
