--- a/internal/coordination/membership/peers.go
+++ b/internal/coordination/membership/peers.go
@@ -10,38 +10,39 @@
 	"pipitlatch/internal/storage"
 )
 
-// statusTimeout is how long the last status of a peer counts as its present one, where a sum
-// over all peers is made of them.
+// statusTimeout is how long the last status of a peer is considered current when the usage of all
+// peers is added up.
 const statusTimeout = 3 * micros.Second
 
-// Peer is the last status that a controller sent.
+// Peer is the last status received from a controller.
 type Peer struct {
 	ReceivedAt micros.Time
 	Status     *messages.PeerStatus
 }
 
-// Peers is what a controller last heard of each member, itself included: its own status is
-// received like those of the others.
+// Peers holds the last status of each member. This includes the controller itself, which receives
+// its own status like those of the others.
 type Peers struct {
 	self     string
 	expected []string // the other members, as configured
 	latest   map[string]*Peer
 }
 
-// NewPeers returns the view of a member that has heard nothing yet of those it expects.
+// NewPeers returns the peers of the member self before any status has been received. expected lists
+// the other configured members.
 func NewPeers(self string, expected []string) *Peers {
 	return &Peers{self: self, expected: expected, latest: map[string]*Peer{}}
 }
 
-// Receive takes a status.
+// Receive stores a status as the last one of its sender.
 func (p *Peers) Receive(now micros.Time, status *messages.PeerStatus) {
 	p.latest[status.From.Member] = &Peer{ReceivedAt: now, Status: status}
 }
 
-// Latest is what a member last said; nil: nothing.
+// Latest returns the last status of a member, or nil if none has been received.
 func (p *Peers) Latest(member string) *Peer { return p.latest[member] }
 
-// All are the members that were ever heard, and what they last said, in order of their names.
+// All iterates over all members that have ever sent a status, with the last one, ordered by name.
 func (p *Peers) All() iter.Seq2[string, *Peer] {
 	return func(yield func(string, *Peer) bool) {
 		for _, member := range slices.Sorted(maps.Keys(p.latest)) {
@@ -52,8 +53,8 @@
 	}
 }
 
-// AnyHeard tells whether the last status of any other member meets the condition and came
-// less than a duration ago.
+// AnyHeard reports whether any other member's last status was received less than within ago and
+// meets the condition.
 func (p *Peers) AnyHeard(now, within micros.Time, condition func(*messages.PeerStatus) bool) bool {
 	for member, peer := range p.latest {
 		if member != p.self && now-peer.ReceivedAt < within && condition(peer.Status) {
@@ -63,7 +64,7 @@
 	return false
 }
 
-// AllHeard tells whether every other member has been heard of late.
+// AllHeard reports whether every other configured member has sent a status within statusTimeout.
 func (p *Peers) AllHeard(now micros.Time) bool {
 	for _, member := range p.expected {
 		if peer := p.latest[member]; peer == nil || now-peer.ReceivedAt >= statusTimeout {
@@ -73,10 +74,11 @@
 	return true
 }
 
-// StoreUsage is what the other members used of the key-value store's limits of late.
+// StoreUsage returns how much of the key-value store's request limits the other members used
+// recently.
 func (p *Peers) StoreUsage(now micros.Time) storage.Usage {
 	if !p.AllHeard(now) {
-		// What one that is not heard uses is unknown: this one has an even share only.
+		// The usage of a silent member is unknown. The maximum limits this member to an even share.
 		return storage.Usage{Requests: 1 << 40, Writes: 1 << 40}
 	}
 	var total storage.Usage
