--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -1,4 +1,4 @@
-// Package election campaigns for the leadership of the cluster.
+// Package election elects the cluster leader.
 package election
 
 import (
@@ -7,31 +7,31 @@
 )
 
 const (
-	// requestTimeout is how long a reply to a request is waited for.
+	// requestTimeout limits the wait for the reply to a request.
 	requestTimeout = 2 * micros.Second
-	// retryInterval is how long after a reply the next campaign may begin: until then the
-	// change stream has brought who was elected.
+	// retryInterval is the minimum time between a reply and the next campaign. It gives the change
+	// stream time to deliver the result of the election.
 	retryInterval = 300 * micros.Millisecond
 )
 
-// Environment is what an election needs of the core.
+// Environment is the part of the core that an election depends on.
 type Environment interface {
-	// Now is the steady time of this step.
+	// Now returns the monotonic time of this step.
 	Now() micros.Time
-	// CallStore sends a request to the key-value store. It returns false, and done is never
-	// called, if the request budget does not allow it now.
+	// CallStore sends a request to the key-value store. If the request budget does not
+	// allow it at present, it returns false and never calls done.
 	CallStore(r *storage.Request, urgency storage.Urgency, timeout micros.Time, done func(*storage.Reply)) bool
 }
 
-// Member has the lease that the leadership is attached to.
+// Member provides the lease to which the leadership is attached.
 type Member interface {
-	// LeaseID names the member lease; it is 0 while there is none.
+	// LeaseID returns the ID of the member lease, or 0 if there is none.
 	LeaseID() uint64
-	// LeaseNotFound takes that the key-value store does not know the member lease.
+	// LeaseNotFound reports to the member that its lease does not exist in the key-value store.
 	LeaseNotFound()
 }
 
-// Election is one controller's part in electing the cluster leader.
+// Election is one controller's participation in the election of the cluster leader.
 type Election struct {
 	environment Environment
 	member      Member
@@ -41,18 +41,18 @@
 	retryAt     micros.Time
 }
 
-// New returns the part of a process in the election.
+// New returns the participation of a process in the election.
 func New(environment Environment, member Member, process storage.Process, keys storage.Keys) *Election {
 	return &Election{environment: environment, member: member, process: process, key: keys.ClusterLeader()}
 }
 
-// Campaign tries to become the cluster leader if, by the cache, there is none.
+// Campaign tries to become the cluster leader if there is none according to the cache.
 func (e *Election) Campaign(cache *storage.Cache) {
 	if e.member.LeaseID() == 0 || e.inFlight || e.environment.Now() < e.retryAt || !cache.Live(e.process) {
 		return
 	}
-	// The key of a leader whose member runs a newer process stays until its member lease
-	// ends: that process is surely dead, so its key can be taken over at once.
+	// A leader whose member has been restarted is known to be dead, but its key remains until its
+	// member lease expires. The key can be taken over immediately.
 	if leader := cache.ClusterLeader; leader.ModRevision != 0 && !cache.Dead(leader.Value) {
 		return
 	}
@@ -70,13 +70,14 @@
 	})
 }
 
-// Leads tells whether the process is the cluster leader by the cache, which may be old.
+// Leads reports whether the process is the cluster leader according to the cache, which may be
+// outdated.
 func (e *Election) Leads(cache *storage.Cache) bool {
 	return cache.ClusterLeader.ModRevision != 0 && cache.ClusterLeader.Value == e.process
 }
 
-// Compare requires that the cluster leadership is still as in the cache. The leader's
-// transactions need it, as they may be applied late.
+// Compare returns a condition that the cluster leadership is unchanged since the cache. The
+// leader's transactions must include it, as they may be applied after another leader was elected.
 func (e *Election) Compare(cache *storage.Cache) storage.Compare {
 	return storage.Compare{Key: e.key, ModRevision: cache.ClusterLeader.ModRevision}
 }
