--- a/internal/coordination/leadership/assign.go
+++ b/internal/coordination/leadership/assign.go
@@ -12,15 +12,16 @@
 	Record    storage.PartitionRecord
 }
 
-// Assign is what the cluster leader has to change: every partition without a live leader gets
-// one, the live process that reaches most of the partition's machines as far as that is known,
-// then the one that leads the fewest partitions, then the cluster leader itself. A process to
-// avoid, the cluster leader included, gets and keeps none while there is another.
+// Assign returns the assignments that the cluster leader has to write. Every partition without a
+// live leader is assigned to the live process that reaches the most of its machines, as far as
+// known; ties are broken in favor of the process that leads the fewest partitions, then of the
+// cluster leader. Processes to avoid, which may include the cluster leader, are assigned no
+// partition and lose those they lead, unless all live processes are to be avoided.
 func Assign(cache *storage.Cache, partitions int, clusterLeader storage.Process,
 	avoid func(storage.Process) bool, reach func(process storage.Process, partition int) int) []Assignment {
 	members := cache.LiveMembers()
 	if !slices.Contains(members, clusterLeader) {
-		return nil // our own registration is not in the change stream yet
+		return nil // the change stream has not delivered this process's own registration yet
 	}
 	usable := slices.DeleteFunc(slices.Clone(members), avoid)
 	if len(usable) == 0 {
@@ -44,7 +45,7 @@
 // candidates are the processes that may lead a partition.
 type candidates struct {
 	processes []storage.Process
-	preferred storage.Process // among equals, and only if it is one of the processes
+	preferred storage.Process // in case of a tie; always one of processes
 	load      map[storage.Process]int
 	reach     func(process storage.Process, partition int) int
 }
@@ -63,7 +64,7 @@
 	return c
 }
 
-// choose is the process that is to lead a partition; it counts as one more that it leads.
+// choose returns the process that is to lead a partition and adds the partition to its load.
 func (c *candidates) choose(partition int) storage.Process {
 	best := c.preferred
 	for _, process := range c.processes {
@@ -76,8 +77,8 @@
 	return best
 }
 
-// formerLeaders are the processes besides the new leader that led the partition and are not
-// surely dead: a new leader has to wait until none of them can act any more.
+// formerLeaders returns the previous leaders of the partition, except the new one, that are not
+// known to be dead. A new leader must wait until none of them can act any more.
 func formerLeaders(cache *storage.Cache, partition int, leader storage.Process) []storage.Process {
 	present, ok := cache.Partitions[partition]
 	if !ok {
