--- a/internal/coordination/membership/member_test.go
+++ b/internal/coordination/membership/member_test.go
@@ -18,13 +18,13 @@
 	testProcess = storage.Process{Member: "n1", Incarnation: "new"}
 )
 
-// newMember returns a member at a time of one second.
+// newMember returns a member without a lease, at a time of 1 s.
 func newMember() (*Member, *storetest.Environment) {
 	environment := &storetest.Environment{Time: micros.Second}
 	return NewMember(environment, testProcess, testKeys, testTTL), environment
 }
 
-// newLeasedMember returns a member whose lease was granted at one second.
+// newLeasedMember returns a member whose lease was granted at a time of 1 s.
 func newLeasedMember(t *testing.T) (*Member, *storetest.Environment) {
 	t.Helper()
 	m, environment := newMember()
@@ -56,9 +56,9 @@
 
 func TestLeaseIsRequestedAgain(t *testing.T) {
 	for name, reply := range map[string]storage.Reply{
-		"store unavailable":        {Outcome: storage.Unavailable},
-		"outcome unknown":          {Outcome: storage.OutcomeUnknown},
-		"granted without a number": {Outcome: storage.OK},
+		"store unavailable":     {Outcome: storage.Unavailable},
+		"outcome unknown":       {Outcome: storage.OutcomeUnknown},
+		"granted without an ID": {Outcome: storage.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m, environment := newMember()
@@ -83,9 +83,9 @@
 	})
 }
 
-// TestKeepaliveCountsFromItsSending: what the store says of a lease was so at the earliest when
-// it was asked.
-func TestKeepaliveCountsFromItsSending(t *testing.T) {
+// TestKeepaliveCountsFromWhenItWasSent checks that the lease is renewed as of the time at which the
+// keepalive was sent: the store may have processed it as early as that.
+func TestKeepaliveCountsFromWhenItWasSent(t *testing.T) {
 	m, environment := newLeasedMember(t)
 	environment.Time += testTTL/4 - 1
 	m.RenewLease()
@@ -140,7 +140,7 @@
 	}
 }
 
-// register tells a cache of a registration.
+// register applies the registration of a process to a cache.
 func register(t *testing.T, cache *storage.Cache, process storage.Process, revision uint64) {
 	t.Helper()
 	record := storage.Registration{Process: process, Format: storage.Format}
@@ -155,8 +155,8 @@
 		registered *storage.Process
 		revision   uint64
 	}{
-		"the first process must find no key":                 {nil, 0},
-		"a successor must find its predecessor's, unchanged": {&storage.Process{Member: "n1", Incarnation: "old"}, 12},
+		"first process: the key must not exist":                   {nil, 0},
+		"successor: the key of its predecessor must be unchanged": {&storage.Process{Member: "n1", Incarnation: "old"}, 12},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m, environment := newLeasedMember(t)
@@ -207,7 +207,7 @@
 	})
 }
 
-func TestRegistrationTellsThatTheLeaseIsLost(t *testing.T) {
+func TestRegistrationDetectsALostLease(t *testing.T) {
 	m, environment := newLeasedMember(t)
 	m.Register(storage.NewCache(testKeys))
 	environment.Take(t, storage.Txn).Reply(storage.Reply{Outcome: storage.LeaseNotFound})
