--- a/internal/coordination/membership/health_test.go
+++ b/internal/coordination/membership/health_test.go
@@ -6,8 +6,8 @@
 	"pipitlatch/internal/micros"
 )
 
-// TestHealthy: now is long after the start; the key-value store was last reachable, and the
-// peers were last heard, some time before.
+// TestHealthy checks a controller that started long ago, for different times since the key-value
+// store was last reachable and since the last status of a peer.
 func TestHealthy(t *testing.T) {
 	const never = -1
 	for name, test := range map[string]struct {
@@ -23,7 +23,7 @@
 		"a peer can serve users": {
 			sincePeer: peerTimeout - 1, peerCanServe: true,
 		},
-		"an outage for all": {
+		"an outage of the store for all controllers": {
 			sinceServed: 10 * isolationTimeout, sincePeer: peerTimeout - 1, healthy: true,
 		},
 		"no peers are configured": {
@@ -59,10 +59,10 @@
 		since   micros.Time
 		healthy bool
 	}{
-		"it may only be starting":              {startupTime - 1, false},
-		"without store and peers":              {startupTime, true},
-		"without store and peers for a while":  {isolationTimeout - 1, true},
-		"without store and peers for too long": {isolationTimeout, false},
+		"it may still be starting":              {startupTime - 1, false},
+		"without store and peers after startup": {startupTime, true},
+		"without store and peers for a while":   {isolationTimeout - 1, true},
+		"without store and peers for too long":  {isolationTimeout, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := NewHealth(threeMembers())
@@ -82,8 +82,8 @@
 		isolated   bool
 	}{
 		"neither store nor peers":    {10 * micros.Second, peerTimeout, true, true},
-		"the store is heard":         {10 * micros.Second, peerTimeout, false, false},
-		"a peer is heard":            {10 * micros.Second, peerTimeout - 1, true, false},
+		"the store is reachable":     {10 * micros.Second, peerTimeout, false, false},
+		"a peer is reachable":        {10 * micros.Second, peerTimeout - 1, true, false},
 		"it has only just started":   {peerTimeout, 5 * micros.Second, true, false},
 		"it started long enough ago": {peerTimeout + 1, 5 * micros.Second, true, true},
 	} {
