--- a/internal/coordination/membership/peers_test.go
+++ b/internal/coordination/membership/peers_test.go
@@ -11,7 +11,7 @@
 
 const start = 100 * micros.Second
 
-// status is what a member says of itself.
+// status returns a status message of a member.
 func status(member string, storeReachable bool) *messages.PeerStatus {
 	return &messages.PeerStatus{
 		From:           storage.Process{Member: member, Incarnation: "x"},
@@ -25,7 +25,7 @@
 func TestLatestStatusReplacesTheOneBefore(t *testing.T) {
 	p := threeMembers()
 	if p.Latest("n2") != nil {
-		t.Error("a status before any was received")
+		t.Error("Latest returned a status before any was received")
 	}
 	second := status("n2", true)
 	p.Receive(start, status("n3", false))
@@ -43,7 +43,7 @@
 	}
 	for member := range p.All() {
 		if member != "n2" {
-			t.Error("the iteration went on after its end")
+			t.Error("the iteration continued after break")
 		}
 		break
 	}
@@ -56,11 +56,11 @@
 		age       micros.Time
 		want      bool
 	}{
-		"a peer that meets the condition":       {"n2", true, peerTimeout - 1, true},
-		"a peer that was heard too long ago":    {"n2", true, peerTimeout, false},
-		"a peer that fails the condition":       {"n2", false, 0, false},
-		"this member itself is no peer of it":   {"n1", true, 0, false},
-		"a member that is not configured, too.": {"n9", true, 0, true},
+		"a peer that meets the condition":        {"n2", true, peerTimeout - 1, true},
+		"a peer whose status is too old":         {"n2", true, peerTimeout, false},
+		"a peer that fails the condition":        {"n2", false, 0, false},
+		"this member itself does not count":      {"n1", true, 0, false},
+		"a member that is not configured counts": {"n9", true, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := threeMembers()
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestStoreUsageOfPeersThatAreNotHeardIsUnknown: what is left of the store's limits may be used
-// only if every peer said what it uses.
-func TestStoreUsageOfPeersThatAreNotHeardIsUnknown(t *testing.T) {
+// TestStoreUsageOfSilentPeersIsUnknown checks that the rest of the store's limits may be used only
+// if every peer has recently reported its usage.
+func TestStoreUsageOfSilentPeersIsUnknown(t *testing.T) {
 	unknown := storage.Usage{Requests: 1 << 40, Writes: 1 << 40}
 	for name, test := range map[string]struct {
 		heard map[string]micros.Time // age of the statuses
@@ -84,7 +84,7 @@
 	}{
 		"none":       {nil, false, unknown},
 		"one of two": {map[string]micros.Time{"n2": 0}, false, unknown},
-		"one too long ago": {
+		"one status too old": {
 			map[string]micros.Time{"n2": 0, "n3": statusTimeout}, false, unknown,
 		},
 		"both": {
@@ -93,7 +93,7 @@
 		"both and this member's own": {
 			map[string]micros.Time{"n1": 0, "n2": 0, "n3": 0}, true, storage.Usage{Requests: 10, Writes: 6},
 		},
-		"both, and one that left": {
+		"both, and a former member": {
 			map[string]micros.Time{"n2": 0, "n3": 0, "n9": statusTimeout}, true, storage.Usage{Requests: 10, Writes: 6},
 		},
 	} {
