--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -21,7 +21,7 @@
 func (m *fakeMember) LeaseID() uint64 { return m.lease }
 func (m *fakeMember) LeaseNotFound()  { m.lease = 0 }
 
-// electionTest is an election in which this process and n2 are registered.
+// electionTest is an election in which this process and that of member n2 are registered.
 type electionTest struct {
 	*Election
 	environment *storetest.Environment
@@ -49,7 +49,7 @@
 	for name, test := range map[string]struct {
 		prepare  func(*electionTest)
 		campaign bool
-		revision uint64 // of the leadership that it replaces
+		revision uint64 // mod revision of the leadership that is replaced; 0: none
 	}{
 		"there is no leader": {
 			prepare: func(*electionTest) {}, campaign: true,
@@ -63,7 +63,7 @@
 		"the leader's member runs a newer process": {
 			prepare: func(e *electionTest) { e.elect(otherOld, 9) }, campaign: true, revision: 9,
 		},
-		"this member's former process leads": {
+		"this member's previous process leads": {
 			prepare: func(e *electionTest) { e.elect(selfOld, 9) }, campaign: true, revision: 9,
 		},
 		"the leader is not registered: it may be alive": {
@@ -92,7 +92,7 @@
 	}
 }
 
-// requireCampaign fails the test if a call doesn't replace the leadership of a revision.
+// requireCampaign fails the test unless a call replaces the leadership with a given mod revision.
 func requireCampaign(t *testing.T, call *storetest.Call, revision uint64) {
 	t.Helper()
 	compare := storage.Compare{Key: "test/leader", ModRevision: revision}
@@ -114,7 +114,7 @@
 	e.environment.OverBudget = true
 	e.Campaign(e.cache)
 	e.environment.OverBudget = false
-	e.Campaign(e.cache) // the one that was not sent doesn't count
+	e.Campaign(e.cache) // a request that was not sent does not delay the next one
 	call := e.environment.Take(t, storage.Txn)
 	e.environment.Time += micros.Second
 	e.Campaign(e.cache)
@@ -128,7 +128,7 @@
 	e.environment.Take(t, storage.Txn)
 }
 
-func TestCampaignTellsThatTheLeaseIsLost(t *testing.T) {
+func TestCampaignReportsALostLease(t *testing.T) {
 	for outcome, lease := range map[storage.Outcome]uint64{
 		storage.OK: 7, storage.Conflict: 7, storage.OutcomeUnknown: 7, storage.LeaseNotFound: 0,
 	} {
@@ -147,11 +147,11 @@
 		revision uint64
 		want     bool
 	}{
-		"this process":                {self, 9, true},
-		"another process":             {other, 9, false},
-		"this member's former one":    {selfOld, 9, false},
-		"nobody":                      {storage.Process{}, 0, false},
-		"this process, since removed": {self, 0, false},
+		"this process":                   {self, 9, true},
+		"another process":                {other, 9, false},
+		"this member's previous process": {selfOld, 9, false},
+		"no leader":                      {storage.Process{}, 0, false},
+		"this process, since removed":    {self, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newElectionTest()
