--- a/internal/coordination/leadership/term_test.go
+++ b/internal/coordination/leadership/term_test.go
@@ -18,10 +18,10 @@
 		{"never confirmed", nil, 0, false, micros.Max},
 		{"confirmed just now", []micros.Time{5 * micros.Second}, 5 * micros.Second, true, 0},
 		{"confirmed at time zero", []micros.Time{0}, micros.Second, true, micros.Second},
-		{"last instant", []micros.Time{0}, length - 1, true, length - 1},
+		{"just before its end", []micros.Time{0}, length - 1, true, length - 1},
 		{"ended", []micros.Time{0}, length, false, length},
 		{"extended", []micros.Time{0, micros.Second}, length, true, length - micros.Second},
-		{"an older confirmation that comes late changes nothing",
+		{"a delayed older confirmation is ignored",
 			[]micros.Time{3 * micros.Second, micros.Second}, 12 * micros.Second, true, 9 * micros.Second},
 	}
 	for _, test := range tests {
@@ -63,15 +63,15 @@
 	}
 }
 
-func TestTermInvalidateForgetsAllConfirmations(t *testing.T) {
+func TestTermInvalidateDiscardsAllConfirmations(t *testing.T) {
 	term := Term{Length: micros.Second}
 	term.Confirm(100)
 	term.Invalidate()
 	if term.Valid(100) || term.ConfirmedSince(0) || term.SinceConfirmed(100) != micros.Max {
-		t.Errorf("an invalidated term still counts: %+v", term)
+		t.Errorf("the term is still confirmed after Invalidate: %+v", term)
 	}
-	term.Confirm(50) // older than the forgotten one, and the first that counts again
+	term.Confirm(50) // older than the discarded one, but the first since Invalidate
 	if !term.Valid(100) || term.SinceConfirmed(100) != 50 {
-		t.Errorf("a term confirmed anew does not count: %+v", term)
+		t.Errorf("the term is not valid after a new confirmation: %+v", term)
 	}
 }
