--- a/internal/coordination/leadership/assign_test.go
+++ b/internal/coordination/leadership/assign_test.go
@@ -8,7 +8,7 @@
 	"pipitlatch/internal/storage"
 )
 
-// Processes of three members, and an earlier run of the first.
+// Processes of three members; a1 is an earlier process of the first.
 var (
 	a1 = storage.Process{Member: "a", Incarnation: "1"}
 	a2 = storage.Process{Member: "a", Incarnation: "2"}
@@ -16,12 +16,12 @@
 	c  = storage.Process{Member: "c", Incarnation: "1"}
 )
 
-// led is the record of a partition with a leader and earlier ones.
+// led returns the record of a partition with a leader and former leaders.
 func led(leader storage.Process, former ...storage.Process) storage.PartitionRecord {
 	return storage.PartitionRecord{Leader: leader, FormerLeaders: former}
 }
 
-// newCache is a cache with registered members and the partitions' records.
+// newCache returns a cache with registered members and partition records.
 func newCache(t *testing.T, members []storage.Process, partitions map[int]storage.PartitionRecord) *storage.Cache {
 	t.Helper()
 	keys := storage.Keys{Prefix: "p/"}
@@ -56,14 +56,14 @@
 		reach         map[storage.Process]int
 		want          []Assignment
 	}{
-		{name: "nothing before the cluster leader's own registration is seen",
+		{name: "nothing before the cluster leader's own registration is in the cache",
 			members: []storage.Process{b, c}, count: 1, clusterLeader: a2},
 		{name: "nothing while every partition has a live leader",
 			members: all, partitions: records{0: led(b), 1: led(b)}, count: 2, clusterLeader: a2},
 		{name: "new partitions are spread, the cluster leader first",
 			members: all, count: 4, clusterLeader: b,
 			want: []Assignment{{0, led(b)}, {1, led(a2)}, {2, led(c)}, {3, led(b)}}},
-		{name: "the process that leads the fewest, partitions to come included",
+		{name: "the process that leads the fewest, new assignments included",
 			members: all, partitions: records{1: led(b), 2: led(c)}, count: 3, clusterLeader: b,
 			want: []Assignment{{0, led(a2)}}},
 		{name: "the process that reaches most machines, however many it leads",
@@ -73,20 +73,20 @@
 		{name: "a leader that is not registered is kept as a former one",
 			members: []storage.Process{a2, b}, partitions: records{0: led(c)}, count: 1, clusterLeader: a2,
 			want: []Assignment{{0, led(a2, c)}}},
-		{name: "a leader whose member started anew is surely dead",
+		{name: "a leader whose member has restarted is dead",
 			members: []storage.Process{a2, b}, partitions: records{0: led(a1)}, count: 1, clusterLeader: a2,
 			want: []Assignment{{0, led(a2)}}},
-		{name: "former leaders are kept once, without the dead and the new one",
+		{name: "former leaders are kept once, except dead ones and the new leader",
 			members: []storage.Process{a2, b}, partitions: records{0: led(c, a1, b, c)}, count: 1, clusterLeader: b,
 			want: []Assignment{{0, led(b, c)}}},
 		{name: "a process to avoid loses its partition",
 			members: all, partitions: records{0: led(b), 1: led(a2)}, count: 2, clusterLeader: a2,
 			avoid: []storage.Process{b},
 			want:  []Assignment{{0, led(c, b)}}},
-		{name: "a cluster leader to avoid gets none",
+		{name: "a cluster leader to avoid is assigned none",
 			members: all, count: 2, clusterLeader: a2, avoid: []storage.Process{a2},
 			want: []Assignment{{0, led(b)}, {1, led(c)}}},
-		{name: "all of them to avoid is as good as none",
+		{name: "if all are to be avoided, none is",
 			members: all, partitions: records{0: led(b)}, count: 2, clusterLeader: a2, avoid: all,
 			want: []Assignment{{1, led(a2)}}},
 	}
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestAssignAsksForTheReachOfEachPartition(t *testing.T) {
+func TestAssignUsesTheReachPerPartition(t *testing.T) {
 	cache := newCache(t, []storage.Process{a2, b}, nil)
 	reach := func(process storage.Process, partition int) int {
 		if (partition == 0) == (process == b) {
