--- a/internal/coordination/txnbackoff/txnbackoff.go
+++ b/internal/coordination/txnbackoff/txnbackoff.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// minDelay is how long a key waits after its first rejection.
+	// minDelay is the delay after the first rejection for a key.
 	minDelay = micros.Second
-	// maxDelay bounds the delay, which doubles with each rejection.
+	// maxDelay limits the delay, which doubles with each rejection.
 	maxDelay = 30 * micros.Second
-	// maxKeys bounds the number of keys that are remembered.
+	// maxKeys limits the number of keys with a recorded rejection.
 	maxKeys = 1024
 )
 
-// Backoff remembers the transactions that the key-value store rejected as malformed or too
-// large, by their first key. Such a transaction did not fail for its compares, and sent again
-// as it is it would be rejected again; so the next one for that key waits longer and longer,
-// while all others go on.
+// Backoff records the transactions that the key-value store rejected as malformed or too large, by
+// their first key. The rejection does not depend on their compares, so the same transaction would
+// be rejected again. The next transaction for that key is therefore delayed, with exponential
+// backoff, while all others proceed.
 type Backoff struct {
 	rejected map[string]rejection
 }
@@ -28,19 +28,19 @@
 	until micros.Time
 }
 
-// New returns a Backoff that blocks nothing.
+// New returns a Backoff without recorded rejections.
 func New() *Backoff { return &Backoff{rejected: map[string]rejection{}} }
 
-// Blocked tells whether a transaction has to wait because the last one for its key was
-// rejected. Other requests never wait.
+// Blocked reports whether a transaction must wait because an earlier one for its key was rejected.
+// Requests other than transactions are never blocked.
 func (b *Backoff) Blocked(r *storage.Request, now micros.Time) bool {
 	key := firstKey(r)
 	return key != "" && now < b.rejected[key].until
 }
 
-// Observe takes the outcome of a request that completed at a time. A transaction that was
-// applied ends the delay of its key; one whose compares failed, or whose outcome is unknown,
-// says nothing of whether it is valid.
+// Observe records the outcome of a request that completed at the time now. A transaction that was
+// applied ends the delay of its key. Other outcomes, such as failed compares or an unknown outcome,
+// leave the delay unchanged, as they do not show whether the transaction is valid.
 func (b *Backoff) Observe(r *storage.Request, outcome storage.Outcome, now micros.Time) {
 	key := firstKey(r)
 	if key == "" {
@@ -59,7 +59,8 @@
 	b.rejected[key] = rejection{delay: delay, until: now + delay}
 }
 
-// firstKey names what a transaction is about; it is empty for other requests.
+// firstKey returns the key that identifies a transaction: the first put, or else the first delete.
+// It is empty for other requests and for transactions without changes.
 func firstKey(r *storage.Request) string {
 	switch {
 	case r.Kind != storage.Txn:
