--- a/internal/coordination/txnbackoff/txnbackoff_test.go
+++ b/internal/coordination/txnbackoff/txnbackoff_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestDelayDoublesUpToItsBound(t *testing.T) {
+func TestDelayDoublesUpToItsMaximum(t *testing.T) {
 	b, r := New(), put("job/a")
 	now := 100 * micros.Second
 	for i, seconds := range []micros.Time{1, 2, 4, 8, 16, 30, 30} {
@@ -38,11 +38,11 @@
 		blocked bool
 		next    micros.Time // delay after one more rejection
 	}{
-		"applied ends the backoff":                     {storage.OK, false, 1 * micros.Second},
-		"failed compares leave the backoff as it is":   {storage.Conflict, true, 2 * micros.Second},
-		"an unknown outcome leaves the backoff":        {storage.OutcomeUnknown, true, 2 * micros.Second},
-		"an unavailable store leaves the backoff":      {storage.Unavailable, true, 2 * micros.Second},
-		"a lost lease says nothing of the transaction": {storage.LeaseNotFound, true, 2 * micros.Second},
+		"applied ends the backoff":                          {storage.OK, false, 1 * micros.Second},
+		"failed compares leave the backoff unchanged":       {storage.Conflict, true, 2 * micros.Second},
+		"an unknown outcome leaves the backoff unchanged":   {storage.OutcomeUnknown, true, 2 * micros.Second},
+		"an unavailable store leaves the backoff unchanged": {storage.Unavailable, true, 2 * micros.Second},
+		"a lost lease leaves the backoff unchanged":         {storage.LeaseNotFound, true, 2 * micros.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, r := New(), put("job/a")
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestOnlyTransactionsOfTheRejectedKeyWait(t *testing.T) {
+func TestOnlyTransactionsForTheRejectedKeyAreBlocked(t *testing.T) {
 	for name, test := range map[string]struct {
 		rejected, other *storage.Request
 		blocked         bool
@@ -67,12 +67,12 @@
 			blocked:  true,
 		},
 		"another first put": {rejected: put("job/a"), other: put("job/b")},
-		"first delete, where nothing is put": {
+		"first delete, without puts": {
 			rejected: &storage.Request{Kind: storage.Txn, Deletes: []string{"block/x", "block/y"}},
 			other:    &storage.Request{Kind: storage.Txn, Deletes: []string{"block/x"}},
 			blocked:  true,
 		},
-		"a put names the transaction before a delete": {
+		"a put identifies the transaction rather than a delete": {
 			rejected: &storage.Request{Kind: storage.Txn, Puts: put("job/a").Puts, Deletes: []string{"block/x"}},
 			other:    &storage.Request{Kind: storage.Txn, Deletes: []string{"block/x"}},
 		},
@@ -97,12 +97,12 @@
 	}
 }
 
-func TestNumberOfRememberedKeysIsBounded(t *testing.T) {
+func TestNumberOfRecordedKeysIsBounded(t *testing.T) {
 	b := New()
 	for i := range 3 * maxKeys {
 		b.Observe(put(fmt.Sprint("job/", i)), storage.Invalid, 0)
 		if len(b.rejected) > maxKeys {
-			t.Fatalf("%d keys remembered, want at most %d", len(b.rejected), maxKeys)
+			t.Fatalf("%d keys recorded, want at most %d", len(b.rejected), maxKeys)
 		}
 	}
 	requireBlocked(t, b, put(fmt.Sprint("job/", 3*maxKeys-1)), 1, true)
