--- a/internal/coordination/storetest/storetest.go
+++ b/internal/coordination/storetest/storetest.go
@@ -1,5 +1,5 @@
-// Package storetest stands in for the core around a component that sends requests to the
-// key-value store: a test sees each request, and replies to it when it likes.
+// Package storetest provides a fake of the core for testing components that send requests to the
+// key-value store: a test can inspect each request and choose when to reply.
 package storetest
 
 import (
@@ -9,12 +9,12 @@
 	"pipitlatch/internal/storage"
 )
 
-// Environment keeps the time, the calls and the log records of a component. The zero value is
-// at time zero and allows every request.
+// Environment provides the time to a component, and records its calls and log messages. The zero
+// value is at time zero and allows every request.
 type Environment struct {
 	Time       micros.Time
-	OverBudget bool // the request budget allows nothing
-	Calls      []*Call
+	OverBudget bool     // the request budget allows no request
+	Calls      []*Call  // awaiting a reply
 	Messages   []string // of log records
 }
 
@@ -26,13 +26,13 @@
 	done    func(*storage.Reply)
 }
 
-// Now is the time that the test set.
+// Now returns the time set by the test.
 func (e *Environment) Now() micros.Time { return e.Time }
 
-// Log keeps the message of a log record.
+// Log records the message of a log record.
 func (e *Environment) Log(_ int, message string, _ ...any) { e.Messages = append(e.Messages, message) }
 
-// CallStore keeps a request for the test, unless that set OverBudget.
+// CallStore records a request, unless the test has set OverBudget.
 func (e *Environment) CallStore(
 	r *storage.Request, urgency storage.Urgency, timeout micros.Time, done func(*storage.Reply),
 ) bool {
@@ -43,21 +43,21 @@
 	return true
 }
 
-// Take returns the only call that has had no reply, which has to be of a kind.
+// Take removes and returns the only recorded call, which must be of the given kind.
 func (e *Environment) Take(t *testing.T, kind storage.RequestKind) *Call {
 	t.Helper()
 	if len(e.Calls) != 1 {
-		t.Fatalf("%d calls wait for a reply, want 1", len(e.Calls))
+		t.Fatalf("%d calls are waiting for a reply, want 1", len(e.Calls))
 	}
 	call := e.Calls[0]
 	if call.Request.Kind != kind {
-		t.Fatalf("a request of kind %d, want %d: %+v", call.Request.Kind, kind, call.Request)
+		t.Fatalf("request of kind %d, want %d: %+v", call.Request.Kind, kind, call.Request)
 	}
 	e.Calls = nil
 	return call
 }
 
-// RequireNoCall fails the test if a call waits for a reply.
+// RequireNoCall fails the test if there is a recorded call.
 func (e *Environment) RequireNoCall(t *testing.T) {
 	t.Helper()
 	if len(e.Calls) != 0 {
@@ -65,5 +65,5 @@
 	}
 }
 
-// Reply completes the call.
+// Reply completes the call with a reply.
 func (c *Call) Reply(reply storage.Reply) { c.done(&reply) }
