--- a/internal/coordination/txnbackoff/txnbackoff.go
+++ b/internal/coordination/txnbackoff/txnbackoff.go
@@ -39,8 +39,9 @@
 }
 
 // Observe records the outcome of a request that completed at the time now. A transaction that was
-// applied ends the delay of its key. Other outcomes, such as failed compares or an unknown outcome,
-// leave the delay unchanged, as they do not show whether the transaction is valid.
+// applied ends the delay of its key; a rejected one starts or doubles it. Other outcomes, such as
+// failed compares or an unknown outcome, leave it unchanged, as they do not show whether the
+// transaction is valid.
 func (b *Backoff) Observe(r *storage.Request, outcome storage.Outcome, now micros.Time) {
 	key := firstKey(r)
 	if key == "" {
