--- a/internal/coordination/messages/agents.go
+++ b/internal/coordination/messages/agents.go
@@ -6,32 +6,32 @@
 	"pipitlatch/internal/micros"
 )
 
-// TaskState is the state of a task on a machine, as its agent reports it.
+// TaskState is the state of a task on a machine, as reported by the machine's agent.
 type TaskState uint8
 
 // The states of a task on a machine.
 const (
-	Fetching TaskState = iota // waits for its image
+	Fetching TaskState = iota // waiting for its image
 	Running
-	Checkpointing // was told to stop and saves its progress
+	Checkpointing // saving its progress after a command to stop
 	Exited
 )
 
 // ExitReason says why a task exited.
 type ExitReason uint8
 
-// The reasons of an exit. The last three mean that the agent refused to start the task.
+// The exit reasons. The last three mean that the agent refused to start the task.
 const (
 	NotExited ExitReason = iota
 	ExitCompleted
 	ExitStopped
 	ExitFailed
-	ExitInsufficientResources // bin packing: the machine has not enough left
-	ExitDuplicateTask         // the machine has the task under another attempt
-	ExitUnknownTask           // there is no such job or task, as far as the agent knows
+	ExitInsufficientResources // the machine's free resources do not suffice
+	ExitDuplicateTask         // the machine already has another attempt at the task
+	ExitUnknownTask           // the agent knows no such job or task
 )
 
-// String returns the reason as it appears in the log.
+// String returns the reason as written to the log.
 func (r ExitReason) String() string {
 	switch r {
 	case NotExited:
@@ -68,15 +68,15 @@
 	)
 }
 
-// TaskStatus is the part of a heartbeat on one attempt.
+// TaskStatus is the part of a heartbeat that describes one attempt.
 type TaskStatus struct {
 	AttemptID
 	State        TaskState
 	ExitReason   ExitReason
-	Checkpointed bool // its progress was saved when it was stopped
+	Checkpointed bool // its progress was saved before it stopped
 }
 
-// Heartbeat is what an agent says of its machine: on its own, or in reply to a call.
+// Heartbeat is an agent's report on its machine, sent periodically or in reply to a call.
 type Heartbeat struct {
 	Machine      string
 	Address      string
@@ -84,27 +84,27 @@
 	Zone         string
 	Spot         bool
 
-	AgentEpoch   uint64 // grows each time the agent lease expires
-	Sequence     uint64 // grows with every heartbeat of the epoch
-	FencingToken uint64 // the highest one that the agent has seen
+	AgentEpoch   uint64 // increases each time the agent lease expires
+	Sequence     uint64 // increases with every heartbeat of the epoch
+	FencingToken uint64 // the highest that the agent has seen
 
-	PreemptionNotice micros.Time // how long until the cloud takes the machine; negative: no notice
+	PreemptionNotice micros.Time // time until the cloud reclaims the machine; negative: no notice
 	Tasks            []TaskStatus
 }
 
-// Operation is what a command does.
+// Operation is the operation of a command.
 type Operation uint8
 
-// The commands.
+// The operations.
 const (
 	Start  Operation = iota
-	Stop             // lets the task save its progress within the grace period, then ends it
-	Forget           // drops an exited attempt from the heartbeats
+	Stop             // allows the task the grace period to save its progress, then kills it
+	Forget           // removes an exited attempt from the heartbeats
 )
 
-// Command is one command to an agent.
+// Command is a command to an agent.
 type Command struct {
 	Operation Operation
 	AttemptID
-	GracePeriod micros.Time // of Stop
+	GracePeriod micros.Time // for Stop
 }
