--- a/internal/coordination/messages/agents_test.go
+++ b/internal/coordination/messages/agents_test.go
@@ -18,13 +18,13 @@
 	}
 }
 
-// TestExitReasonNames: each reason has a name of its own in the log.
+// TestExitReasonNames checks that each exit reason has a distinct name in the log.
 func TestExitReasonNames(t *testing.T) {
 	seen := map[string]ExitReason{}
 	for r := NotExited; r <= ExitUnknownTask; r++ {
 		name := r.String()
 		if other, ok := seen[name]; ok || name == ExitReason(200).String() {
-			t.Errorf("reason %d is called %q, like %d or one that there is not", r, name, other)
+			t.Errorf("the name of reason %d, %q, is also that of reason %d or of undefined reasons", r, name, other)
 		}
 		seen[name] = r
 	}
