--- a/internal/coordination/messages/calls.go
+++ b/internal/coordination/messages/calls.go
@@ -6,10 +6,10 @@
 	"pipitlatch/internal/workload"
 )
 
-// CloudOperation is what is asked of the cloud.
+// CloudOperation is the operation of a request to the cloud.
 type CloudOperation uint8
 
-// The requests to the cloud.
+// The cloud operations.
 const (
 	CloudCatalog CloudOperation = iota
 	CloudRequestInstances
@@ -23,17 +23,17 @@
 	Operation CloudOperation
 	Timeout   micros.Time
 
-	// CloudRequestInstances: a request that is sent again under the same id has the same result.
+	// CloudRequestInstances: repeating a request with the same ID is idempotent.
 	InstanceRequestID string
 	InstanceRequest   provisioning.InstanceRequest
 
 	Names []string // CloudTerminate
 
-	After string // CloudList: the last machine of the page before
-	Limit int    // CloudList: machines in a page at most
+	After string // CloudList: the last machine of the previous page
+	Limit int    // CloudList: maximum number of machines in a page
 }
 
-// CloudOutcome is what became of a request to the cloud.
+// CloudOutcome is the outcome of a request to the cloud.
 type CloudOutcome uint8
 
 // The outcomes.
@@ -42,7 +42,7 @@
 	// CloudInsufficientCapacity: the cloud granted fewer instances than were requested.
 	CloudInsufficientCapacity
 	CloudRejected
-	// CloudOutcomeUnknown: the request may have been, or may still be, executed.
+	// CloudOutcomeUnknown: the request may have been executed, or may still be.
 	CloudOutcomeUnknown
 )
 
@@ -51,8 +51,8 @@
 	Outcome   CloudOutcome
 	Catalog   workload.Catalog // CloudCatalog
 	Names     []string         // CloudRequestInstances: the instances granted
-	Instances []Instance       // CloudList: a page
-	More      bool             // CloudList: there are further pages
+	Instances []Instance       // CloudList: the machines of the page
+	More      bool             // CloudList: more pages follow
 }
 
 // Instance is a machine in the cloud's list.
@@ -67,7 +67,7 @@
 	Age          micros.Time
 }
 
-// AgentCall sends commands to a machine's agent, or only asks for its status.
+// AgentCall sends commands to a machine's agent, or only requests its status.
 type AgentCall struct {
 	Call         uint64
 	Machine      string
@@ -79,7 +79,7 @@
 	Timeout      micros.Time
 }
 
-// AgentReply is an agent's reply to a call. Without a heartbeat there was none.
+// AgentReply is the result of a call to an agent. Heartbeat is nil if the agent did not reply.
 type AgentReply struct {
 	Executed  bool
 	Heartbeat *Heartbeat
