--- a/internal/coordination/messages/inputs.go
+++ b/internal/coordination/messages/inputs.go
@@ -5,8 +5,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// Input is an input of the core: a request, the completion of a call, or a peer's status. That
-// time has passed is no input: a step may have none.
+// Input is an input of the core: a request, the completion of a call, or a peer's status. Steps that
+// are due only because time has passed have no input.
 type Input interface{ isInput() }
 
 func (*Submit) isInput()           {}
@@ -19,10 +19,10 @@
 func (*AgentCompletion) isInput()  {}
 func (*PeerStatus) isInput()       {}
 
-// RequestID identifies a request that waits for a response.
+// RequestID identifies a request that awaits a response.
 type RequestID uint64
 
-// Submit is a submission. If it is malformed, Job is nil and Fault says why.
+// Submit is the submission of a job. If it is malformed, Job is nil and Fault states the reason.
 type Submit struct {
 	Request RequestID
 	ID      string
@@ -30,22 +30,23 @@
 	Fault   string
 }
 
-// Lookup asks for a job's status.
+// Lookup requests the status of a job.
 type Lookup struct {
 	Request RequestID
 	ID      string
 }
 
-// Cancel asks to cancel a job.
+// Cancel requests the cancellation of a job.
 type Cancel struct {
 	Request RequestID
 	ID      string
 }
 
-// LoadShed tells that a submission was refused before it was read: too many were in progress.
+// LoadShed reports that a submission was refused before it was read, because too many were in
+// progress.
 type LoadShed struct{}
 
-// HeartbeatRequest is a heartbeat that waits for a response.
+// HeartbeatRequest is a heartbeat that awaits a response.
 type HeartbeatRequest struct {
 	Request   RequestID
 	Heartbeat *Heartbeat
