--- a/internal/coordination/messages/outputs.go
+++ b/internal/coordination/messages/outputs.go
@@ -6,7 +6,7 @@
 	"pipitlatch/internal/workload"
 )
 
-// Output is what a step of the core asks for.
+// Output is the output of a step of the core.
 type Output struct {
 	Responses    []Response
 	StoreCalls   []StoreCall
@@ -14,7 +14,7 @@
 	AgentCalls   []AgentCall
 	PeerMessages []PeerMessage
 	LogRecords   []LogRecord
-	NextTick     micros.Time // when the next step is due, if no input comes before
+	NextTick     micros.Time // when the next step is due if no input arrives before
 }
 
 // ResponseKind is the kind of a response to a user or an agent.
@@ -22,20 +22,20 @@
 
 // The kinds of responses.
 const (
-	JobAccepted ResponseKind = iota // a new job
+	JobAccepted ResponseKind = iota // the job is new
 	JobFound                        // the status of a known job
 	RequestMalformed
-	JobUnschedulable // it can never run
+	JobUnschedulable // the job can never run
 	JobNotFound
 	ServiceUnavailable // to be retried after RetryAfter
-	Overloaded         // likewise
-	// HeartbeatAcknowledged renews the agent lease; it carries FencingToken and Commands.
+	Overloaded         // to be retried after RetryAfter
+	// HeartbeatAcknowledged renews the agent lease; FencingToken and Commands are set.
 	HeartbeatAcknowledged
-	// HeartbeatRedirected sends the agent to RedirectTo, or to the next controller if that is empty.
+	// HeartbeatRedirected refers the agent to RedirectTo, or to the next controller if that is empty.
 	HeartbeatRedirected
 )
 
-// JobStatus is what a user is told of a job. Done and Running are numbers of tasks.
+// JobStatus is the status of a job as reported to users. Done and Running are numbers of tasks.
 type JobStatus struct {
 	ID      string
 	Phase   workload.Phase
@@ -43,12 +43,12 @@
 	Running int
 }
 
-// Response answers a request. Which fields count depends on its kind.
+// Response is the response to a request. Which fields are used depends on its kind.
 type Response struct {
 	Request    RequestID
 	Kind       ResponseKind
 	Job        JobStatus
-	Text       string // why not
+	Text       string // the reason for a refusal
 	RetryAfter micros.Time
 
 	RedirectTo   string // a member
@@ -70,9 +70,9 @@
 	LevelWarn  = 4
 )
 
-// LogRecord is something worth telling the operator.
+// LogRecord is a record for the controller's log.
 type LogRecord struct {
 	Level      int
 	Message    string
-	Attributes []any // keys and values in turn
+	Attributes []any // alternating keys and values
 }
