--- a/internal/coordination/messages/peers.go
+++ b/internal/coordination/messages/peers.go
@@ -12,53 +12,53 @@
 	Status *PeerStatus
 }
 
-// PeerStatus is what controllers tell each other about themselves.
+// PeerStatus is the status that a controller sends to its peers.
 type PeerStatus struct {
 	From           storage.Process
-	Revision       uint64 // how far the sender's change stream has come
+	Revision       uint64 // the revision that the sender's change stream has reached
 	StoreReachable bool
 	Usage          storage.Usage // of the key-value store's limits
 
 	Partitions   []PartitionStatus // that the sender leads
 	Progress     []JobProgress
-	Reachability []ZoneReachability // of machines that their partition leader does not hear
+	Reachability []ZoneReachability // of machines that do not respond to their partition leader
 
-	TerminatedMachines []string          // that are surely gone
-	Transfers          []MachineTransfer // that the receiver is asked for
+	TerminatedMachines []string          // known to have been terminated
+	Transfers          []MachineTransfer // requested from the receiver
 
-	Cancelled        []string // jobs that the receiver may not know to be cancelled
+	Cancelled        []string // jobs whose cancellation the receiver may not have seen
 	CancelledUpTo    uint64   // sequence number of the last of them
 	CancellationAcks []CancellationAck
 
-	Demand *admission.Demand // submissions that the sender was asked for; nil: nothing new
+	Demand *admission.Demand // submissions received by the sender; nil: nothing new
 }
 
-// PartitionStatus is what a partition leader tells the cluster leader.
+// PartitionStatus is the status that a partition leader sends to the cluster leader.
 type PartitionStatus struct {
 	Partition        int
 	FencingToken     uint64
 	CapacityRequests []provisioning.CapacityRequest
 	Terminate        []string            // machines to terminate
-	Idle             []string            // machines that could move to another partition
-	UnreachableZones []string            // zones whose machines the partition leader does not hear
+	Idle             []string            // machines available for transfer to another partition
+	UnreachableZones []string            // zones whose machines do not respond to the partition leader
 	Lags             []admission.FlowLag // of flows behind their fair share
 }
 
-// JobProgress is how many tasks of a job are done and running, for display by other controllers.
+// JobProgress is the number of done and running tasks of a job, for display by other controllers.
 type JobProgress struct {
 	ID      string
 	Done    int
 	Running int
 }
 
-// MachineTransfer asks a partition leader to let a machine go to another partition.
+// MachineTransfer asks a partition leader to transfer a machine to another partition.
 type MachineTransfer struct {
 	Machine     string
 	ToPartition int
 }
 
-// ZoneReachability is how many machines of a partition in a zone answered a controller, of those
-// that it probed.
+// ZoneReachability is the number of machines of a partition in a zone that a controller probed, and
+// of those that answered.
 type ZoneReachability struct {
 	Partition int
 	Zone      string
@@ -66,7 +66,7 @@
 	Answered  int
 }
 
-// CancellationAck is up to which sequence number a process's notices of cancellations were received.
+// CancellationAck acknowledges the notices of cancellations of a process up to a sequence number.
 type CancellationAck struct {
 	From storage.Process
 	UpTo uint64
