--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog keeps the instance types that the cloud offers: it fetches them from the
-// cloud, and keeps a copy in the key-value store for a controller that starts while the cloud
-// is down.
+// Package catalog maintains the catalog of instance types offered by the cloud. It fetches them from
+// the cloud, and stores a copy in the key-value store for controllers that start while the cloud is
+// unavailable.
 package catalog
 
 import (
@@ -14,62 +14,63 @@
 )
 
 const (
-	// fetchInterval is how often the instance types are fetched: prices move.
+	// fetchInterval is the interval between fetches of the instance types, whose prices change.
 	fetchInterval = 60 * micros.Second
-	// firstFetchInterval is how often they are fetched while none are known.
+	// firstFetchInterval is the interval between fetches while no types are known.
 	firstFetchInterval = micros.Second
-	// fetchTimeout is how long the cloud's reply is waited for.
+	// fetchTimeout limits the wait for the cloud's reply.
 	fetchTimeout = 3 * micros.Second
-	// writeInterval is the least time between two writes of the stored copy.
+	// writeInterval is the minimum time between two writes of the stored copy.
 	writeInterval = 10 * micros.Second
-	// writeTimeout is how long the reply to a write is waited for.
+	// writeTimeout limits the wait for the reply to a write.
 	writeTimeout = 2 * micros.Second
 )
 
-// Environment is what the catalog needs of the core.
+// Environment is the part of the core that the catalog depends on.
 type Environment interface {
-	// Now is the steady time of this step.
+	// Now returns the monotonic time of this step.
 	Now() micros.Time
-	// CallStore sends a request to the key-value store. It returns false, and done is never
-	// called, if the request budget does not allow it now.
+	// CallStore sends a request to the key-value store. If the request budget does not
+	// allow it at present, it returns false and never calls done.
 	CallStore(r *storage.Request, urgency storage.Urgency, timeout micros.Time, done func(*storage.Reply)) bool
 	// CallCloud sends a request to the cloud.
 	CallCloud(call messages.CloudCall, done func(*messages.CloudReply))
 }
 
-// Settings are what a catalog is configured with.
+// Settings configures a catalog.
 type Settings struct {
 	Keys      storage.Keys
-	MaxValue  int // bytes of a record
-	MaxTxnOps int // changes of a transaction
+	MaxValue  int // maximum size of a record in bytes
+	MaxTxnOps int // maximum number of changes in a transaction
 }
 
-// Catalog is the instance types as one controller knows them.
+// Catalog holds the instance types known to one controller.
 type Catalog struct {
 	environment Environment
 	settings    Settings
 	fetched     func()
-	types       workload.Catalog // nil: not known yet
+	types       workload.Catalog // nil if not known yet
 
 	fetchInFlight bool
 	fetchSentAt   micros.Time
-	fromCloud     bool // the cloud, not only the store, told the types to this process
+	fromCloud     bool // this process has fetched the types from the cloud, not only from the store
 	writeInFlight bool
 	writeSentAt   micros.Time
 }
 
-// New returns a catalog without instance types; fetched is called whenever the cloud told them.
+// New returns a catalog without instance types. fetched is called after each successful fetch from
+// the cloud.
 func New(environment Environment, settings Settings, fetched func()) *Catalog {
 	return &Catalog{environment: environment, settings: settings, fetched: fetched}
 }
 
-// Types are the instance types by name; nil: not known yet.
+// Types returns the instance types by name, or nil if they are not known yet.
 func (c *Catalog) Types() workload.Catalog { return c.types }
 
-// Adopt takes instance types that the cloud told at some time.
+// Adopt replaces the instance types with ones that the cloud returned, now or earlier.
 func (c *Catalog) Adopt(types workload.Catalog) { c.types = types }
 
-// Refresh fetches the instance types from the cloud now and then.
+// Refresh fetches the instance types from the cloud if a fetch is due.
 func (c *Catalog) Refresh() {
 	now := c.environment.Now()
 	interval := fetchInterval
@@ -91,17 +92,17 @@
 	})
 }
 
-// AdoptStored takes the stored instance types if the cloud has not told them yet: a controller
-// that starts while the cloud is down must be able to judge submissions and to plan.
+// AdoptStored uses the stored instance types if none are known yet: a controller that starts while
+// the cloud is unavailable must be able to validate submissions and to plan.
 func (c *Catalog) AdoptStored(cache *storage.Cache) {
 	if stored := cache.Catalog.Value; c.types == nil && len(stored) > 0 {
 		c.Adopt(stored)
 	}
 }
 
-// Persist writes the instance types to the store, under the compare that guards the cluster
-// leader's transactions, if the cloud told this process others than are stored: in parts if
-// they are too many for one record.
+// Persist writes the instance types to the store if this process has fetched types from the cloud
+// that differ from the stored ones. leader is the compare that guards the cluster leader's
+// transactions. Types that do not fit in one record are split into parts.
 func (c *Catalog) Persist(cache *storage.Cache, leader storage.Compare) {
 	now := c.environment.Now()
 	stored := cache.Catalog.Value
@@ -117,7 +118,7 @@
 		request.Compares = append(request.Compares, storage.Compare{Key: key, ModRevision: cache.Catalog.ModRevision})
 		request.Puts = append(request.Puts, storage.Put{Key: key, Value: value})
 	case cache.Format < storage.Format:
-		return // an older version would take a part for all
+		return // an older version would mistake a part for the whole catalog
 	default:
 		c.putParts(request, cache)
 	}
@@ -126,8 +127,8 @@
 	})
 }
 
-// putParts adds the parts that are not stored as they are, as many as one transaction takes; the
-// next write has the others.
+// putParts adds the parts that differ from the stored ones, up to the limit of one transaction. The
+// remaining parts are left to the next writes.
 func (c *Catalog) putParts(request *storage.Request, cache *storage.Cache) {
 	for n, part := range c.parts() {
 		if len(request.Puts) >= c.settings.MaxTxnOps {
@@ -143,7 +144,8 @@
 	}
 }
 
-// parts are the instance types in order of their names, as many in a part as fit a record.
+// parts splits the instance types, ordered by name, into parts that fit in one record each. A part
+// has at least one type, even if that is too large.
 func (c *Catalog) parts() []workload.Catalog {
 	var parts []workload.Catalog
 	part := workload.Catalog{}
@@ -158,7 +160,7 @@
 	return append(parts, part)
 }
 
-// partStored reports whether each type of a part is stored as it is.
+// partStored reports whether each type of a part is stored unchanged.
 func partStored(part, stored workload.Catalog) bool {
 	for name, instanceType := range part {
 		same := workload.Catalog{name: instanceType}
