--- a/internal/coordination/catalog/catalog_test.go
+++ b/internal/coordination/catalog/catalog_test.go
@@ -17,7 +17,7 @@
 	guard    = storage.Compare{Key: "test/leader", ModRevision: 5}
 )
 
-// cloudEnvironment keeps calls to the cloud, too.
+// cloudEnvironment also records calls to the cloud.
 type cloudEnvironment struct {
 	storetest.Environment
 	cloudCalls []func(*messages.CloudReply)
@@ -30,7 +30,7 @@
 	e.cloudCalls = append(e.cloudCalls, done)
 }
 
-// takeCloudCall returns what completes the only call to the cloud that has had no reply.
+// takeCloudCall removes the only recorded call to the cloud and returns its completion function.
 func (e *cloudEnvironment) takeCloudCall(t *testing.T) func(*messages.CloudReply) {
 	t.Helper()
 	if len(e.cloudCalls) != 1 {
@@ -41,7 +41,7 @@
 	return done
 }
 
-// instanceTypes returns as many types, named a, b, c and so on.
+// instanceTypes returns count types, named a, b, c and so on.
 func instanceTypes(count int) workload.Catalog {
 	types := workload.Catalog{}
 	for i := range count {
@@ -58,7 +58,7 @@
 	fetches     int
 }
 
-// newCatalogTest returns a catalog at ten seconds, whose records have room for two types.
+// newCatalogTest returns a catalog at a time of 10 s, whose records hold up to two types.
 func newCatalogTest() *catalogTest {
 	c := &catalogTest{environment: &cloudEnvironment{}, cache: storage.NewCache(testKeys)}
 	c.environment.Time = 10 * micros.Second
@@ -68,14 +68,14 @@
 	return c
 }
 
-// fetch lets the cloud tell instance types.
+// fetch refreshes the catalog with instance types from the cloud.
 func (c *catalogTest) fetch(t *testing.T, types workload.Catalog) {
 	t.Helper()
 	c.Refresh()
 	c.environment.takeCloudCall(t)(&messages.CloudReply{Outcome: messages.CloudOK, Catalog: types})
 }
 
-// apply takes the puts of a request into the cache.
+// apply applies the puts of a request to the cache.
 func (c *catalogTest) apply(t *testing.T, request *storage.Request, revision uint64) {
 	t.Helper()
 	for _, put := range request.Puts {
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestRefreshPaces(t *testing.T) {
+func TestRefreshLimitsItsRate(t *testing.T) {
 	c := newCatalogTest()
 	requireNext := func(interval micros.Time) {
 		t.Helper()
@@ -103,26 +103,26 @@
 	unavailable := &messages.CloudReply{Outcome: messages.CloudOutcomeUnknown, Catalog: instanceTypes(1)}
 	c.environment.takeCloudCall(t)(unavailable) // one at a time
 	if c.Types() != nil || c.fetches != 0 {
-		t.Error("types are taken from a reply that failed")
+		t.Error("types were taken from a failed reply")
 	}
 	c.Refresh()
 	c.environment.takeCloudCall(t)(&messages.CloudReply{Outcome: messages.CloudOK})
 	if c.Types() != nil {
-		t.Error("an empty catalog is taken")
+		t.Error("an empty catalog was taken")
 	}
 	requireNext(firstFetchInterval)
 	c.environment.takeCloudCall(t)(&messages.CloudReply{Outcome: messages.CloudOK, Catalog: instanceTypes(1)})
 	if len(c.Types()) != 1 || c.fetches != 1 {
-		t.Errorf("%d types, fetched told %d times", len(c.Types()), c.fetches)
+		t.Errorf("%d types, fetched called %d times, want 1 each", len(c.Types()), c.fetches)
 	}
 	requireNext(fetchInterval)
 	c.environment.takeCloudCall(t)(unavailable)
 	if len(c.Types()) != 1 || c.fetches != 1 {
-		t.Error("a reply that failed changed the types")
+		t.Error("a failed reply changed the types")
 	}
 }
 
-func TestFirstFetchIsAtOnce(t *testing.T) {
+func TestFirstFetchIsImmediate(t *testing.T) {
 	c := newCatalogTest()
 	c.environment.Time = 1
 	c.Refresh()
@@ -133,17 +133,17 @@
 	c := newCatalogTest()
 	c.AdoptStored(c.cache)
 	if c.Types() != nil {
-		t.Error("types are known though none are stored")
+		t.Error("types are known although none are stored")
 	}
 	c.cache.Catalog.Value = instanceTypes(2)
 	c.AdoptStored(c.cache)
 	if len(c.Types()) != 2 || c.fetches != 0 {
-		t.Errorf("%d types, fetched told %d times, want 2 and never", len(c.Types()), c.fetches)
+		t.Errorf("%d types, fetched called %d times, want 2 and 0", len(c.Types()), c.fetches)
 	}
 	c.cache.Catalog.Value = instanceTypes(1)
 	c.AdoptStored(c.cache)
 	if len(c.Types()) != 2 {
-		t.Error("known types are replaced by the stored ones")
+		t.Error("known types were replaced by the stored ones")
 	}
 }
 
@@ -177,7 +177,7 @@
 	c.environment.RequireNoCall(t) // it is stored
 }
 
-func TestPersistWritesOnlyWhatTheCloudTold(t *testing.T) {
+func TestPersistWritesOnlyTypesFromTheCloud(t *testing.T) {
 	c := newCatalogTest()
 	c.cache.Catalog.Value = instanceTypes(2)
 	c.AdoptStored(c.cache)
@@ -186,7 +186,7 @@
 	c.environment.RequireNoCall(t)
 }
 
-// TestPersistWritesParts: seven types in four parts, two in a transaction.
+// TestPersistWritesParts checks that seven types are written in four parts, two per transaction.
 func TestPersistWritesParts(t *testing.T) {
 	c := newCatalogTest()
 	c.fetch(t, instanceTypes(7))
@@ -217,9 +217,9 @@
 		t.Errorf("written %q, want %q", written, want)
 	}
 	if !c.Types().SameTypes(c.cache.Catalog.Value) {
-		t.Error("what is stored differs from what the cloud told")
+		t.Error("the stored types differ from those of the cloud")
 	}
-	// Only the part that changes is written again, over the one that is there.
+	// Only the part that changed is written again, replacing the stored one.
 	changed := instanceTypes(7)
 	changed["c"].Capacity.CPU = 2000
 	c.Adopt(changed)
@@ -231,7 +231,7 @@
 	}
 }
 
-// TestPartsHaveAtLeastOneType: one that is too large for a record is written all the same, alone.
+// TestPartsHaveAtLeastOneType checks that a type too large for a record gets a part of its own.
 func TestPartsHaveAtLeastOneType(t *testing.T) {
 	c := newCatalogTest()
 	c.settings.MaxValue = 1
@@ -246,7 +246,8 @@
 	}
 }
 
-// TestPersistWritesNoPartsForOlderVersions: they would take a part for all.
+// TestPersistWritesNoPartsForOlderVersions checks that no parts are written while older versions are
+// running, as these would mistake a part for the whole catalog.
 func TestPersistWritesNoPartsForOlderVersions(t *testing.T) {
 	c := newCatalogTest()
 	c.cache.Format = storage.Format - 1
