--- a/internal/coordination/replication/snapshot.go
+++ b/internal/coordination/replication/snapshot.go
@@ -35,13 +35,13 @@
 func (r *Replica) loadPage(into *storage.Cache, after string, firstRevision uint64) {
 	sent := r.environment.Now()
 	request := &storage.Request{Kind: storage.List, Key: r.keys.Prefix, After: after, Limit: snapshotPageItems}
-	done := func(page *storage.Reply) { r.takePage(into, page, firstRevision, sent) }
+	done := func(page *storage.Reply) { r.handlePage(into, page, firstRevision, sent) }
 	if !r.environment.CallStore(request, storage.Urgent, snapshotPageTimeout, done) {
 		r.snapshotFailed()
 	}
 }
 
-func (r *Replica) takePage(into *storage.Cache, page *storage.Reply, firstRevision uint64, sent micros.Time) {
+func (r *Replica) handlePage(into *storage.Cache, page *storage.Reply, firstRevision uint64, sent micros.Time) {
 	if page.Outcome != storage.OK || (page.More && len(page.Items) == 0) {
 		r.snapshotFailed()
 		return
