--- a/internal/coordination/replication/watch.go
+++ b/internal/coordination/replication/watch.go
@@ -34,16 +34,16 @@
 		return
 	}
 	request := &storage.Request{Kind: storage.Watch, Key: r.keys.Prefix, Revision: r.cache.Revision, Wait: watchWait}
-	done := func(reply *storage.Reply) { r.takeChanges(reply, sent) }
+	done := func(reply *storage.Reply) { r.handleChanges(reply, sent) }
 	r.watch.inFlight = r.environment.CallStore(request, storage.Urgent, watchTimeout, done)
 	if r.watch.inFlight {
 		r.watch.sentAt = sent
 	}
 }
 
-// takeChanges handles the reply to a watch sent at the time sent. A successful reply confirms the
+// handleChanges handles the reply to a watch sent at the time sent. A successful reply confirms the
 // term as of that time, whether or not it contains changes.
-func (r *Replica) takeChanges(reply *storage.Reply, sent micros.Time) {
+func (r *Replica) handleChanges(reply *storage.Reply, sent micros.Time) {
 	r.watch.inFlight = false
 	switch reply.Outcome {
 	case storage.OK:
