--- a/internal/coordination/replication/read_barrier.go
+++ b/internal/coordination/replication/read_barrier.go
@@ -68,7 +68,7 @@
 	batch := b.waiting
 	b.waiting = nil
 	request := &storage.Request{Kind: storage.Get, Key: b.key}
-	done := func(reply *storage.Reply) { b.takeRevision(batch, reply) }
+	done := func(reply *storage.Reply) { b.handleRevision(batch, reply) }
 	if !b.environment.CallStore(request, storage.Deferrable, readRequestTimeout, done) {
 		failAll(batch)
 		return
@@ -76,9 +76,9 @@
 	b.inFlight, b.lastSentAt = true, now
 }
 
-// takeRevision handles the store's reply to the request for a batch of reads. As the record does
+// handleRevision handles the store's reply to the request for a batch of reads. As the record does
 // not exist, a successful reply contains only the revision.
-func (b *readBarrier) takeRevision(batch []pendingRead, reply *storage.Reply) {
+func (b *readBarrier) handleRevision(batch []pendingRead, reply *storage.Reply) {
 	b.inFlight = false
 	if reply.Outcome != storage.NotFound {
 		failAll(batch)
