--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -48,7 +48,7 @@
 type Catalog struct {
 	environment Environment
 	settings    Settings
-	fetched     func()
+	onFetched     func()
 	types       workload.Catalog // nil if not known yet
 
 	fetchInFlight bool
@@ -61,7 +61,7 @@
 // New returns a catalog without instance types. fetched is called after each successful fetch from
 // the cloud.
 func New(environment Environment, settings Settings, fetched func()) *Catalog {
-	return &Catalog{environment: environment, settings: settings, fetched: fetched}
+	return &Catalog{environment: environment, settings: settings, onFetched: fetched}
 }
 
 // Types returns the instance types by name, or nil if they are not known yet.
@@ -87,7 +87,7 @@
 		if r.Outcome == messages.CloudOK && len(r.Catalog) > 0 {
 			c.Adopt(r.Catalog)
 			c.fromCloud = true
-			c.fetched()
+			c.onFetched()
 		}
 	})
 }
