--- a/internal/coordination/membership/health.go
+++ b/internal/coordination/membership/health.go
@@ -20,7 +20,7 @@
 type Health struct {
 	peers        *Peers
 	startedAt    micros.Time
-	lastServedAt micros.Time // when the key-value store was last reachable
+	lastReachableAt micros.Time // when the key-value store was last reachable
 }
 
 // NewHealth returns the health of a controller that has not been started.
@@ -30,7 +30,7 @@
 func (h *Health) Start(now micros.Time) { h.startedAt = now }
 
 // StoreServed records that the key-value store is reachable.
-func (h *Health) StoreServed(now micros.Time) { h.lastServedAt = now }
+func (h *Health) StoreServed(now micros.Time) { h.lastReachableAt = now }
 
 // Isolated reports whether the last confirmation by the key-value store is stale and no peer has
 // sent a status recently. The view of an isolated controller may be outdated in every respect.
@@ -56,7 +56,7 @@
 	case len(h.peers.expected) == 0 || h.peers.AnyHeard(now, peerTimeout, anyStatus):
 		return true
 	}
-	return now-max(h.lastServedAt, h.startedAt) < isolationTimeout
+	return now-max(h.lastReachableAt, h.startedAt) < isolationTimeout
 }
 
 func anyStatus(*messages.PeerStatus) bool { return true }
