--- a/internal/coordination/leadership/assign_test.go
+++ b/internal/coordination/leadership/assign_test.go
@@ -16,8 +16,8 @@
 	c  = storage.Process{Member: "c", Incarnation: "1"}
 )
 
-// led returns the record of a partition with a leader and former leaders.
-func led(leader storage.Process, former ...storage.Process) storage.PartitionRecord {
+// partitionLedBy returns the record of a partition with a leader and former leaders.
+func partitionLedBy(leader storage.Process, former ...storage.Process) storage.PartitionRecord {
 	return storage.PartitionRecord{Leader: leader, FormerLeaders: former}
 }
 
@@ -59,36 +59,36 @@
 		{name: "nothing before the cluster leader's own registration is in the cache",
 			members: []storage.Process{b, c}, count: 1, clusterLeader: a2},
 		{name: "nothing while every partition has a live leader",
-			members: all, partitions: records{0: led(b), 1: led(b)}, count: 2, clusterLeader: a2},
+			members: all, partitions: records{0: partitionLedBy(b), 1: partitionLedBy(b)}, count: 2, clusterLeader: a2},
 		{name: "new partitions are spread, the cluster leader first",
 			members: all, count: 4, clusterLeader: b,
-			want: []Assignment{{0, led(b)}, {1, led(a2)}, {2, led(c)}, {3, led(b)}}},
+			want: []Assignment{{0, partitionLedBy(b)}, {1, partitionLedBy(a2)}, {2, partitionLedBy(c)}, {3, partitionLedBy(b)}}},
 		{name: "the process that leads the fewest, new assignments included",
-			members: all, partitions: records{1: led(b), 2: led(c)}, count: 3, clusterLeader: b,
-			want: []Assignment{{0, led(a2)}}},
+			members: all, partitions: records{1: partitionLedBy(b), 2: partitionLedBy(c)}, count: 3, clusterLeader: b,
+			want: []Assignment{{0, partitionLedBy(a2)}}},
 		{name: "the process that reaches most machines, however many it leads",
-			members: all, partitions: records{0: led(c), 1: led(c)}, count: 3, clusterLeader: a2,
+			members: all, partitions: records{0: partitionLedBy(c), 1: partitionLedBy(c)}, count: 3, clusterLeader: a2,
 			reach: map[storage.Process]int{a2: 3, b: 3, c: 4},
-			want:  []Assignment{{2, led(c)}}},
+			want:  []Assignment{{2, partitionLedBy(c)}}},
 		{name: "a leader that is not registered is kept as a former one",
-			members: []storage.Process{a2, b}, partitions: records{0: led(c)}, count: 1, clusterLeader: a2,
-			want: []Assignment{{0, led(a2, c)}}},
+			members: []storage.Process{a2, b}, partitions: records{0: partitionLedBy(c)}, count: 1, clusterLeader: a2,
+			want: []Assignment{{0, partitionLedBy(a2, c)}}},
 		{name: "a leader whose member has restarted is dead",
-			members: []storage.Process{a2, b}, partitions: records{0: led(a1)}, count: 1, clusterLeader: a2,
-			want: []Assignment{{0, led(a2)}}},
+			members: []storage.Process{a2, b}, partitions: records{0: partitionLedBy(a1)}, count: 1, clusterLeader: a2,
+			want: []Assignment{{0, partitionLedBy(a2)}}},
 		{name: "former leaders are kept once, except dead ones and the new leader",
-			members: []storage.Process{a2, b}, partitions: records{0: led(c, a1, b, c)}, count: 1, clusterLeader: b,
-			want: []Assignment{{0, led(b, c)}}},
+			members: []storage.Process{a2, b}, partitions: records{0: partitionLedBy(c, a1, b, c)}, count: 1, clusterLeader: b,
+			want: []Assignment{{0, partitionLedBy(b, c)}}},
 		{name: "a process to avoid loses its partition",
-			members: all, partitions: records{0: led(b), 1: led(a2)}, count: 2, clusterLeader: a2,
+			members: all, partitions: records{0: partitionLedBy(b), 1: partitionLedBy(a2)}, count: 2, clusterLeader: a2,
 			avoid: []storage.Process{b},
-			want:  []Assignment{{0, led(c, b)}}},
+			want:  []Assignment{{0, partitionLedBy(c, b)}}},
 		{name: "a cluster leader to avoid is assigned none",
 			members: all, count: 2, clusterLeader: a2, avoid: []storage.Process{a2},
-			want: []Assignment{{0, led(b)}, {1, led(c)}}},
+			want: []Assignment{{0, partitionLedBy(b)}, {1, partitionLedBy(c)}}},
 		{name: "if all are to be avoided, none is",
-			members: all, partitions: records{0: led(b)}, count: 2, clusterLeader: a2, avoid: all,
-			want: []Assignment{{1, led(a2)}}},
+			members: all, partitions: records{0: partitionLedBy(b)}, count: 2, clusterLeader: a2, avoid: all,
+			want: []Assignment{{1, partitionLedBy(a2)}}},
 	}
 )
 
@@ -115,7 +115,7 @@
 		return 0
 	}
 	got := Assign(cache, 2, a2, func(storage.Process) bool { return false }, reach)
-	want := []Assignment{{0, led(b)}, {1, led(a2)}}
+	want := []Assignment{{0, partitionLedBy(b)}, {1, partitionLedBy(a2)}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("Assign = %+v, want %+v", got, want)
 	}
