--- a/internal/coordination/leadership/assign_test.go
+++ b/internal/coordination/leadership/assign_test.go
@@ -45,7 +45,7 @@
 type records = map[int]storage.PartitionRecord
 
 var (
-	all         = []storage.Process{a2, b, c}
+	allMembers         = []storage.Process{a2, b, c}
 	assignCases = []struct {
 		name          string
 		members       []storage.Process
@@ -59,15 +59,15 @@
 		{name: "nothing before the cluster leader's own registration is in the cache",
 			members: []storage.Process{b, c}, count: 1, clusterLeader: a2},
 		{name: "nothing while every partition has a live leader",
-			members: all, partitions: records{0: partitionLedBy(b), 1: partitionLedBy(b)}, count: 2, clusterLeader: a2},
+			members: allMembers, partitions: records{0: partitionLedBy(b), 1: partitionLedBy(b)}, count: 2, clusterLeader: a2},
 		{name: "new partitions are spread, the cluster leader first",
-			members: all, count: 4, clusterLeader: b,
+			members: allMembers, count: 4, clusterLeader: b,
 			want: []Assignment{{0, partitionLedBy(b)}, {1, partitionLedBy(a2)}, {2, partitionLedBy(c)}, {3, partitionLedBy(b)}}},
 		{name: "the process that leads the fewest, new assignments included",
-			members: all, partitions: records{1: partitionLedBy(b), 2: partitionLedBy(c)}, count: 3, clusterLeader: b,
+			members: allMembers, partitions: records{1: partitionLedBy(b), 2: partitionLedBy(c)}, count: 3, clusterLeader: b,
 			want: []Assignment{{0, partitionLedBy(a2)}}},
 		{name: "the process that reaches most machines, however many it leads",
-			members: all, partitions: records{0: partitionLedBy(c), 1: partitionLedBy(c)}, count: 3, clusterLeader: a2,
+			members: allMembers, partitions: records{0: partitionLedBy(c), 1: partitionLedBy(c)}, count: 3, clusterLeader: a2,
 			reach: map[storage.Process]int{a2: 3, b: 3, c: 4},
 			want:  []Assignment{{2, partitionLedBy(c)}}},
 		{name: "a leader that is not registered is kept as a former one",
@@ -80,14 +80,14 @@
 			members: []storage.Process{a2, b}, partitions: records{0: partitionLedBy(c, a1, b, c)}, count: 1, clusterLeader: b,
 			want: []Assignment{{0, partitionLedBy(b, c)}}},
 		{name: "a process to avoid loses its partition",
-			members: all, partitions: records{0: partitionLedBy(b), 1: partitionLedBy(a2)}, count: 2, clusterLeader: a2,
+			members: allMembers, partitions: records{0: partitionLedBy(b), 1: partitionLedBy(a2)}, count: 2, clusterLeader: a2,
 			avoid: []storage.Process{b},
 			want:  []Assignment{{0, partitionLedBy(c, b)}}},
 		{name: "a cluster leader to avoid is assigned none",
-			members: all, count: 2, clusterLeader: a2, avoid: []storage.Process{a2},
+			members: allMembers, count: 2, clusterLeader: a2, avoid: []storage.Process{a2},
 			want: []Assignment{{0, partitionLedBy(b)}, {1, partitionLedBy(c)}}},
 		{name: "if all are to be avoided, none is",
-			members: all, partitions: records{0: partitionLedBy(b)}, count: 2, clusterLeader: a2, avoid: all,
+			members: allMembers, partitions: records{0: partitionLedBy(b)}, count: 2, clusterLeader: a2, avoid: allMembers,
 			want: []Assignment{{1, partitionLedBy(a2)}}},
 	}
 )
