--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -11,7 +11,7 @@
 var (
 	testKeys = storage.Keys{Prefix: "test/"}
 	self     = storage.Process{Member: "n1", Incarnation: "new"}
-	selfOld  = storage.Process{Member: "n1", Incarnation: "old"}
+	previousSelf  = storage.Process{Member: "n1", Incarnation: "old"}
 	other    = storage.Process{Member: "n2", Incarnation: "new"}
 	otherOld = storage.Process{Member: "n2", Incarnation: "old"}
 )
@@ -64,7 +64,7 @@
 			prepare: func(e *electionTest) { e.elect(otherOld, 9) }, campaign: true, revision: 9,
 		},
 		"this member's previous process leads": {
-			prepare: func(e *electionTest) { e.elect(selfOld, 9) }, campaign: true, revision: 9,
+			prepare: func(e *electionTest) { e.elect(previousSelf, 9) }, campaign: true, revision: 9,
 		},
 		"the leader is not registered: it may be alive": {
 			prepare: func(e *electionTest) {
@@ -149,7 +149,7 @@
 	}{
 		"this process":                   {self, 9, true},
 		"another process":                {other, 9, false},
-		"this member's previous process": {selfOld, 9, false},
+		"this member's previous process": {previousSelf, 9, false},
 		"no leader":                      {storage.Process{}, 0, false},
 		"this process, since removed":    {self, 0, false},
 	} {
