--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -13,7 +13,7 @@
 	self     = storage.Process{Member: "n1", Incarnation: "new"}
 	previousSelf  = storage.Process{Member: "n1", Incarnation: "old"}
 	other    = storage.Process{Member: "n2", Incarnation: "new"}
-	otherOld = storage.Process{Member: "n2", Incarnation: "old"}
+	previousOther = storage.Process{Member: "n2", Incarnation: "old"}
 )
 
 type fakeMember struct{ lease uint64 }
@@ -61,7 +61,7 @@
 			prepare: func(e *electionTest) { e.elect(self, 9) },
 		},
 		"the leader's member runs a newer process": {
-			prepare: func(e *electionTest) { e.elect(otherOld, 9) }, campaign: true, revision: 9,
+			prepare: func(e *electionTest) { e.elect(previousOther, 9) }, campaign: true, revision: 9,
 		},
 		"this member's previous process leads": {
 			prepare: func(e *electionTest) { e.elect(previousSelf, 9) }, campaign: true, revision: 9,
