--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -48,7 +48,7 @@
 type Catalog struct {
 	environment Environment
 	settings    Settings
-	onFetched     func()
+	onFetched   func()
 	types       workload.Catalog // nil if not known yet
 
 	fetchInFlight bool
@@ -58,10 +58,10 @@
 	writeSentAt   micros.Time
 }
 
-// New returns a catalog without instance types. fetched is called after each successful fetch from
+// New returns a catalog without instance types. onFetched is called after each successful fetch from
 // the cloud.
-func New(environment Environment, settings Settings, fetched func()) *Catalog {
-	return &Catalog{environment: environment, settings: settings, onFetched: fetched}
+func New(environment Environment, settings Settings, onFetched func()) *Catalog {
+	return &Catalog{environment: environment, settings: settings, onFetched: onFetched}
 }
 
 // Types returns the instance types by name, or nil if they are not known yet.
