--- a/internal/coordination/catalog/catalog_test.go
+++ b/internal/coordination/catalog/catalog_test.go
@@ -113,7 +113,7 @@
 	requireNext(firstFetchInterval)
 	c.environment.takeCloudCall(t)(&messages.CloudReply{Outcome: messages.CloudOK, Catalog: instanceTypes(1)})
 	if len(c.Types()) != 1 || c.fetches != 1 {
-		t.Errorf("%d types, fetched called %d times, want 1 each", len(c.Types()), c.fetches)
+		t.Errorf("%d types, onFetched called %d times, want 1 each", len(c.Types()), c.fetches)
 	}
 	requireNext(fetchInterval)
 	c.environment.takeCloudCall(t)(unavailable)
@@ -138,7 +138,7 @@
 	c.cache.Catalog.Value = instanceTypes(2)
 	c.AdoptStored(c.cache)
 	if len(c.Types()) != 2 || c.fetches != 0 {
-		t.Errorf("%d types, fetched called %d times, want 2 and 0", len(c.Types()), c.fetches)
+		t.Errorf("%d types, onFetched called %d times, want 2 and 0", len(c.Types()), c.fetches)
 	}
 	c.cache.Catalog.Value = instanceTypes(1)
 	c.AdoptStored(c.cache)
