--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -9,10 +9,10 @@
 )
 
 var (
-	testKeys = storage.Keys{Prefix: "test/"}
-	self     = storage.Process{Member: "n1", Incarnation: "new"}
+	testKeys      = storage.Keys{Prefix: "test/"}
+	self          = storage.Process{Member: "n1", Incarnation: "new"}
 	previousSelf  = storage.Process{Member: "n1", Incarnation: "old"}
-	other    = storage.Process{Member: "n2", Incarnation: "new"}
+	other         = storage.Process{Member: "n2", Incarnation: "new"}
 	previousOther = storage.Process{Member: "n2", Incarnation: "old"}
 )
 
