--- a/internal/coordination/leadership/assign_test.go
+++ b/internal/coordination/leadership/assign_test.go
@@ -45,7 +45,7 @@
 type records = map[int]storage.PartitionRecord
 
 var (
-	allMembers         = []storage.Process{a2, b, c}
+	allMembers  = []storage.Process{a2, b, c}
 	assignCases = []struct {
 		name          string
 		members       []storage.Process
