--- a/internal/coordination/membership/health.go
+++ b/internal/coordination/membership/health.go
@@ -18,8 +18,8 @@
 // Health determines whether a controller should receive users' requests, and whether it is
 // isolated, from the reachability of the key-value store and of its peers.
 type Health struct {
-	peers        *Peers
-	startedAt    micros.Time
+	peers           *Peers
+	startedAt       micros.Time
 	lastReachableAt micros.Time // when the key-value store was last reachable
 }
 
