--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -218,7 +218,7 @@
 // tick lets the parts act on their timers, always in the same order.
 func (c *Core) tick() {
 	if c.storeReachable() {
-		c.health.StoreServed(c.now)
+		c.health.MarkStoreReachable(c.now)
 	}
 	c.member.RenewLease()
 	c.replica.Refresh()
--- a/internal/coordination/membership/health.go
+++ b/internal/coordination/membership/health.go
@@ -29,8 +29,8 @@
 // Start records when the process started.
 func (h *Health) Start(now micros.Time) { h.startedAt = now }
 
-// StoreServed records that the key-value store is reachable.
-func (h *Health) StoreServed(now micros.Time) { h.lastReachableAt = now }
+// MarkStoreReachable records that the key-value store is reachable.
+func (h *Health) MarkStoreReachable(now micros.Time) { h.lastReachableAt = now }
 
 // Isolated reports whether the last confirmation by the key-value store is stale and no peer has
 // sent a status recently. The view of an isolated controller may be outdated in every respect.
--- a/internal/coordination/membership/health_test.go
+++ b/internal/coordination/membership/health_test.go
@@ -46,7 +46,7 @@
 			}
 			h := NewHealth(peers)
 			h.Start(start - 90*micros.Second)
-			h.StoreServed(start - test.sinceServed)
+			h.MarkStoreReachable(start - test.sinceServed)
 			if got := h.Healthy(start, test.reachable); got != test.healthy {
 				t.Errorf("healthy %v, want %v", got, test.healthy)
 			}
