--- a/internal/coordination/membership/health.go
+++ b/internal/coordination/membership/health.go
@@ -35,7 +35,7 @@
 // Isolated reports whether the last confirmation by the key-value store is stale and no peer has
 // sent a status recently. The view of an isolated controller may be outdated in every respect.
 func (h *Health) Isolated(now micros.Time, storeStale bool) bool {
-	return storeStale && now > h.startedAt+peerTimeout && !h.peers.AnyHeard(now, peerTimeout, anyStatus)
+	return storeStale && now > h.startedAt+peerTimeout && !h.peers.AnyRecent(now, peerTimeout, anyStatus)
 }
 
 // Healthy reports whether the controller should receive users' requests. It should not while it
@@ -51,9 +51,9 @@
 		return true
 	case now < h.startedAt+startupTime:
 		return false
-	case h.peers.AnyHeard(now, peerTimeout, func(s *messages.PeerStatus) bool { return s.StoreReachable }):
+	case h.peers.AnyRecent(now, peerTimeout, func(s *messages.PeerStatus) bool { return s.StoreReachable }):
 		return false
-	case len(h.peers.expected) == 0 || h.peers.AnyHeard(now, peerTimeout, anyStatus):
+	case len(h.peers.expected) == 0 || h.peers.AnyRecent(now, peerTimeout, anyStatus):
 		return true
 	}
 	return now-max(h.lastReachableAt, h.startedAt) < isolationTimeout
--- a/internal/coordination/membership/peers.go
+++ b/internal/coordination/membership/peers.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// AnyHeard reports whether any other member's last status was received less than within ago and
+// AnyRecent reports whether any other member's last status was received less than within ago and
 // meets the condition.
-func (p *Peers) AnyHeard(now, within micros.Time, condition func(*messages.PeerStatus) bool) bool {
+func (p *Peers) AnyRecent(now, within micros.Time, condition func(*messages.PeerStatus) bool) bool {
 	for member, peer := range p.latest {
 		if member != p.self && now-peer.ReceivedAt < within && condition(peer.Status) {
 			return true
--- a/internal/coordination/membership/peers_test.go
+++ b/internal/coordination/membership/peers_test.go
@@ -66,7 +66,7 @@
 			p := threeMembers()
 			p.Receive(start, status(test.member, test.reachable))
 			reachable := func(s *messages.PeerStatus) bool { return s.StoreReachable }
-			if got := p.AnyHeard(start+test.age, peerTimeout, reachable); got != test.want {
+			if got := p.AnyRecent(start+test.age, peerTimeout, reachable); got != test.want {
 				t.Errorf("heard %v, want %v", got, test.want)
 			}
 		})
