--- a/internal/coordination/membership/peers.go
+++ b/internal/coordination/membership/peers.go
@@ -64,8 +64,8 @@
 	return false
 }
 
-// AllHeard reports whether every other configured member has sent a status within statusTimeout.
-func (p *Peers) AllHeard(now micros.Time) bool {
+// AllRecent reports whether every other configured member has sent a status within statusTimeout.
+func (p *Peers) AllRecent(now micros.Time) bool {
 	for _, member := range p.expected {
 		if peer := p.latest[member]; peer == nil || now-peer.ReceivedAt >= statusTimeout {
 			return false
@@ -77,7 +77,7 @@
 // StoreUsage returns how much of the key-value store's request limits the other members used
 // recently.
 func (p *Peers) StoreUsage(now micros.Time) storage.Usage {
-	if !p.AllHeard(now) {
+	if !p.AllRecent(now) {
 		// The usage of a silent member is unknown. The maximum limits this member to an even share.
 		return storage.Usage{Requests: 1 << 40, Writes: 1 << 40}
 	}
--- a/internal/coordination/membership/peers_test.go
+++ b/internal/coordination/membership/peers_test.go
@@ -102,7 +102,7 @@
 			for member, age := range test.heard {
 				p.Receive(start-age, status(member, true))
 			}
-			if got := p.AllHeard(start); got != test.all {
+			if got := p.AllRecent(start); got != test.all {
 				t.Errorf("all heard %v, want %v", got, test.all)
 			}
 			if got := p.StoreUsage(start); got != test.want {
