--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -252,7 +252,7 @@
 func (c *Core) storeReachable() bool { return c.replica.Current() && c.catalog.Types() != nil }
 
 // isClusterLeader tells whether this process is the cluster leader, as far as it can know.
-func (c *Core) isClusterLeader() bool { return c.replica.Synced() && c.election.Leads(c.cache) }
+func (c *Core) isClusterLeader() bool { return c.replica.Synced() && c.election.IsLeader(c.cache) }
 
 // leaderCompare guards every transaction of the cluster leader: they may be applied late.
 func (c *Core) leaderCompare() storage.Compare { return c.election.Compare(c.cache) }
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -70,9 +70,9 @@
 	})
 }
 
-// Leads reports whether the process is the cluster leader according to the cache, which may be
+// IsLeader reports whether the process is the cluster leader according to the cache, which may be
 // outdated.
-func (e *Election) Leads(cache *storage.Cache) bool {
+func (e *Election) IsLeader(cache *storage.Cache) bool {
 	return cache.ClusterLeader.ModRevision != 0 && cache.ClusterLeader.Value == e.process
 }
 
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -156,7 +156,7 @@
 		t.Run(name, func(t *testing.T) {
 			e := newElectionTest()
 			e.elect(test.leader, test.revision)
-			if got := e.Leads(e.cache); got != test.want {
+			if got := e.IsLeader(e.cache); got != test.want {
 				t.Errorf("leads %v, want %v", got, test.want)
 			}
 			if got := e.Compare(e.cache); got != (storage.Compare{Key: "test/leader", ModRevision: test.revision}) {
