--- a/internal/coordination/membership/health_test.go
+++ b/internal/coordination/membership/health_test.go
@@ -11,29 +11,29 @@
 func TestHealthy(t *testing.T) {
 	const never = -1
 	for name, test := range map[string]struct {
-		reachable      bool
-		sinceServed    micros.Time
-		sincePeer      micros.Time
-		peerCanServe   bool
-		alone, healthy bool
+		reachable        bool
+		sinceReachable   micros.Time
+		sincePeer        micros.Time
+		peerReachesStore bool
+		alone, healthy   bool
 	}{
 		"the store is reachable": {
 			reachable: true, sincePeer: never, healthy: true,
 		},
 		"a peer can serve users": {
-			sincePeer: peerTimeout - 1, peerCanServe: true,
+			sincePeer: peerTimeout - 1, peerReachesStore: true,
 		},
 		"an outage of the store for all controllers": {
-			sinceServed: 10 * isolationTimeout, sincePeer: peerTimeout - 1, healthy: true,
+			sinceReachable: 10 * isolationTimeout, sincePeer: peerTimeout - 1, healthy: true,
 		},
 		"no peers are configured": {
-			sinceServed: 10 * isolationTimeout, sincePeer: never, alone: true, healthy: true,
+			sinceReachable: 10 * isolationTimeout, sincePeer: never, alone: true, healthy: true,
 		},
 		"isolated for a short time": {
-			sinceServed: isolationTimeout - 1, sincePeer: peerTimeout, peerCanServe: true, healthy: true,
+			sinceReachable: isolationTimeout - 1, sincePeer: peerTimeout, peerReachesStore: true, healthy: true,
 		},
 		"isolated for long": {
-			sinceServed: isolationTimeout, sincePeer: peerTimeout, peerCanServe: true,
+			sinceReachable: isolationTimeout, sincePeer: peerTimeout, peerReachesStore: true,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -42,11 +42,11 @@
 				peers = NewPeers("n1", nil)
 			}
 			if test.sincePeer != never {
-				peers.Receive(start-test.sincePeer, status("n2", test.peerCanServe))
+				peers.Receive(start-test.sincePeer, status("n2", test.peerReachesStore))
 			}
 			h := NewHealth(peers)
 			h.Start(start - 90*micros.Second)
-			h.MarkStoreReachable(start - test.sinceServed)
+			h.MarkStoreReachable(start - test.sinceReachable)
 			if got := h.Healthy(start, test.reachable); got != test.healthy {
 				t.Errorf("healthy %v, want %v", got, test.healthy)
 			}
