--- a/internal/coordination/membership/peers_test.go
+++ b/internal/coordination/membership/peers_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestAnyHeard(t *testing.T) {
+func TestAnyRecent(t *testing.T) {
 	for name, test := range map[string]struct {
 		member    string
 		reachable bool
@@ -67,7 +67,7 @@
 			p.Receive(start, status(test.member, test.reachable))
 			reachable := func(s *messages.PeerStatus) bool { return s.StoreReachable }
 			if got := p.AnyRecent(start+test.age, peerTimeout, reachable); got != test.want {
-				t.Errorf("heard %v, want %v", got, test.want)
+				t.Errorf("AnyRecent = %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -78,9 +78,9 @@
 func TestStoreUsageOfSilentPeersIsUnknown(t *testing.T) {
 	unknown := storage.Usage{Requests: 1 << 40, Writes: 1 << 40}
 	for name, test := range map[string]struct {
-		heard map[string]micros.Time // age of the statuses
-		all   bool
-		want  storage.Usage
+		statusAges map[string]micros.Time // by member
+		all        bool
+		want       storage.Usage
 	}{
 		"none":       {nil, false, unknown},
 		"one of two": {map[string]micros.Time{"n2": 0}, false, unknown},
@@ -99,11 +99,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := threeMembers()
-			for member, age := range test.heard {
+			for member, age := range test.statusAges {
 				p.Receive(start-age, status(member, true))
 			}
 			if got := p.AllRecent(start); got != test.all {
-				t.Errorf("all heard %v, want %v", got, test.all)
+				t.Errorf("AllRecent = %v, want %v", got, test.all)
 			}
 			if got := p.StoreUsage(start); got != test.want {
 				t.Errorf("usage %+v, want %+v", got, test.want)
