--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestCampaignsAreSpaced(t *testing.T) {
+func TestCampaignRateIsLimited(t *testing.T) {
 	e := newElectionTest()
 	e.environment.OverBudget = true
 	e.Campaign(e.cache)
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestLeads(t *testing.T) {
+func TestIsLeader(t *testing.T) {
 	for name, test := range map[string]struct {
 		leader   storage.Process
 		revision uint64
@@ -157,7 +157,7 @@
 			e := newElectionTest()
 			e.elect(test.leader, test.revision)
 			if got := e.IsLeader(e.cache); got != test.want {
-				t.Errorf("leads %v, want %v", got, test.want)
+				t.Errorf("IsLeader = %v, want %v", got, test.want)
 			}
 			if got := e.Compare(e.cache); got != (storage.Compare{Key: "test/leader", ModRevision: test.revision}) {
 				t.Errorf("compare %+v", got)
