--- a/internal/coordination/replication/replica_test.go
+++ b/internal/coordination/replication/replica_test.go
@@ -128,9 +128,9 @@
 	}
 }
 
-// TestSnapshotForgetsSegmentsWithoutAJob checks that completed-task segments of a deleted job are
+// TestSnapshotDropsSegmentsWithoutAJob checks that completed-task segments of a deleted job are
 // not attributed to a later job of the same name.
-func TestSnapshotForgetsSegmentsWithoutAJob(t *testing.T) {
+func TestSnapshotDropsSegmentsWithoutAJob(t *testing.T) {
 	r := newReplicaTest()
 	r.Refresh()
 	segment := storage.Item{Key: testKeys.CompletedSegment("j", 0), Value: []byte(`"0-1"`), ModRevision: 3}
@@ -261,7 +261,7 @@
 	}
 }
 
-func TestRevisionNeverGoesBack(t *testing.T) {
+func TestRevisionNeverDecreases(t *testing.T) {
 	r := newSyncedReplicaTest(t)
 	r.Refresh()
 	r.environment.Take(t, storage.Watch).Reply(storage.Reply{Outcome: storage.OK, Revision: 5})
@@ -271,7 +271,7 @@
 	r.requireEvents(t, "applied")
 }
 
-func TestWatchesAreSpaced(t *testing.T) {
+func TestWatchRateIsLimited(t *testing.T) {
 	r := newSyncedReplicaTest(t)
 	r.environment.OverBudget = true
 	r.Refresh()
