--- a/internal/coordination/heartbeats_test.go
+++ b/internal/coordination/heartbeats_test.go
@@ -61,7 +61,7 @@
 			renewedBefore := m.contact.LastRenewal()
 			p.core.now++
 			got := respondTo(t, p, h)
-			if got.Kind != test.want || got.Text != test.text.String() {
+			if got.Kind != test.want || got.Reason != test.text.String() {
 				t.Errorf("response %+v, want kind %d, text %q", got, test.want, test.text)
 			}
 			wantRenewed := test.want == messages.HeartbeatAcknowledged
@@ -76,7 +76,7 @@
 	p := observedFleet(t)
 	h := nextHeartbeat(p, p.machines[7])
 	h.Machine = "vm-unmanaged"
-	if got := respondTo(t, p, h); got.Kind != messages.ServiceUnavailable || got.Text != unknownMachine.String() {
+	if got := respondTo(t, p, h); got.Kind != messages.ServiceUnavailable || got.Reason != unknownMachine.String() {
 		t.Errorf("response %+v, want %q", got, unknownMachine)
 	}
 }
--- a/internal/coordination/submission.go
+++ b/internal/coordination/submission.go
@@ -107,12 +107,12 @@
 // rejectUnschedulable refuses a job that can never run, unless it was accepted before.
 func (s *submission) rejectUnschedulable(reason unschedulableReason) {
 	s.respondStatusOr(func() {
-		s.core.respond(messages.Response{Request: s.request, Kind: messages.JobUnschedulable, Text: reason.String()})
+		s.core.respond(messages.Response{Request: s.request, Kind: messages.JobUnschedulable, Reason: reason.String()})
 	})
 }
 
 func (s *submission) respondMalformed(fault string) {
-	s.core.respond(messages.Response{Request: s.request, Kind: messages.RequestMalformed, Text: fault})
+	s.core.respond(messages.Response{Request: s.request, Kind: messages.RequestMalformed, Reason: fault})
 }
 
 func (s *submission) respondUnavailable(reason unavailableReason) {
--- a/internal/coordination/submission_test.go
+++ b/internal/coordination/submission_test.go
@@ -116,7 +116,7 @@
 			job := testJob(7)
 			test.change(job)
 			responses := submitAndWait(c, job, store.reply)
-			if len(responses) != 1 || responses[0].Kind != messages.JobUnschedulable || responses[0].Text != test.want {
+			if len(responses) != 1 || responses[0].Kind != messages.JobUnschedulable || responses[0].Reason != test.want {
 				t.Errorf("%+v, want %q", responses, test.want)
 			}
 			if record := store.written(t, c.keys.Job(job.ID)); record != nil {
@@ -186,7 +186,7 @@
 	job.DependsOn = []string{"wk-000001"}
 	responses := submitAndWait(c, job, store.reply)
 	const want = "an older version is still running"
-	if len(responses) != 1 || responses[0].Kind != messages.ServiceUnavailable || responses[0].Text != want {
+	if len(responses) != 1 || responses[0].Kind != messages.ServiceUnavailable || responses[0].Reason != want {
 		t.Errorf("%+v", responses)
 	}
 	if record := store.written(t, c.keys.Job(job.ID)); record != nil {
@@ -202,7 +202,7 @@
 		}
 		return store.reply(r)
 	})
-	if len(responses) != 1 || responses[0].Kind != messages.ServiceUnavailable || responses[0].Text != "try again" {
+	if len(responses) != 1 || responses[0].Kind != messages.ServiceUnavailable || responses[0].Reason != "try again" {
 		t.Errorf("%+v", responses)
 	}
 }
--- a/internal/scenario/digest_test.go
+++ b/internal/scenario/digest_test.go
@@ -193,7 +193,7 @@
 		panic("an answer of unknown kind")
 	}
 	retryAfter := strconv.FormatInt(a.RetryAfter, 10)
-	d.message(n, "answer:"+kind, fmt.Sprintf("request-%d", a.Request), body, []byte(a.Text), []byte(retryAfter))
+	d.message(n, "answer:"+kind, fmt.Sprintf("request-%d", a.Request), body, []byte(a.Reason), []byte(retryAfter))
 }
 
 // finish records the store's keys and ends the record.
--- a/internal/transport/pending_test.go
+++ b/internal/transport/pending_test.go
@@ -10,12 +10,12 @@
 	p := newPendingRequests()
 	first, firstResponse := p.add()
 	second, secondResponse := p.add()
-	p.complete(messages.Response{Request: second, Text: "second"})
-	p.complete(messages.Response{Request: first, Text: "first"})
-	if r := <-firstResponse; r.Text != "first" {
+	p.complete(messages.Response{Request: second, Reason: "second"})
+	p.complete(messages.Response{Request: first, Reason: "first"})
+	if r := <-firstResponse; r.Reason != "first" {
 		t.Errorf("first request: %+v", r)
 	}
-	if r := <-secondResponse; r.Text != "second" {
+	if r := <-secondResponse; r.Reason != "second" {
 		t.Errorf("second request: %+v", r)
 	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -98,17 +98,17 @@
 	case messages.JobFound:
 		write(w, http.StatusOK, protocol.EncodeJobStatus(response.Job))
 	case messages.RequestMalformed:
-		write(w, http.StatusBadRequest, protocol.EncodeError(response.Text))
+		write(w, http.StatusBadRequest, protocol.EncodeError(response.Reason))
 	case messages.JobUnschedulable:
-		write(w, http.StatusUnprocessableEntity, protocol.EncodeError(response.Text))
+		write(w, http.StatusUnprocessableEntity, protocol.EncodeError(response.Reason))
 	case messages.JobNotFound:
 		write(w, http.StatusNotFound, protocol.EncodeError("no such job"))
 	case messages.Overloaded:
-		refuse(w, http.StatusTooManyRequests, response.Text, response.RetryAfter)
+		refuse(w, http.StatusTooManyRequests, response.Reason, response.RetryAfter)
 	case messages.ServiceUnavailable, messages.HeartbeatAcknowledged, messages.HeartbeatRedirected:
 		fallthrough // the last two are for agents, and don't come here
 	default:
-		refuse(w, http.StatusServiceUnavailable, response.Text, response.RetryAfter)
+		refuse(w, http.StatusServiceUnavailable, response.Reason, response.RetryAfter)
 	}
 }
 
