--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -115,7 +115,7 @@
 		c.respond(messages.Response{
 			Request:    request,
 			Kind:       messages.Overloaded,
-			Reason:       "overload: it is not its turn yet",
+			Reason:     "overload: it is not its turn yet",
 			RetryAfter: turn,
 		})
 	})
--- a/internal/coordination/messages/outputs.go
+++ b/internal/coordination/messages/outputs.go
@@ -48,7 +48,7 @@
 	Request    RequestID
 	Kind       ResponseKind
 	Job        JobStatus
-	Reason       string // the reason for a refusal
+	Reason     string // the reason for a refusal
 	RetryAfter micros.Time
 
 	RedirectTo   string // a member
--- a/internal/coordination/responses.go
+++ b/internal/coordination/responses.go
@@ -74,7 +74,7 @@
 	c.respond(messages.Response{
 		Request:    request,
 		Kind:       messages.ServiceUnavailable,
-		Reason:       reason.String(),
+		Reason:     reason.String(),
 		RetryAfter: defaultRetryAfter,
 	})
 }
@@ -84,7 +84,7 @@
 	c.respond(messages.Response{
 		Request:    request,
 		Kind:       messages.Overloaded,
-		Reason:       "too many changes",
+		Reason:     "too many changes",
 		RetryAfter: defaultRetryAfter,
 	})
 }
