--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -219,7 +219,7 @@
 // tick runs the timers of all components in a fixed order.
 func (c *Core) tick() {
 	if c.storeReachable() {
-		c.health.StoreServed(c.now)
+		c.health.MarkStoreReachable(c.now)
 	}
 	c.member.RenewLease()
 	c.replica.Refresh()
@@ -255,7 +255,7 @@
 
 // isClusterLeader reports whether this process is the cluster leader according to its copy of the
 // store, which may be outdated.
-func (c *Core) isClusterLeader() bool { return c.replica.Synced() && c.election.Leads(c.cache) }
+func (c *Core) isClusterLeader() bool { return c.replica.Synced() && c.election.IsLeader(c.cache) }
 
 // leaderCompare returns the compare that every transaction of the cluster leader must include, since
 // a transaction may be applied after the leadership was lost.
