--- a/internal/coordination/responses.go
+++ b/internal/coordination/responses.go
@@ -60,7 +60,7 @@
 // String returns the text that the user receives. The texts are part of the wire protocol.
 func (r unschedulableReason) String() string { return string(r) }
 
-// withDependency returns the reason with the id of the withDependency that causes it appended.
+// withDependency returns the reason with the id of the dependency that causes it appended.
 func (r unschedulableReason) withDependency(id string) unschedulableReason {
 	return r + ": " + unschedulableReason(id)
 }
