--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -13,8 +13,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// newFairAdmissionCore returns a core that can serve users, with fair admission enabled and an epoch in force that
-// admits almost nothing.
+// newFairAdmissionCore returns a core that can serve users, with fair admission enabled and an epoch
+// in force that admits almost nothing.
 func newFairAdmissionCore(t *testing.T) *Core {
 	t.Helper()
 	cfg, err := config.Parse(configtest.Default().Platform(), []byte("fair_admission { enabled: true }"))
@@ -61,8 +61,8 @@
 	}
 }
 
-// submitAndComplete submits a job and completes the resulting store requests at the same time. A request for which
-// complete returns nil stays without a reply.
+// submitAndComplete submits a job and completes the resulting store requests at the same time.
+// A request for which complete returns nil stays without a reply.
 func submitAndComplete(
 	c *Core, at micros.Time, job *workload.Job, complete func(*storage.Request) *storage.Reply,
 ) []messages.Response {
