--- a/internal/admission/demand.go
+++ b/internal/admission/demand.go
@@ -141,8 +141,8 @@
 	t.count(now, f).asked.InsertHash(xxhash.Sum64String(id))
 }
 
-// ComeBack records that a job was refused, and its user asked to come back after a time.
-func (t *Tracker) ComeBack(now micros.Time, f Flow, id string, after micros.Time) {
+// Deferred records that a job was refused, and its user asked to come back after a time.
+func (t *Tracker) Deferred(now micros.Time, f Flow, id string, after micros.Time) {
 	t.rotate(now)
 	f = t.table.Resolve(f)
 	at := (now + min(after, MaxTurn)) / generationLength * generationLength
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -111,7 +111,7 @@
 // archived long ago, is looked up before it is refused.
 func (c *Core) deferSubmission(request messages.RequestID, job *workload.Job, turn micros.Time) {
 	c.respondStatusOr(request, job.ID, func() {
-		c.fair.tracker.ComeBack(c.now, flowOf(job), job.ID, turn)
+		c.fair.tracker.Deferred(c.now, flowOf(job), job.ID, turn)
 		c.respond(messages.Response{
 			Request:    request,
 			Kind:       messages.Overloaded,
