--- a/internal/admission/demand.go
+++ b/internal/admission/demand.go
@@ -18,8 +18,8 @@
 	generationLength = 5 * micros.Second
 	// generationCount is how many generations of what was asked for and accepted are kept.
 	generationCount = 3
-	// comeBackDelay is how much later than at the promised turn a user may come back.
-	comeBackDelay = 3 * micros.Second
+	// retryGracePeriod is how much later than at the promised turn a user may come back.
+	retryGracePeriod = 3 * micros.Second
 )
 
 // FlowDemand is what was asked for of one flow of late.
@@ -109,7 +109,7 @@
 }
 
 // comeBackOver tells whether those that were asked to come back at a time have come, or will not.
-func comeBackOver(at, now micros.Time) bool { return at+generationLength < now-comeBackDelay }
+func comeBackOver(at, now micros.Time) bool { return at+generationLength < now-retryGracePeriod }
 
 // usedFlows are the flows that are still counted, in order, some of them several times.
 func (t *Tracker) usedFlows() []Flow {
