--- a/internal/admission/demand.go
+++ b/internal/admission/demand.go
@@ -61,20 +61,20 @@
 	table       *Table
 	generations [generationCount]map[Flow]*flowCount // the newest first
 	rotatedAt   micros.Time
-	// comingBack are the jobs that were refused, by the time at which they were asked to come back
+	// pendingRetries are the jobs that were refused, by the time at which they were asked to come back
 	// (the start of a generation's length): until then they are waiting, whether they ask or not.
-	comingBack map[micros.Time]map[Flow]*hyperloglog.Sketch
-	refused    recentCounter
-	accepted   recentCounter
-	admitted   map[Flow]*recentCounter
+	pendingRetries map[micros.Time]map[Flow]*hyperloglog.Sketch
+	refused        recentCounter
+	accepted       recentCounter
+	admitted       map[Flow]*recentCounter
 }
 
 // NewTracker returns a tracker for the flows of a number of teams.
 func NewTracker(teams int) *Tracker {
 	t := &Tracker{
-		table:      NewTable(teams),
-		comingBack: map[micros.Time]map[Flow]*hyperloglog.Sketch{},
-		admitted:   map[Flow]*recentCounter{},
+		table:          NewTable(teams),
+		pendingRetries: map[micros.Time]map[Flow]*hyperloglog.Sketch{},
+		admitted:       map[Flow]*recentCounter{},
 	}
 	for i := range t.generations {
 		t.generations[i] = map[Flow]*flowCount{}
@@ -95,9 +95,9 @@
 	if now-t.rotatedAt >= generationLength {
 		t.rotatedAt = now
 	}
-	for at := range t.comingBack {
+	for at := range t.pendingRetries {
 		if comeBackOver(at, now) {
-			delete(t.comingBack, at)
+			delete(t.pendingRetries, at)
 		}
 	}
 	t.table.Keep(t.usedFlows())
@@ -117,7 +117,7 @@
 	for _, generation := range t.generations {
 		used = slices.AppendSeq(used, maps.Keys(generation))
 	}
-	for _, flows := range t.comingBack {
+	for _, flows := range t.pendingRetries {
 		used = slices.AppendSeq(used, maps.Keys(flows))
 	}
 	slices.SortFunc(used, Flow.Compare)
@@ -146,13 +146,13 @@
 	t.rotate(now)
 	f = t.table.Resolve(f)
 	at := (now + min(after, MaxTurn)) / generationLength * generationLength
-	if t.comingBack[at] == nil {
-		t.comingBack[at] = map[Flow]*hyperloglog.Sketch{}
+	if t.pendingRetries[at] == nil {
+		t.pendingRetries[at] = map[Flow]*hyperloglog.Sketch{}
 	}
-	if t.comingBack[at][f] == nil {
-		t.comingBack[at][f] = newSketch()
+	if t.pendingRetries[at][f] == nil {
+		t.pendingRetries[at][f] = newSketch()
 	}
-	t.comingBack[at][f].InsertHash(xxhash.Sum64String(id))
+	t.pendingRetries[at][f].InsertHash(xxhash.Sum64String(id))
 }
 
 // Accepted records that a job was accepted.
@@ -189,7 +189,7 @@
 			flows.of(f).add(c.asked, c.accepted)
 		}
 	}
-	for at, sketches := range t.comingBack {
+	for at, sketches := range t.pendingRetries {
 		if comeBackOver(at, now) {
 			continue
 		}
