--- a/internal/admission/demand.go
+++ b/internal/admission/demand.go
@@ -96,7 +96,7 @@
 		t.rotatedAt = now
 	}
 	for at := range t.pendingRetries {
-		if comeBackOver(at, now) {
+		if retriesOver(at, now) {
 			delete(t.pendingRetries, at)
 		}
 	}
@@ -108,8 +108,8 @@
 	}
 }
 
-// comeBackOver tells whether those that were asked to come back at a time have come, or will not.
-func comeBackOver(at, now micros.Time) bool { return at+generationLength < now-retryGracePeriod }
+// retriesOver tells whether those that were asked to come back at a time have come, or will not.
+func retriesOver(at, now micros.Time) bool { return at+generationLength < now-retryGracePeriod }
 
 // usedFlows are the flows that are still counted, in order, some of them several times.
 func (t *Tracker) usedFlows() []Flow {
@@ -190,7 +190,7 @@
 		}
 	}
 	for at, sketches := range t.pendingRetries {
-		if comeBackOver(at, now) {
+		if retriesOver(at, now) {
 			continue
 		}
 		for f, sketch := range sketches {
