--- a/internal/admission/shareclock.go
+++ b/internal/admission/shareclock.go
@@ -37,7 +37,7 @@
 
 // advance brings the tags up to a time, by the loads of the last call, and takes new loads.
 func (c *shareClock) advance(now micros.Time, loads map[string]load) {
-	c.serve(now)
+	c.accrue(now)
 	next := map[string]*party{}
 	for name, l := range loads {
 		p := &party{tag: c.virtual}
@@ -79,8 +79,8 @@
 	}
 }
 
-// serve adds what was used since the last time.
-func (c *shareClock) serve(now micros.Time) {
+// accrue adds what was used since the last time.
+func (c *shareClock) accrue(now micros.Time) {
 	elapsed := (now - c.advancedAt) / micros.Millisecond
 	if elapsed <= 0 {
 		return
