--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -26,9 +26,9 @@
 	// validityLengths is for how many lengths an epoch is valid that is not followed by another: two
 	// may be written late, or be read late, without a gap.
 	validityLengths = 3
-	// maxCalmEpochs is how many epochs in a row are written although nothing was refused and there
+	// maxEpochsAfterOverload is how many epochs in a row are written although nothing was refused and there
 	// was capacity for all; the cluster leader writes no more then.
-	maxCalmEpochs = 2
+	maxEpochsAfterOverload = 2
 )
 
 // Bounds of the correction, in percent of the computed capacity.
@@ -82,7 +82,7 @@
 	default:
 		p.calmEpochs++
 	}
-	if p.calmEpochs > maxCalmEpochs {
+	if p.calmEpochs > maxEpochsAfterOverload {
 		return nil // the last one ends by itself
 	}
 	return p.epoch(v, s, claims, grants)
