--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -41,11 +41,11 @@
 // Planner plans the epochs that the cluster leader writes while there is an overload. What it must
 // know of the last epoch is in the stored record, so that the next cluster leader goes on from there.
 type Planner struct {
-	settings   Settings
-	writtenAt  micros.Time // when the last epoch was written here; 0: none was, or it may have failed
-	calmEpochs int         // epochs in a row without overload
-	correction int64       // percent of the computed capacity that windows are made for
-	capacity   int64       // jobs an epoch, as computed for the last one
+	settings            Settings
+	writtenAt           micros.Time // when the last epoch was written here; 0: none was, or it may have failed
+	epochsAfterOverload int         // epochs in a row without overload
+	correction          int64       // percent of the computed capacity that windows are made for
+	capacity            int64       // jobs an epoch, as computed for the last one
 }
 
 // NewPlanner returns a planner that has written no epoch yet.
@@ -78,11 +78,11 @@
 	case current == nil && !overloaded:
 		return nil
 	case overloaded:
-		p.calmEpochs = 0
+		p.epochsAfterOverload = 0
 	default:
-		p.calmEpochs++
+		p.epochsAfterOverload++
 	}
-	if p.calmEpochs > maxEpochsAfterOverload {
+	if p.epochsAfterOverload > maxEpochsAfterOverload {
 		return nil // the last one ends by itself
 	}
 	return p.epoch(v, s, claims, grants)
