--- a/internal/admission/demand.go
+++ b/internal/admission/demand.go
@@ -145,7 +145,7 @@
 func (t *Tracker) Deferred(now micros.Time, f Flow, id string, after micros.Time) {
 	t.rotate(now)
 	f = t.table.Resolve(f)
-	at := (now + min(after, MaxTurn)) / generationLength * generationLength
+	at := (now + min(after, MaxRetryDelay)) / generationLength * generationLength
 	if t.pendingRetries[at] == nil {
 		t.pendingRetries[at] = map[Flow]*hyperloglog.Sketch{}
 	}
--- a/internal/admission/view.go
+++ b/internal/admission/view.go
@@ -59,8 +59,8 @@
 	Turn   micros.Time // in how long the job is admitted, if it is not now
 }
 
-// MaxTurn is the longest time that a user is asked to wait: users honour no more.
-const MaxTurn = 30 * micros.Second
+// MaxRetryDelay is the longest time that a user is asked to wait: users honour no more.
+const MaxRetryDelay = 30 * micros.Second
 
 // exactTurnLengths is for how many lengths ahead a turn is promised as it is computed. One further
 // ahead comes sooner where windows grow meanwhile, and a user who comes after it waits for another
@@ -80,5 +80,5 @@
 	if near := e.Length * exactTurnLengths; turn > near {
 		turn = near + (turn-near)*6/10
 	}
-	return Verdict{Epoch: e.Number, Leader: e.Leader, Turn: min(MaxTurn, max(micros.Second, turn))}
+	return Verdict{Epoch: e.Number, Leader: e.Leader, Turn: min(MaxRetryDelay, max(micros.Second, turn))}
 }
--- a/internal/admission/view_test.go
+++ b/internal/admission/view_test.go
@@ -36,7 +36,7 @@
 		}
 		if x.Admit {
 			admitted++
-		} else if x.Turn < micros.Second || x.Turn > MaxTurn {
+		} else if x.Turn < micros.Second || x.Turn > MaxRetryDelay {
 			t.Fatalf("turn %d", x.Turn)
 		}
 	}
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -119,7 +119,7 @@
 				t.Fatalf("%+v", responses)
 			}
 			after := responses[0].RetryAfter
-			if test.want == messages.Overloaded && (after < micros.Second || after > admission.MaxTurn) {
+			if test.want == messages.Overloaded && (after < micros.Second || after > admission.MaxRetryDelay) {
 				t.Errorf("come back after %d", after)
 			}
 		})
