--- a/internal/admission/view.go
+++ b/internal/admission/view.go
@@ -62,10 +62,10 @@
 // MaxRetryDelay is the longest time that a user is asked to wait: users honour no more.
 const MaxRetryDelay = 30 * micros.Second
 
-// exactTurnLengths is for how many lengths ahead a turn is promised as it is computed. One further
+// exactRetryLengths is for how many lengths ahead a turn is promised as it is computed. One further
 // ahead comes sooner where windows grow meanwhile, and a user who comes after it waits for another
 // round: such a user is asked to come back before it.
-const exactTurnLengths = 2
+const exactRetryLengths = 2
 
 // Verdict judges a submission by the epoch in force.
 func (v *View) Verdict(now micros.Time, f Flow, id string) Verdict {
@@ -77,7 +77,7 @@
 		return Verdict{Epoch: e.Number, Leader: e.Leader, Admit: true, Whole: e.window(f).Width == Points}
 	}
 	turn := e.Turn(f, id) - (now - v.validFrom)
-	if near := e.Length * exactTurnLengths; turn > near {
+	if near := e.Length * exactRetryLengths; turn > near {
 		turn = near + (turn-near)*6/10
 	}
 	return Verdict{Epoch: e.Number, Leader: e.Leader, Turn: min(MaxRetryDelay, max(micros.Second, turn))}
