--- a/internal/admission/view_test.go
+++ b/internal/admission/view_test.go
@@ -36,8 +36,8 @@
 		}
 		if x.Admit {
 			admitted++
-		} else if x.Turn < micros.Second || x.Turn > MaxRetryDelay {
-			t.Fatalf("turn %d", x.Turn)
+		} else if x.RetryDelay < micros.Second || x.RetryDelay > MaxRetryDelay {
+			t.Fatalf("turn %d", x.RetryDelay)
 		}
 	}
 	if admitted < 300 || admitted > 1500 {
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -87,9 +87,9 @@
 		return
 	}
 	c.log(messages.LevelDebug, "admission verdict", "job", job.ID, "epoch", verdict.Epoch, "leader", verdict.Leader,
-		"admit", verdict.Admit, "turn_ms", verdict.Turn/micros.Millisecond)
+		"admit", verdict.Admit, "turn_ms", verdict.RetryDelay/micros.Millisecond)
 	if !verdict.Admit {
-		c.deferSubmission(request, job, verdict.Turn)
+		c.deferSubmission(request, job, verdict.RetryDelay)
 		return
 	}
 	f.tracker.Admitted(c.now, flow)
