--- a/internal/admission/epoch.go
+++ b/internal/admission/epoch.go
@@ -116,10 +116,10 @@
 // controllers with the same epoch never differ.
 func (e *Epoch) Admits(f Flow, id string) bool { return e.window(f).admits(position(id)) }
 
-// Turn is how long after the beginning of the epoch a job that it does not admit will be admitted, as
+// RetryDelay is how long after the beginning of the epoch a job that it does not admit will be admitted, as
 // long as the windows stay as wide. Within its epoch each job has a moment of its own, so that the
 // users of a window do not come back all at once.
-func (e *Epoch) Turn(f Flow, id string) micros.Time {
+func (e *Epoch) RetryDelay(f Flow, id string) micros.Time {
 	w := e.window(f)
 	ahead := micros.Time(wrap(position(id) + 2*Points - w.Start - w.Width))
 	width := micros.Time(w.Width)
--- a/internal/admission/epoch_test.go
+++ b/internal/admission/epoch_test.go
@@ -66,7 +66,7 @@
 		if e.Admits(f, ref) {
 			return
 		}
-		turn := e.Turn(f, ref)
+		turn := e.RetryDelay(f, ref)
 		for n := micros.Time(1); ; n++ {
 			w = w.next(w.Width)
 			if epochOf(1, map[string]Window{f.Key(): w}, w).Admits(f, ref) {
--- a/internal/admission/view.go
+++ b/internal/admission/view.go
@@ -76,7 +76,7 @@
 	if e.Admits(f, id) {
 		return Verdict{Epoch: e.Number, Leader: e.Leader, Admit: true, Whole: e.window(f).Width == Points}
 	}
-	turn := e.Turn(f, id) - (now - v.validFrom)
+	turn := e.RetryDelay(f, id) - (now - v.validFrom)
 	if near := e.Length * exactRetryLengths; turn > near {
 		turn = near + (turn-near)*6/10
 	}
