--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -28,25 +28,25 @@
 // checker collects what is wrong with settings, by field.
 type checker struct{ errs []error }
 
-func (k *checker) bad(field, format string, args ...any) {
+func (k *checker) reject(field, format string, args ...any) {
 	k.errs = append(k.errs, &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)})
 }
 
 func (k *checker) address(field, v string) {
 	if _, _, err := net.SplitHostPort(v); err != nil {
-		k.bad(field, "not an address with a port: %q", v)
+		k.reject(field, "not an address with a port: %q", v)
 	}
 }
 
 func (k *checker) positive(field string, v float64) {
 	if !(v > 0) {
-		k.bad(field, "must be above 0, is %v", v)
+		k.reject(field, "must be above 0, is %v", v)
 	}
 }
 
 func (k *checker) atLeast0(field string, v float64) {
 	if !(v >= 0) {
-		k.bad(field, "must not be negative, is %v", v)
+		k.reject(field, "must not be negative, is %v", v)
 	}
 }
 
@@ -63,11 +63,11 @@
 	k.atLeast0("settings.cloud.list_lag_s", s.Cloud.ListLagS)
 	k.positive("settings.machine_limits.memory_mb", s.MachineLimits.MemoryMB)
 	if need := max(minConnections, c.ownSockets()+minServe); s.MachineLimits.MaxConnections < need {
-		k.bad("settings.machine_limits.max_connections",
+		k.reject("settings.machine_limits.max_connections",
 			"must be at least %d for the controllers themselves, is %d", need, s.MachineLimits.MaxConnections)
 	}
 	if s.Workers.LeaseS > 0 && s.Workers.CancelS > 0 && c.LeadershipTerm() <= 0 {
-		k.bad("settings.workers.cancel_s", "leaves no term beyond lease_s: %v", s.Workers.CancelS)
+		k.reject("settings.workers.cancel_s", "leaves no term beyond lease_s: %v", s.Workers.CancelS)
 	}
 	c.checkOperator(k)
 	c.checkFairAdmission(k)
@@ -76,7 +76,7 @@
 
 func (c *Config) checkMember(k *checker) {
 	if c.Member == "" {
-		k.bad("member", "missing")
+		k.reject("member", "missing")
 	}
 	k.address("listen", c.Listen)
 	k.address("internal_addr", c.InternalAddr)
@@ -84,7 +84,7 @@
 	k.address("services.state", c.Services.State)
 	for i, peer := range c.Peers {
 		if peer.Member == "" {
-			k.bad(fmt.Sprintf("siblings[%d].member", i), "missing")
+			k.reject(fmt.Sprintf("siblings[%d].member", i), "missing")
 		}
 		k.address(fmt.Sprintf("siblings[%d].address", i), peer.Address)
 	}
@@ -93,16 +93,16 @@
 func (c *Config) checkTeams(k *checker) {
 	s := &c.Settings
 	if s.Nodes < 1 {
-		k.bad("settings.nodes", "must be at least 1, is %d", s.Nodes)
+		k.reject("settings.nodes", "must be at least 1, is %d", s.Nodes)
 	}
 	if len(s.Teams) == 0 {
-		k.bad("settings.teams", "missing")
+		k.reject("settings.teams", "missing")
 	}
 	names := map[string]bool{}
 	for i, t := range s.Teams {
 		f := fmt.Sprintf("settings.teams[%d].", i)
 		if t.Name == "" || names[t.Name] {
-			k.bad(f+"name", "missing or given twice: %q", t.Name)
+			k.reject(f+"name", "missing or given twice: %q", t.Name)
 		}
 		names[t.Name] = true
 		k.atLeast0(f+"cpus", t.CPUs)
@@ -121,26 +121,26 @@
 		k.atLeast0("settings.state.next.write_rps", n.WriteRPS)
 		k.atLeast0("settings.state.next.value_kb", n.ValueKB)
 		if n.TxnOps != 0 && n.TxnOps < minTxnOps {
-			k.bad("settings.state.next.txn_ops", "must be at least %d, is %d", minTxnOps, n.TxnOps)
+			k.reject("settings.state.next.txn_ops", "must be at least %d, is %d", minTxnOps, n.TxnOps)
 		}
 	}
 	if v := s.MaxValue(); s.State.ValueKB > 0 && v < minValue {
-		k.bad("settings.state.value_kb", "must leave %d bytes for a value, also in state.next, leaves %d", minValue, v)
+		k.reject("settings.state.value_kb", "must leave %d bytes for a value, also in state.next, leaves %d", minValue, v)
 	}
 	if s.State.TxnOps < minTxnOps {
-		k.bad("settings.state.txn_ops", "must be at least %d, is %d", minTxnOps, s.State.TxnOps)
+		k.reject("settings.state.txn_ops", "must be at least %d, is %d", minTxnOps, s.State.TxnOps)
 	}
 }
 
 func (c *Config) checkOperator(k *checker) {
 	if c.Operator.PermitMs < 500 || c.Operator.PermitMs > 600_000 {
-		k.bad("operator.permit_ms", "must be 500 to 600000, is %d", c.Operator.PermitMs)
+		k.reject("operator.permit_ms", "must be 500 to 600000, is %d", c.Operator.PermitMs)
 	}
 	if c.Operator.MemoryPercent > 100 {
-		k.bad("operator.memory_percent", "must be at most 100, is %d", c.Operator.MemoryPercent)
+		k.reject("operator.memory_percent", "must be at most 100, is %d", c.Operator.MemoryPercent)
 	}
 	if strings.ContainsAny(c.Operator.KeyPrefix, " \t\n") || len(c.Operator.KeyPrefix) > 60 {
-		k.bad("operator.key_prefix", "must be at most 60 bytes without spaces")
+		k.reject("operator.key_prefix", "must be at most 60 bytes without spaces")
 	}
 }
 
@@ -156,13 +156,13 @@
 func (c *Config) checkFairAdmission(k *checker) {
 	f := c.Operator.FairAdmission
 	if f.EpochMs < minEpochMs || f.EpochMs > maxEpochMs {
-		k.bad("operator.fair_admission.epoch_ms", "must be %d to %d, is %d", minEpochMs, maxEpochMs, f.EpochMs)
+		k.reject("operator.fair_admission.epoch_ms", "must be %d to %d, is %d", minEpochMs, maxEpochMs, f.EpochMs)
 	}
 	if f.FloorPercent > 100 {
-		k.bad("operator.fair_admission.floor_percent", "must be at most 100, is %d", f.FloorPercent)
+		k.reject("operator.fair_admission.floor_percent", "must be at most 100, is %d", f.FloorPercent)
 	}
 	if f.LagS > maxLagS {
-		k.bad("operator.fair_admission.lag_s", "must be at most %d, is %d", maxLagS, f.LagS)
+		k.reject("operator.fair_admission.lag_s", "must be at most %d, is %d", maxLagS, f.LagS)
 	}
 	teams := map[string]bool{}
 	for _, t := range c.Settings.Teams {
@@ -173,14 +173,14 @@
 	for i, w := range f.Weights {
 		field := fmt.Sprintf("operator.fair_admission.weights[%d]", i)
 		if !teams[w.Team] {
-			k.bad(field+".team", "no such team: %q", w.Team)
+			k.reject(field+".team", "no such team: %q", w.Team)
 		}
 		if seen[name{w.Team, w.Class}] {
-			k.bad(field, "given twice: team %q, class %q", w.Team, w.Class)
+			k.reject(field, "given twice: team %q, class %q", w.Team, w.Class)
 		}
 		seen[name{w.Team, w.Class}] = true
 		if w.Weight < 1 || w.Weight > maxWeight {
-			k.bad(field+".weight", "must be 1 to %d, is %d", maxWeight, w.Weight)
+			k.reject(field+".weight", "must be 1 to %d, is %d", maxWeight, w.Weight)
 		}
 	}
 }
