--- a/internal/admission/view.go
+++ b/internal/admission/view.go
@@ -52,11 +52,11 @@
 
 // Verdict is what an epoch says of a submission.
 type Verdict struct {
-	Epoch      uint64 // 0: none is in force, so there is no verdict
-	Leader     uint64 // fencing token of the cluster leader that wrote the epoch
-	Admit      bool
-	Whole      bool        // the flow gets all that it asks for
-	RetryDelay micros.Time // in how long the job is admitted, if it is not now
+	Epoch        uint64 // 0: none is in force, so there is no verdict
+	Leader       uint64 // fencing token of the cluster leader that wrote the epoch
+	Admit        bool
+	Unrestricted bool        // the flow gets all that it asks for
+	RetryDelay   micros.Time // in how long the job is admitted, if it is not now
 }
 
 // MaxRetryDelay is the longest time that a user is asked to wait: users honour no more.
@@ -74,7 +74,7 @@
 		return Verdict{}
 	}
 	if e.Admits(f, id) {
-		return Verdict{Epoch: e.Number, Leader: e.Leader, Admit: true, Whole: e.window(f).Width == Points}
+		return Verdict{Epoch: e.Number, Leader: e.Leader, Admit: true, Unrestricted: e.window(f).Width == Points}
 	}
 	turn := e.RetryDelay(f, id) - (now - v.validFrom)
 	if near := e.Length * exactRetryLengths; turn > near {
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -100,7 +100,7 @@
 // for may overdraw the budget: else it would lose the share that it was given to flows that are
 // given less than they ask for.
 func admittedUrgency(verdict admission.Verdict) storage.Urgency {
-	if verdict.Whole {
+	if verdict.Unrestricted {
 		return storage.Urgent
 	}
 	return storage.Prompt
