--- a/internal/admission/demand.go
+++ b/internal/admission/demand.go
@@ -12,64 +12,64 @@
 )
 
 const (
-	// sketchPrecision gives 1,024 registers: an error of 3 % in a kilobyte.
+	// sketchPrecision gives 1,024 registers: a standard error of 3 % in one kilobyte.
 	sketchPrecision = 10
-	// generationLength is the time after which the oldest generation of counts is forgotten.
+	// generationLength is the interval at which the oldest generation of counts is discarded.
 	generationLength = 5 * micros.Second
-	// generationCount is how many generations of what was asked for and accepted are kept.
+	// generationCount is the number of generations of submission and acceptance counts that are kept.
 	generationCount = 3
-	// retryGracePeriod is how much later than at the promised turn a user may come back.
+	// retryGracePeriod is how long after the requested retry time a client may still retry.
 	retryGracePeriod = 3 * micros.Second
 )
 
-// FlowDemand is what was asked for of one flow of late.
+// FlowDemand is the recent demand of one flow.
 type FlowDemand struct {
 	Flow     Flow
-	Asked    *hyperloglog.Sketch // distinct jobs that were submitted of late, or are to come back
-	Accepted int64               // how many of them were accepted
-	Admitted int64               // how many submissions were admitted in the recent period
+	Asked    *hyperloglog.Sketch // distinct jobs submitted recently or expected to be retried
+	Accepted int64               // jobs accepted, over the same generations
+	Admitted int64               // submissions admitted by an epoch in the recent period
 }
 
-// Demand is what a controller was asked for of late, as it tells its peers.
+// Demand is the recent demand at one controller, as reported to its peers.
 type Demand struct {
 	Flows []FlowDemand
-	// Refused is how many submissions were refused for lack of capacity in the recent period, whatever
-	// the verdict.
+	// Refused is the number of submissions refused for lack of capacity in the recent period, whatever
+	// the epoch's verdict.
 	Refused int64
-	// Admitted is how many an epoch admitted in the same time.
+	// Admitted is the number of submissions that an epoch admitted in the same period.
 	Admitted int64
-	// AcceptRate is how many were accepted a second, in thousandths.
+	// AcceptRate is the number of jobs accepted per second, in thousandths.
 	AcceptRate int64
 }
 
 func newSketch() *hyperloglog.Sketch {
 	s, err := hyperloglog.NewSketch(sketchPrecision, true)
 	if err != nil {
-		panic(fmt.Sprintf("admission: precision of a sketch: %v", err)) // a constant
+		panic(fmt.Sprintf("admission: invalid sketch precision: %v", err)) // the precision is a constant
 	}
 	return s
 }
 
-// flowCount is what one generation saw of a flow.
+// flowCount holds the counts of one flow in one generation.
 type flowCount struct {
 	asked    *hyperloglog.Sketch
 	accepted int64
 }
 
-// Tracker counts what one controller is asked for.
+// Tracker measures the demand at one controller.
 type Tracker struct {
 	table       *Table
-	generations [generationCount]map[Flow]*flowCount // the newest first
+	generations [generationCount]map[Flow]*flowCount // newest first
 	rotatedAt   micros.Time
-	// pendingRetries are the jobs that were refused, by the time at which they were asked to come back
-	// (the start of a generation's length): until then they are waiting, whether they ask or not.
+	// pendingRetries holds the refused jobs by requested retry time, rounded down to a multiple of
+	// generationLength. They count as demand until then, although their clients send nothing meanwhile.
 	pendingRetries map[micros.Time]map[Flow]*hyperloglog.Sketch
 	refused        recentCounter
 	accepted       recentCounter
 	admitted       map[Flow]*recentCounter
 }
 
-// NewTracker returns a tracker for the flows of a number of teams.
+// NewTracker returns a tracker for the flows of the given number of teams.
 func NewTracker(teams int) *Tracker {
 	t := &Tracker{
 		table:          NewTable(teams),
@@ -82,7 +82,8 @@
 	return t
 }
 
-// rotate begins a new generation when it is time. After a long pause all are forgotten.
+// rotate starts a new generation once generationLength has passed. After a pause longer than all
+// generations together, all counts are discarded.
 func (t *Tracker) rotate(now micros.Time) {
 	if now-t.rotatedAt < generationLength {
 		return
@@ -108,10 +109,11 @@
 	}
 }
 
-// retriesOver tells whether those that were asked to come back at a time have come, or will not.
+// retriesOver reports whether retries requested for the given time are no longer expected: their
+// clients have retried by now or will not.
 func retriesOver(at, now micros.Time) bool { return at+generationLength < now-retryGracePeriod }
 
-// usedFlows are the flows that are still counted, in order, some of them several times.
+// usedFlows returns the flows that still have counts, sorted, possibly with duplicates.
 func (t *Tracker) usedFlows() []Flow {
 	var used []Flow
 	for _, generation := range t.generations {
@@ -124,7 +126,7 @@
 	return used
 }
 
-// count is the count of a flow in the newest generation.
+// count returns the flow's counts in the newest generation, creating them if necessary.
 func (t *Tracker) count(now micros.Time, f Flow) *flowCount {
 	t.rotate(now)
 	f = t.table.Resolve(f)
@@ -136,12 +138,12 @@
 	return c
 }
 
-// Asked records a submission of a job that is not known.
+// Asked records the submission of a job that is not known yet.
 func (t *Tracker) Asked(now micros.Time, f Flow, id string) {
 	t.count(now, f).asked.InsertHash(xxhash.Sum64String(id))
 }
 
-// Deferred records that a job was refused, and its user asked to come back after a time.
+// Deferred records that a job was refused and its client asked to retry after the given delay.
 func (t *Tracker) Deferred(now micros.Time, f Flow, id string, after micros.Time) {
 	t.rotate(now)
 	f = t.table.Resolve(f)
@@ -155,7 +157,7 @@
 	t.pendingRetries[at][f].InsertHash(xxhash.Sum64String(id))
 }
 
-// Accepted records that a job was accepted.
+// Accepted records the acceptance of a job.
 func (t *Tracker) Accepted(now micros.Time, f Flow) {
 	t.count(now, f).accepted++
 	t.accepted.add(now)
@@ -173,10 +175,10 @@
 // Refused records that a submission was refused for lack of capacity.
 func (t *Tracker) Refused(now micros.Time) { t.refused.add(now) }
 
-// RefusedLately is how many submissions were refused for lack of capacity in the recent period.
+// RefusedLately returns the number of submissions refused for lack of capacity in the recent period.
 func (t *Tracker) RefusedLately(now micros.Time) int64 { return t.refused.total(now) }
 
-// Demand is what was asked for of late.
+// Demand returns the recent demand.
 func (t *Tracker) Demand(now micros.Time) Demand {
 	t.rotate(now)
 	d := Demand{
@@ -208,10 +210,10 @@
 	return d
 }
 
-// flowDemands are demands that are being added up.
+// flowDemands accumulates demand by flow.
 type flowDemands map[Flow]*FlowDemand
 
-// of is the demand of a flow, a new one if there is none yet.
+// of returns the demand of a flow, creating it if necessary.
 func (d flowDemands) of(f Flow) *FlowDemand {
 	if d[f] == nil {
 		d[f] = &FlowDemand{Flow: f, Asked: newSketch()}
@@ -219,7 +221,7 @@
 	return d[f]
 }
 
-// sorted are the demands in the order of their flows.
+// sorted returns the demands ordered by flow.
 func (d flowDemands) sorted() []FlowDemand {
 	demands := make([]FlowDemand, 0, len(d))
 	for _, f := range slices.SortedFunc(maps.Keys(d), Flow.Compare) {
@@ -228,15 +230,15 @@
 	return demands
 }
 
-// add merges in what was seen elsewhere, or at another time.
+// add merges the counts of another controller or generation.
 func (d *FlowDemand) add(asked *hyperloglog.Sketch, accepted int64) {
 	d.Accepted += accepted
 	if err := d.Asked.Merge(asked); err != nil {
-		panic(fmt.Sprintf("admission: sketches of one precision do not merge: %v", err)) // checked when read
+		panic(fmt.Sprintf("admission: merge sketches of equal precision: %v", err)) // DecodeSketch checks the precision
 	}
 }
 
-// Merge adds up what several controllers were asked for. A job that was submitted at two of them
+// Merge returns the total demand at several controllers. A job that was submitted to two of them
 // counts once.
 func Merge(demands []Demand) Demand {
 	var total Demand
@@ -255,13 +257,13 @@
 	return total
 }
 
-// Waiting is about how many jobs are still to be accepted.
+// Waiting estimates the number of jobs that are yet to be accepted.
 func (d *FlowDemand) Waiting() int64 { return max(0, int64(d.Asked.Estimate())-d.Accepted) }
 
-// EncodeSketch writes a sketch for a message to another controller.
+// EncodeSketch serializes a sketch for a message to another controller.
 func EncodeSketch(s *hyperloglog.Sketch) ([]byte, error) { return s.MarshalBinary() }
 
-// DecodeSketch reads a sketch; one of another precision is an error.
+// DecodeSketch deserializes a sketch and returns an error if its precision differs.
 func DecodeSketch(raw []byte) (*hyperloglog.Sketch, error) {
 	received := &hyperloglog.Sketch{}
 	if err := received.UnmarshalBinary(raw); err != nil {
