--- a/internal/admission/divide.go
+++ b/internal/admission/divide.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Claim is what a flow asks for, in jobs, and its weights.
+// Claim is the demand of a flow, in jobs, and its weights.
 type Claim struct {
 	Flow        Flow
 	TeamWeight  int64
@@ -13,17 +13,18 @@
 	Demand      int64
 }
 
-// claimant is one of those among whom a capacity is divided.
+// claimant is a participant in a max-min division.
 type claimant struct {
 	demand, weight int64
 	grant          int64
 }
 
-// divideMaxMin divides capacity by weighted max-min fairness: nobody is granted more than the
-// demand, and what one leaves is divided among the others by their weights.
+// divideMaxMin divides capacity by weighted max-min fairness: no claimant is granted more than its
+// demand, and capacity that it leaves unused is divided among the others by weight.
 func divideMaxMin(capacity int64, claimants []*claimant) {
 	order := slices.Clone(claimants)
-	// The least demand for its weight is served first: what it leaves is known then.
+	// In ascending order of demand per weight, the capacity that each claimant leaves unused is known
+	// before the next one is served.
 	slices.SortStableFunc(order, func(a, b *claimant) int { return cmp.Compare(a.demand*b.weight, b.demand*a.weight) })
 	weights := int64(0)
 	for _, c := range order {
@@ -36,9 +37,10 @@
 	}
 }
 
-// Divide divides capacity, in jobs, among flows, first among teams and then among the classes of
-// each: a team gains nothing by making up classes. Each flow is granted a floor, in percent of an
-// even share, whatever the weights. The result is in the order of the claims.
+// Divide divides capacity, in jobs, among flows: first among teams, then among the classes of each
+// team, so that a team gains nothing by inventing classes. Whatever the weights, each flow is granted
+// a minimum of floorPercent of an equal share, or its demand if that is less. The result has the order
+// of the claims.
 func Divide(capacity int64, floorPercent int64, claims []Claim) []int64 {
 	grants := make([]int64, len(claims))
 	if len(claims) == 0 || capacity <= 0 {
@@ -66,14 +68,14 @@
 	return grants
 }
 
-// teamClaim is what all flows of a team ask for, beyond their floors once these were granted.
+// teamClaim is the total demand of a team's flows, less their floors once these have been granted.
 type teamClaim struct {
 	claimant
 	team   string
-	claims []int // indices
+	claims []int // indices into the claims passed to Divide
 }
 
-// groupByTeam adds the claims of each team up, in the order of the teams' names.
+// groupByTeam totals the claims of each team and returns the totals sorted by team name.
 func groupByTeam(claims []Claim) []*teamClaim {
 	byName := map[string]*teamClaim{}
 	var teams []*teamClaim
@@ -91,7 +93,7 @@
 	return teams
 }
 
-// divideAmongClasses adds what the team was granted to the grants of its classes.
+// divideAmongClasses divides the team's grant among its classes and adds the parts to their grants.
 func (t *teamClaim) divideAmongClasses(claims []Claim, grants []int64) {
 	claimants := make([]*claimant, len(t.claims))
 	for k, i := range t.claims {
