--- a/internal/admission/fairqueue.go
+++ b/internal/admission/fairqueue.go
@@ -7,9 +7,9 @@
 	"pipitlatch/internal/micros"
 )
 
-// FairQueue computes how far flows have fallen behind their fair share of the capacity: teams against
-// each other, and the classes of each team among themselves, so that a team gains nothing by making
-// up classes.
+// FairQueue computes how far flows lag behind their fair share of the capacity. It is hierarchical:
+// teams share the capacity, and the classes of a team share what the team uses, so that a team gains
+// nothing by inventing classes.
 type FairQueue struct {
 	settings *Settings
 	table    *Table
@@ -18,20 +18,20 @@
 	classes  map[string]*shareClock // by team
 }
 
-// Load is what a flow uses, and whether it has work that could start and waits.
+// Load is the resource use of a flow, and whether it has runnable work that waits for capacity.
 type Load struct {
 	Flow    Flow
 	Use     int64 // milli CPU
 	Waiting bool
 }
 
-// Lag is how far a flow is behind.
+// Lag is how far a flow lags behind its fair share.
 type Lag struct {
-	Team  micros.Time // its team, behind its share of everything
-	Class micros.Time // its class, behind its share of what the team has
+	Team  micros.Time // lag of the team behind its share of the total use
+	Class micros.Time // lag of the class behind its share of the team's use
 }
 
-// Beyond is the lag as far as it is beyond a bound.
+// Beyond returns the lag with each component set to 0 that does not exceed the bound.
 func (l Lag) Beyond(bound micros.Time) Lag {
 	if l.Team <= bound {
 		l.Team = 0
@@ -42,13 +42,14 @@
 	return l
 }
 
-// Compare orders lags: the team that is furthest behind goes first.
+// Compare orders lags in descending order, by team and then by class.
 func (l Lag) Compare(other Lag) int {
 	return cmp.Or(cmp.Compare(other.Team, l.Team), cmp.Compare(other.Class, l.Class))
 }
 
-// NewFairQueue returns a queue for the flows of a number of teams. Lags beyond twice the bound are
-// not remembered, so that what waited for long for other reasons takes no more than its turn.
+// NewFairQueue returns a queue for the flows of the given number of teams. Lags are capped at twice
+// the bound, so that a flow that waited long for other reasons does not monopolize the capacity
+// afterwards.
 func NewFairQueue(now micros.Time, teams int, bound micros.Time, s *Settings) *FairQueue {
 	return &FairQueue{
 		settings: s,
@@ -59,8 +60,8 @@
 	}
 }
 
-// Advance brings the lags up to a time, by the loads of the last call, and takes the loads from here
-// on. A flow may have several of them.
+// Advance updates the lags to the given time, with the loads of the previous call, and stores the new
+// loads. A flow may occur several times; its loads are added up.
 func (q *FairQueue) Advance(now micros.Time, loads []Load) {
 	teams, classes := map[string]load{}, map[string]map[string]load{}
 	for _, l := range loads {
@@ -91,12 +92,12 @@
 	q.table.Keep(used)
 }
 
-// with adds another load of the same party.
+// with returns the sum of two loads of the same party.
 func (l load) with(other Load, weight int64) load {
 	return load{use: l.use + other.Use, weight: weight, waiting: l.waiting || other.Waiting}
 }
 
-// Lag is how far a flow is behind.
+// Lag returns how far a flow lags behind its fair share.
 func (q *FairQueue) Lag(f Flow) Lag {
 	f = q.table.Resolve(f)
 	l := Lag{Team: q.teams.lag(f.Team)}
@@ -106,16 +107,16 @@
 	return l
 }
 
-// FlowLag is a flow's lag, for the next partition leader.
+// FlowLag is the lag of a flow, as handed over to the next partition leader.
 type FlowLag struct {
 	Flow Flow
 	Lag  Lag
 }
 
-// maxLagsPerMessage bounds the lags in one message to the peers.
+// maxLagsPerMessage bounds the number of lags in one message to the peers.
 const maxLagsPerMessage = 64
 
-// Lags are the lags of the waiting flows that are furthest behind.
+// Lags returns the largest lags of waiting flows, in descending order.
 func (q *FairQueue) Lags() []FlowLag {
 	var lags []FlowLag
 	for team, clock := range q.classes {
@@ -131,7 +132,7 @@
 	return lags[:min(len(lags), maxLagsPerMessage)]
 }
 
-// Restore takes the lags under the former partition leader: they count from now on.
+// Restore takes over the lags reported by the previous partition leader, as of now.
 func (q *FairQueue) Restore(now micros.Time, lags []FlowLag) {
 	for _, l := range lags {
 		f := q.table.Resolve(l.Flow)
