--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -7,67 +7,68 @@
 	"pipitlatch/internal/micros"
 )
 
-// Settings are the operators' settings of fair admission.
+// Settings are the operator's settings for fair admission.
 type Settings struct {
-	Length       micros.Time // of an epoch
-	FloorPercent int64       // of an even share, for every flow
-	Teams        map[string]int64
-	Classes      map[Flow]int64
-	MaxWindows   int // that a record has room for
+	Length       micros.Time      // length of an epoch
+	FloorPercent int64            // minimum grant of every flow, in percent of an equal share
+	Teams        map[string]int64 // weights of teams
+	Classes      map[Flow]int64   // weights of classes within their team
+	MaxWindows   int              // number of windows that fit into an epoch record
 }
 
-// teamWeight is the weight of a team, 1 where none is set.
+// teamWeight returns the weight of a team, 1 if none is set.
 func (s *Settings) teamWeight(team string) int64 { return max(1, s.Teams[team]) }
 
-// classWeight is the weight of a flow within its team, 1 where none is set.
+// classWeight returns the weight of a flow within its team, 1 if none is set.
 func (s *Settings) classWeight(f Flow) int64 { return max(1, s.Classes[f]) }
 
 const (
-	// validityLengths is for how many lengths an epoch is valid that is not followed by another: two
-	// may be written late, or be read late, without a gap.
+	// validityLengths is the validity of an epoch in epoch lengths: two successors may be written or
+	// read late without a gap.
 	validityLengths = 3
-	// maxEpochsAfterOverload is how many epochs in a row are written although nothing was refused and there
-	// was capacity for all; the cluster leader writes no more then.
+	// maxEpochsAfterOverload is the number of consecutive epochs that are written while the capacity
+	// covers all demand. After that the cluster leader stops writing epochs.
 	maxEpochsAfterOverload = 2
 )
 
-// Bounds of the correction, in percent of the computed capacity.
+// Bounds and initial value of the correction, in percent of the computed capacity.
 const (
 	minCorrection = 70
 	noCorrection  = 100
 	maxCorrection = 300
 )
 
-// Planner plans the epochs that the cluster leader writes while there is an overload. What it must
-// know of the last epoch is in the stored record, so that the next cluster leader goes on from there.
+// Planner plans the epochs that the cluster leader writes during an overload. It takes the windows to
+// continue from out of the stored record, so that a new cluster leader continues where the previous
+// one stopped.
 type Planner struct {
 	settings            Settings
-	writtenAt           micros.Time // when the last epoch was written here; 0: none was, or it may have failed
-	epochsAfterOverload int         // epochs in a row without overload
-	correction          int64       // percent of the computed capacity that windows are made for
-	capacity            int64       // jobs an epoch, as computed for the last one
+	writtenAt           micros.Time // when this planner last wrote an epoch; 0: not yet, or it may have failed
+	epochsAfterOverload int         // consecutive epochs without overload
+	correction          int64       // percent of the computed capacity for which windows are sized
+	capacity            int64       // jobs per epoch, as computed for the last epoch
 }
 
 // NewPlanner returns a planner that has written no epoch yet.
 func NewPlanner(s Settings) *Planner { return &Planner{settings: s, correction: noCorrection} }
 
-// Situation is what the next epoch is decided by.
+// Situation is the input for planning the next epoch.
 type Situation struct {
 	Now, Wall micros.Time
 	Leader    uint64 // fencing token
 	Demand    Demand // of all controllers
-	// Capacity is how many jobs can be accepted a second, in thousandths.
+	// Capacity is the number of jobs that can be accepted per second, in thousandths.
 	Capacity int64
 }
 
-// Next is the epoch to be written now; nil if none is.
+// Next returns the epoch to be written now, or nil if none is due.
 func (p *Planner) Next(v *View, s Situation) *Epoch {
 	current := v.Current(s.Now)
 	if p.writtenAt != 0 && s.Now-p.writtenAt < p.settings.Length {
 		return nil
 	}
 	if current != nil && current.Leader != s.Leader && s.Now-v.validFrom < p.settings.Length {
-		return nil // that of a former cluster leader is in force for a while
+		return nil // an epoch of the previous cluster leader runs for its full length
 	}
 	if current == nil && s.Demand.Refused == 0 {
 		return nil
@@ -83,14 +84,15 @@
 		p.epochsAfterOverload++
 	}
 	if p.epochsAfterOverload > maxEpochsAfterOverload {
-		return nil // the last one ends by itself
+		return nil // the last epoch expires
 	}
 	return p.epoch(v, s, claims, grants)
 }
 
-// adjustCorrection corrects the computed capacity by what came of it: how many jobs lie in a window
-// is not known, only how many there are in all, and the capacity is that of a moment ago. It changes
-// slowly, since those that are refused come back only at their turn.
+// adjustCorrection adjusts the correction by the observed admissions and refusals. The computed value
+// is inexact because only the total number of jobs is known, not the number in a window, and because
+// the capacity is slightly out of date. The correction changes slowly, since refused jobs are retried
+// only after their retry delay.
 func (p *Planner) adjustCorrection(d Demand) {
 	switch {
 	case d.Admitted == 0:
@@ -101,8 +103,7 @@
 	}
 }
 
-// divide returns what each flow is granted in one epoch, and whether any is granted less than it
-// asks for.
+// divide returns the grant of each flow for one epoch, and whether any grant is less than the demand.
 func (p *Planner) divide(s Situation) (claims []Claim, grants []int64, overloaded bool) {
 	for i := range s.Demand.Flows {
 		d := &s.Demand.Flows[i]
@@ -123,8 +124,8 @@
 	return claims, grants, overloaded
 }
 
-// epoch makes the record. Flows beyond its bound share a window of their team; teams beyond it share
-// the rest.
+// epoch builds the epoch record. Flows beyond the maximum number of windows share a window of their
+// team; teams beyond it share Rest.
 func (p *Planner) epoch(v *View, s Situation, claims []Claim, grants []int64) *Epoch {
 	e := &Epoch{
 		Number:   v.newestNumber + 1,
@@ -134,7 +135,8 @@
 		Validity: validityLengths * p.settings.Length,
 		Windows:  map[string]Window{},
 	}
-	previous := v.epoch // it may have ended: turns that were promised go on from it all the same
+	// The previous epoch may have expired, but retry delays given to clients still follow its windows.
+	previous := v.epoch
 	if previous == nil {
 		previous = &Epoch{Rest: Window{Width: Points}}
 	}
@@ -149,17 +151,17 @@
 	if rest.demand > 0 {
 		e.Rest = previous.Rest.next(rest.width())
 	} else {
-		// A flow of which nothing was asked for yet: as wide as the narrowest that is known.
+		// Flows without demand so far get the width of the narrowest window.
 		e.Rest = previous.Rest.next(e.narrowestWidth())
 	}
 	return e
 }
 
-// windowShare is what the flows of one window are granted of what they ask for.
+// windowShare is the total grant and demand of the flows that share one window.
 type windowShare struct{ grant, demand int64 }
 
-// width is the part of the circle that admits so much of the demand: never nothing, so that every
-// job has its turn.
+// width returns the part of the ring that admits the granted fraction of the demand. It is at least 1,
+// so that every job is admitted eventually.
 func (s windowShare) width() uint32 {
 	if s.grant >= s.demand {
 		return Points
@@ -167,9 +169,9 @@
 	return uint32(max(1, s.grant*Points/s.demand))
 }
 
-// groupByWindow divides the claims among windows: one for each of the largest demands, one for the
-// rest of each team, so that a quiet team does not share with one that has many flows, and one for
-// all others.
+// groupByWindow assigns the claims to windows: one for each of the largest demands, one for the
+// remaining flows of each team, so that a team with little demand does not share a window with one
+// that has many flows, and one for all others.
 func groupByWindow(claims []Claim, grants []int64, maxWindows int) map[Flow]windowShare {
 	teams := map[string]bool{}
 	order := make([]int, len(claims))
@@ -181,7 +183,7 @@
 	shares := map[Flow]windowShare{}
 	for n, i := range order {
 		f := claims[i].Flow
-		if n >= maxWindows-len(teams) { // the other windows are for the rests of the teams
+		if n >= maxWindows-len(teams) { // the remaining windows are reserved for TeamRest flows
 			f = f.TeamRest()
 			if _, ok := shares[f]; !ok && len(shares) >= maxWindows {
 				f = Rest
@@ -193,7 +195,7 @@
 	return shares
 }
 
-// narrowestWidth is the least width of any window.
+// narrowestWidth returns the width of the narrowest window, or that of the whole ring without windows.
 func (e *Epoch) narrowestWidth() uint32 {
 	least := uint32(Points)
 	for _, w := range e.Windows {
@@ -205,5 +207,5 @@
 // Written records that an epoch was sent to the key-value store.
 func (p *Planner) Written(now micros.Time) { p.writtenAt = now }
 
-// Failed records that it was not written, as far as is known: the next check tries again.
+// Failed records that the write failed or may have failed, so that the next check retries it.
 func (p *Planner) Failed() { p.writtenAt = 0 }
