--- a/internal/admission/recent_counter.go
+++ b/internal/admission/recent_counter.go
@@ -2,17 +2,17 @@
 
 import "pipitlatch/internal/micros"
 
-// recentPeriod is how far back recent counters go: refusals for lack of capacity, as a sign of
-// overload, and what epochs admitted.
+// recentPeriod is the sliding window of recentCounter, which counts acceptances, admissions by epochs,
+// and refusals for lack of capacity as a sign of overload.
 const recentPeriod = 5 * micros.Second
 
-// recentCounter counts the events of the recent period, by the second.
+// recentCounter counts the events of the recent period in buckets of one second.
 type recentCounter struct {
-	second micros.Time // of counts[0]
+	second micros.Time // the second counted by counts[0]
 	counts [recentPeriod / micros.Second]int64
 }
 
-// advance drops the seconds that are not recent any more.
+// advance drops the buckets that are older than the recent period.
 func (r *recentCounter) advance(now micros.Time) {
 	second := now / micros.Second
 	for ; r.second < second; r.second++ {
@@ -31,7 +31,7 @@
 	r.counts[0]++
 }
 
-// total is how many events there were in the recent period.
+// total returns the number of events in the recent period.
 func (r *recentCounter) total(now micros.Time) int64 {
 	r.advance(now)
 	sum := int64(0)
