--- a/internal/admission/shareclock.go
+++ b/internal/admission/shareclock.go
@@ -2,25 +2,26 @@
 
 import "pipitlatch/internal/micros"
 
-// shareClock computes how far each of several parties has fallen behind its fair share of what they
-// are served together, by start-time fair queueing: each has a tag that grows with the service it
-// gets, divided by its weight, and virtual time grows with the fair share. One that begins to wait
-// gets the present virtual time as its tag, so that nobody saves up.
+// shareClock computes how far each of several parties lags behind its fair share of their total
+// service, by start-time fair queueing: the tag of a party advances by the service it receives divided
+// by its weight, and virtual time advances by the fair share. A party that starts to wait gets the
+// current virtual time as its tag, so that idle parties accumulate no credit.
 type shareClock struct {
-	virtual    int64 // milli CPU times milliseconds, for a weight of 1
-	rate       int64 // of virtual time, a millisecond
+	virtual    int64 // virtual time, in milli-CPU milliseconds for a weight of 1
+	rate       int64 // advance of virtual time per millisecond
 	advancedAt micros.Time
-	bound      micros.Time // lags beyond twice the bound are not remembered
+	bound      micros.Time // lags are capped at twice the bound
 	parties    map[string]*party
 }
 
-// party is one of those that share.
+// party is a participant in the sharing: a team, or a class within its team.
 type party struct {
 	tag     int64
 	weight  int64
 	use     int64 // milli CPU
 	waiting bool
-	// inheritedLag is the lag under the former partition leader, until the rate is known.
+	// inheritedLag is the lag under the previous partition leader, until the rate is known and it can
+	// be converted to a tag.
 	inheritedLag micros.Time
 }
 
@@ -28,14 +29,15 @@
 	return &shareClock{advancedAt: now, bound: bound, parties: map[string]*party{}}
 }
 
-// load is what a party uses, and whether it has work that waits for nothing but capacity.
+// load is the resource use of a party, and whether it has work that waits for capacity only.
 type load struct {
 	use     int64
 	weight  int64
 	waiting bool
 }
 
-// advance brings the tags up to a time, by the loads of the last call, and takes new loads.
+// advance updates the tags to the given time, with the loads of the previous call, and stores the new
+// loads.
 func (c *shareClock) advance(now micros.Time, loads map[string]load) {
 	c.accrue(now)
 	next := map[string]*party{}
@@ -48,7 +50,7 @@
 		next[name] = p
 	}
 	for name, old := range c.parties {
-		// What was used ahead of the fair share is not forgotten by a moment without work.
+		// A party that is ahead of its fair share remains so during a short time without work.
 		if next[name] == nil && old.tag > c.virtual {
 			next[name] = &party{tag: old.tag, weight: old.weight}
 		}
@@ -57,7 +59,7 @@
 	c.setRate()
 }
 
-// setRate sets the rate of virtual time: the fair share of what those that wait use together.
+// setRate sets the rate of virtual time: the total use of the waiting parties, per unit of weight.
 func (c *shareClock) setRate() {
 	use, weights := int64(0), int64(0)
 	for _, p := range c.parties {
@@ -79,7 +81,7 @@
 	}
 }
 
-// accrue adds what was used since the last time.
+// accrue adds the service received since the last update to the tags.
 func (c *shareClock) accrue(now micros.Time) {
 	elapsed := (now - c.advancedAt) / micros.Millisecond
 	if elapsed <= 0 {
@@ -91,12 +93,12 @@
 	for _, p := range c.parties {
 		p.tag = max(p.tag+p.use*elapsed/max(1, p.weight), c.virtual-remembered)
 		if p.waiting {
-			p.tag = min(p.tag, c.virtual+remembered) // nor is more than that held against a party
+			p.tag = min(p.tag, c.virtual+remembered) // a negative lag is capped in the same way
 		}
 	}
 }
 
-// lag is for how long in sum a party got nothing of its fair share; negative: it got more.
+// lag returns how far a party is behind, in time at its fair share; negative if it received more.
 func (c *shareClock) lag(name string) micros.Time {
 	p := c.parties[name]
 	switch {
@@ -110,7 +112,7 @@
 	return (c.virtual - p.tag) / c.rate * micros.Millisecond
 }
 
-// restore takes the lag that a party had under the former partition leader.
+// restore sets the lag that a party had under the previous partition leader.
 func (c *shareClock) restore(name string, lag micros.Time) {
 	if lag > 0 {
 		c.parties[name] = &party{tag: c.virtual, weight: 1, waiting: true, inheritedLag: lag}
