--- a/internal/admission/view.go
+++ b/internal/admission/view.go
@@ -7,42 +7,43 @@
 	"pipitlatch/internal/micros"
 )
 
-// View is what one controller knows of the present epoch.
+// View is one controller's view of the current epoch.
 type View struct {
-	epoch     *Epoch      // the last one that came into force; nil: none
-	validFrom micros.Time // its validity counts from here, on the steady clock
-	// newestNumber is the number of the newest record, whether it came into force or not: a number
-	// is used once.
+	epoch     *Epoch      // the last epoch that took effect; nil: none
+	validFrom micros.Time // start of its validity, on the monotonic clock
+	// newestNumber is the highest number read, even from a stale record, since numbers are not reused.
 	newestNumber uint64
 }
 
-// Observe takes an epoch's record as it was read by a request that was sent at a time. The validity
-// counts from that sending: a controller that hears nothing any more drops the epoch in time, whatever
-// the clocks of others say. After a record with an error the epoch before stays in force until it ends.
+// Observe processes an epoch record that was read by a request sent at the given time. The validity
+// starts at that time, so that a controller that is cut off drops the epoch in time, whatever the
+// clocks of other controllers. After an invalid record the previous epoch stays in force until it
+// expires.
 func (v *View) Observe(raw json.RawMessage, sent, now, wall, skew micros.Time) error {
 	e, err := Parse(raw)
 	if err != nil {
 		return err
 	}
 	if v.epoch != nil && e.Number == v.epoch.Number && e.Leader == v.epoch.Leader && e.Written == v.epoch.Written {
-		return nil // read again: it gets no younger
+		return nil // reading the same record again does not extend its validity
 	}
-	// Only against one in force: after a record that could not be read, a cluster leader that starts
-	// anew does not know how far the numbers were, and must not be ignored for ever.
+	// The order is checked only against an epoch in force: a cluster leader that restarts after an
+	// unreadable record does not know the last number, and must not be ignored forever.
 	if c := v.Current(now); c != nil && (e.Number <= c.Number || e.Leader < c.Leader) {
 		return fmt.Errorf("%w: number %d of leader %d after number %d of leader %d",
 			ErrContradictory, e.Number, e.Leader, c.Number, c.Leader)
 	}
 	v.newestNumber = max(v.newestNumber, e.Number)
 	if wall-e.Written > e.Validity+2*skew || e.Written-wall > 2*skew+micros.Second {
-		// Read long after it was written, as by a process that starts anew.
+		// The record was read long after it was written, for example by a restarted process, or the
+		// clocks differ by more than the skew allows.
 		return fmt.Errorf("%w: number %d", ErrStale, e.Number)
 	}
 	v.epoch, v.validFrom = e, sent
 	return nil
 }
 
-// Current is the epoch in force; nil if there is none.
+// Current returns the epoch in force, or nil if there is none.
 func (v *View) Current(now micros.Time) *Epoch {
 	if v.epoch == nil || now-v.validFrom >= v.epoch.Validity {
 		return nil
@@ -50,7 +51,7 @@
 	return v.epoch
 }
 
-// Verdict is what an epoch says of a submission.
+// Verdict is the admission decision of an epoch on a submission.
 type Verdict struct {
 	Epoch        uint64 // 0: none is in force, so there is no verdict
 	Leader       uint64 // fencing token of the cluster leader that wrote the epoch
@@ -59,15 +60,15 @@
 	RetryDelay   micros.Time // in how long the job is admitted, if it is not now
 }
 
-// MaxRetryDelay is the longest time that a user is asked to wait: users honour no more.
+// MaxRetryDelay is the longest delay that a client is asked to wait; clients do not honor longer ones.
 const MaxRetryDelay = 30 * micros.Second
 
-// exactRetryLengths is for how many lengths ahead a turn is promised as it is computed. One further
-// ahead comes sooner where windows grow meanwhile, and a user who comes after it waits for another
-// round: such a user is asked to come back before it.
+// exactRetryLengths is the number of epoch lengths up to which a retry delay is used as computed.
+// Longer delays are shortened: where windows grow meanwhile, the job is admitted earlier, and a client
+// that retries too late has to wait for another round of the ring.
 const exactRetryLengths = 2
 
-// Verdict judges a submission by the epoch in force.
+// Verdict returns the decision of the epoch in force on a submission.
 func (v *View) Verdict(now micros.Time, f Flow, id string) Verdict {
 	e := v.Current(now)
 	if e == nil {
