--- a/internal/admission/view.go
+++ b/internal/admission/view.go
@@ -56,8 +56,8 @@
 	Epoch        uint64 // 0: none is in force, so there is no verdict
 	Leader       uint64 // fencing token of the cluster leader that wrote the epoch
 	Admit        bool
-	Unrestricted bool        // the flow gets all that it asks for
-	RetryDelay   micros.Time // in how long the job is admitted, if it is not now
+	Unrestricted bool        // the epoch admits all jobs of the flow
+	RetryDelay   micros.Time // delay after which a refused job should be submitted again
 }
 
 // MaxRetryDelay is the longest delay that a client is asked to wait; clients do not honor longer ones.
