--- a/internal/admission/shareclock.go
+++ b/internal/admission/shareclock.go
@@ -89,11 +89,11 @@
 	}
 	c.advancedAt += elapsed * micros.Millisecond
 	c.virtual += c.rate * elapsed
-	remembered := c.rate * 2 * c.bound / micros.Millisecond
+	maxOffset := c.rate * 2 * c.bound / micros.Millisecond
 	for _, p := range c.parties {
-		p.tag = max(p.tag+p.use*elapsed/max(1, p.weight), c.virtual-remembered)
+		p.tag = max(p.tag+p.use*elapsed/max(1, p.weight), c.virtual-maxOffset)
 		if p.waiting {
-			p.tag = min(p.tag, c.virtual+remembered) // a negative lag is capped in the same way
+			p.tag = min(p.tag, c.virtual+maxOffset) // a negative lag is capped in the same way
 		}
 	}
 }
