--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -23,7 +23,7 @@
 // TeamRest returns the flow shared by all classes of the team without an entry of their own.
 func (f Flow) TeamRest() Flow { return Flow{f.Team, restName} }
 
-// Rest is the flow shared by all teams without an entry of their own.
+// Rest is the flow shared by everything that has neither an entry of its own nor one of its team.
 var Rest = Flow{restName, restName}
 
 // Compare orders flows by team and class.
