--- a/internal/admission/demand_test.go
+++ b/internal/admission/demand_test.go
@@ -7,7 +7,8 @@
 	"pipitlatch/internal/micros"
 )
 
-// TestDemandCountsReferencesOnce: repeats, at one controller or at several, are one job.
+// TestDemandCountsReferencesOnce checks that repeated submissions of a job, at one controller or at
+// several, count as one job.
 func TestDemandCountsReferencesOnce(t *testing.T) {
 	f := Flow{"alpha", "short"}
 	var all []Demand
@@ -32,17 +33,17 @@
 		t.Error(err)
 	}
 	if _, err := DecodeSketch(raw[:len(raw)/2]); err == nil {
-		t.Error("half a sketch is read")
+		t.Error("a truncated sketch was decoded without an error")
 	}
 	tracker := NewTracker(2)
 	tracker.Asked(micros.Second, f, "wk-000001")
 	if n := len(tracker.Demand(100 * micros.Second).Flows); n != 0 {
-		t.Errorf("%d flows long after", n)
+		t.Errorf("%d flows after all generations expired, want 0", n)
 	}
 }
 
-// TestMadeUpClassesAreBounded: what one team makes up takes no entry of others, and no memory
-// without bound.
+// TestMadeUpClassesAreBounded checks that a team that submits jobs with any number of invented classes
+// takes no entries from other teams and uses a bounded amount of memory.
 func TestMadeUpClassesAreBounded(t *testing.T) {
 	for _, teams := range []int{2, 300} {
 		tracker := NewTracker(teams)
@@ -61,7 +62,7 @@
 			found = found || f.Flow == Flow{"team-1", "short"}
 		}
 		if !found {
-			t.Errorf("%d teams: another team has no entry", teams)
+			t.Errorf("%d teams: the flow of another team has no entry of its own", teams)
 		}
 	}
 }
