--- a/internal/admission/divide_test.go
+++ b/internal/admission/divide_test.go
@@ -16,18 +16,18 @@
 		claims          []Claim
 		want            []int64
 	}{
-		"what one leaves, others get": {100, 0, []Claim{claim("a", "x", 1, 10), claim("b", "x", 1, 200),
+		"unused share is redistributed": {100, 0, []Claim{claim("a", "x", 1, 10), claim("b", "x", 1, 200),
 			claim("c", "x", 1, 200)}, []int64{10, 45, 45}},
 		"weights": {90, 0, []Claim{claim("a", "x", 2, 500), claim("b", "x", 1, 500)}, []int64{60, 30}},
-		"made up classes gain nothing": {90, 0, []Claim{claim("a", "x", 1, 500), claim("a", "y", 1, 500),
+		"invented classes gain nothing": {90, 0, []Claim{claim("a", "x", 1, 500), claim("a", "y", 1, 500),
 			claim("a", "z", 1, 500), claim("b", "x", 1, 500)}, []int64{15, 15, 15, 45}},
-		// What is left of b's weight beyond its floor is 1.
-		"a floor":           {100, 20, []Claim{claim("a", "x", 1000, 5000), claim("b", "x", 1, 50)}, []int64{89, 11}},
-		"room for all":      {1000, 25, []Claim{claim("a", "x", 1, 10), claim("b", "x", 1, 20)}, []int64{10, 20}},
-		"nothing to divide": {0, 25, []Claim{claim("a", "x", 1, 10)}, []int64{0}},
+		// Beyond its floor of 10, b is granted 1 by its weight.
+		"floor":                   {100, 20, []Claim{claim("a", "x", 1000, 5000), claim("b", "x", 1, 50)}, []int64{89, 11}},
+		"capacity exceeds demand": {1000, 25, []Claim{claim("a", "x", 1, 10), claim("b", "x", 1, 20)}, []int64{10, 20}},
+		"no capacity":             {0, 25, []Claim{claim("a", "x", 1, 10)}, []int64{0}},
 	} {
 		if got := Divide(c.capacity, c.floor, c.claims); fmt.Sprint(got) != fmt.Sprint(c.want) {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+			t.Errorf("%s: got %v, want %v", name, got, c.want)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -47,12 +47,12 @@
 		sum := int64(0)
 		for i, n := range Divide(capacity, 25, claims) {
 			if n < 0 || n > claims[i].Demand {
-				t.Fatalf("claim %d gets %d of %d", i, n, claims[i].Demand)
+				t.Fatalf("claim %d: granted %d, demand %d", i, n, claims[i].Demand)
 			}
 			sum += n
 		}
 		if sum > capacity || sum < min(capacity, demand)-int64(len(claims)) {
-			t.Fatalf("%d of %d given, %d asked for", sum, capacity, demand)
+			t.Fatalf("granted %d, capacity %d, demand %d", sum, capacity, demand)
 		}
 	})
 }
