--- a/internal/admission/epoch_test.go
+++ b/internal/admission/epoch_test.go
@@ -31,9 +31,8 @@
 	}
 }
 
-// TestWindowsCoverTheCircle: whatever the widths, windows that follow each other admit every
-// reference within the epochs that the narrowest of them needs for the whole circle, and the
-// turn that a refused one is promised is right as long as the widths stay.
+// TestWindowsCoverTheCircle checks that successive windows of any widths admit every job within the
+// number of epochs that windows of the narrowest width need to cover the whole ring.
 func TestWindowsCoverTheCircle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		least := rapid.Uint32Range(Points/40, Points).Draw(t, "least")
@@ -42,17 +41,18 @@
 		most := int(Points/least) + 1
 		for range most {
 			if !w.valid() {
-				t.Fatalf("%+v", w)
+				t.Fatalf("invalid window %+v", w)
 			}
 			if w.admits(position(ref)) {
 				return
 			}
 			w = w.next(rapid.Uint32Range(least, Points).Draw(t, "width"))
 		}
-		t.Fatalf("%s not admitted in %d epochs", ref, most)
+		t.Fatalf("job %s not admitted within %d epochs", ref, most)
 	})
 }
 
+// TestTurnIsKept checks that the retry delay of a refused job is right while the widths stay the same.
 func TestTurnIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := Flow{"alpha", "short"}
@@ -71,12 +71,12 @@
 			w = w.next(w.Width)
 			if epochOf(1, map[string]Window{f.Key(): w}, w).Admits(f, ref) {
 				if turn < n*e.Length || turn > (n+1)*e.Length {
-					t.Fatalf("admitted in epoch %d, promised %d", n, turn)
+					t.Fatalf("admitted after %d epochs, but the retry delay was %d us", n, turn)
 				}
 				return
 			}
 			if n > 30 {
-				t.Fatal("never admitted")
+				t.Fatal("not admitted within 30 epochs")
 			}
 		}
 	})
