--- a/internal/admission/divide_test.go
+++ b/internal/admission/divide_test.go
@@ -22,9 +22,9 @@
 		"invented classes gain nothing": {90, 0, []Claim{claim("a", "x", 1, 500), claim("a", "y", 1, 500),
 			claim("a", "z", 1, 500), claim("b", "x", 1, 500)}, []int64{15, 15, 15, 45}},
 		// Beyond its floor of 10, b is granted 1 by its weight.
-		"floor":                   {100, 20, []Claim{claim("a", "x", 1000, 5000), claim("b", "x", 1, 50)}, []int64{89, 11}},
-		"capacity exceeds demand": {1000, 25, []Claim{claim("a", "x", 1, 10), claim("b", "x", 1, 20)}, []int64{10, 20}},
-		"no capacity":             {0, 25, []Claim{claim("a", "x", 1, 10)}, []int64{0}},
+		"floor":          {100, 20, []Claim{claim("a", "x", 1000, 5000), claim("b", "x", 1, 50)}, []int64{89, 11}},
+		"ample capacity": {1000, 25, []Claim{claim("a", "x", 1, 10), claim("b", "x", 1, 20)}, []int64{10, 20}},
+		"no capacity":    {0, 25, []Claim{claim("a", "x", 1, 10)}, []int64{0}},
 	} {
 		if got := Divide(c.capacity, c.floor, c.claims); fmt.Sprint(got) != fmt.Sprint(c.want) {
 			t.Errorf("%s: got %v, want %v", name, got, c.want)
