--- a/internal/admission/epoch_test.go
+++ b/internal/admission/epoch_test.go
@@ -52,8 +52,8 @@
 	})
 }
 
-// TestTurnIsKept checks that the retry delay of a refused job is right while the widths stay the same.
-func TestTurnIsKept(t *testing.T) {
+// TestRetryDelayIsExact checks that the retry delay of a refused job is right while the widths stay the same.
+func TestRetryDelayIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := Flow{"alpha", "short"}
 		w := Window{
