--- a/internal/admission/planner_test.go
+++ b/internal/admission/planner_test.go
@@ -7,8 +7,9 @@
 	"pipitlatch/internal/micros"
 )
 
-// TestPlannerOnlyUnderOverload: no epoch without refusals, none where there is room for all,
-// one after the other while there is not, and none for long once there is again.
+// TestPlannerOnlyUnderOverload checks that no epoch is written without refusals or while the capacity
+// covers the demand, that epochs follow each other during an overload, and that none is in force some
+// time after it.
 func TestPlannerOnlyUnderOverload(t *testing.T) {
 	p := NewPlanner(Settings{Length: 4 * micros.Second, FloorPercent: 25, MaxWindows: 8})
 	var v View
@@ -42,28 +43,29 @@
 		step(demand(20, 5))
 	}
 	if written != 0 {
-		t.Fatalf("%d epochs without an overload", written)
+		t.Fatalf("%d epochs written without an overload", written)
 	}
 	for range 40 {
 		step(demand(1000, 5))
 	}
 	if written < 9 || written > 11 {
-		t.Errorf("%d epochs in 40 s of overload", written)
+		t.Errorf("%d epochs written in 40 s of overload, want 9 to 11", written)
 	}
 	e := v.Current(now)
 	if e == nil || e.Windows[Flow{"alpha", "short"}.Key()].Width > Points/20 {
-		t.Fatalf("%+v", e)
+		t.Fatalf("epoch %+v, want a window of at most a twentieth of the ring", e)
 	}
 	for range 40 {
 		step(demand(5, 0))
 	}
 	if v.Current(now) != nil {
-		t.Error("an epoch is in force long after the overload")
+		t.Error("an epoch is still in force 40 s after the overload")
 	}
 }
 
-// TestGroupBounds: every flow falls under a window of the record, each team's largest flow has
-// one of its own as long as there is room, and the record stays within its bound.
+// TestGroupBounds checks that every flow is covered by a window, that the record stays within the
+// maximum number of windows, and that, with at least four windows, a team with little demand shares
+// none with a team that has many flows.
 func TestGroupBounds(t *testing.T) {
 	var claims []Claim
 	var grants []int64
@@ -82,10 +84,10 @@
 			}
 		}
 		if demand != 400*100+400*399/2+5 || own > most {
-			t.Errorf("%d windows: %d used, demand %d", most, own, demand)
+			t.Errorf("at most %d windows: %d used, total demand %d", most, own, demand)
 		}
 		if quiet := shares[Flow{"beta", "quiet"}]; most >= 4 && quiet.width() != Points {
-			t.Errorf("%d windows: the quiet team's flow is under another's: %+v", most, quiet)
+			t.Errorf("at most %d windows: the flow of team beta is not fully admitted: %+v", most, quiet)
 		}
 	}
 }
