--- a/internal/admission/view_test.go
+++ b/internal/admission/view_test.go
@@ -10,8 +10,8 @@
 	"pipitlatch/internal/micros"
 )
 
-// TestSameVerdictEverywhere: two views that read the same record say the same of any job,
-// whatever they knew before, and each flow of many falls under one window.
+// TestSameVerdictEverywhere checks that two views that read the same record reach the same verdict on
+// any job, whatever they read before, for flows with a window, with their team's window, and without.
 func TestSameVerdictEverywhere(t *testing.T) {
 	e := epochOf(7, map[string]Window{
 		Flow{"alpha", "short"}.Key(): {0, Points / 3, 0},
@@ -32,7 +32,7 @@
 		f, ref := Flow{[]string{"alpha", "beta"}[i%2], []string{"short", "long", "odd"}[i%3]}, fmt.Sprintf("wk-%06d", i)
 		x, y := a.Verdict(3000, f, ref), b.Verdict(9000, f, ref)
 		if x.Admit != y.Admit || x.Epoch != 7 || y.Epoch != 7 {
-			t.Fatalf("%v %s: %+v %+v", f, ref, x, y)
+			t.Fatalf("%v %s: verdicts %+v and %+v", f, ref, x, y)
 		}
 		if x.Admit {
 			admitted++
@@ -41,10 +41,12 @@
 		}
 	}
 	if admitted < 300 || admitted > 1500 {
-		t.Errorf("%d of 3000", admitted)
+		t.Errorf("%d of 3000 jobs admitted, want 300 to 1500", admitted)
 	}
 }
 
+// TestEpochEndsByItself checks that an epoch expires after its validity, counted from the sending of
+// the read request.
 func TestEpochEndsByItself(t *testing.T) {
 	var v View
 	record := encode(t, epochOf(1, nil, Window{0, 1, 0}))
@@ -52,17 +54,19 @@
 		t.Fatal(err)
 	}
 	if v.Current(17*micros.Second-1) == nil || v.Current(17*micros.Second) != nil {
-		t.Error("validity does not count from the sending of its read")
+		t.Error("the validity does not start when the read request was sent")
 	}
-	// Read again by a new watch: it gets no younger.
+	// A new watch reads the same record again, which must not extend its validity.
 	if err := v.Observe(record, 16*micros.Second, 16*micros.Second, 111*micros.Second, 0); err != nil {
 		t.Fatal(err)
 	}
 	if v.Current(18*micros.Second) != nil {
-		t.Error("reading it again renews it")
+		t.Error("reading the record again extended its validity")
 	}
 }
 
+// TestBadEpochsAreIgnored checks that malformed, contradictory and stale records leave the previous
+// epoch in force, and that lower numbers are accepted once it has expired.
 func TestBadEpochsAreIgnored(t *testing.T) {
 	good := epochOf(4, nil, Window{0, Points / 2, 0})
 	wall := 100 * micros.Second
@@ -97,10 +101,10 @@
 		}
 		err := v.Observe(json.RawMessage(c.raw), micros.Second, micros.Second, wall, 0)
 		if !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want %v", name, err, c.want)
 		}
 		if e := v.Current(2 * micros.Second); e == nil || e.Number != 4 {
-			t.Errorf("%s: the epoch before is not in force", name)
+			t.Errorf("%s: the previous epoch is not in force", name)
 		}
 	}
 	var v View
@@ -108,6 +112,6 @@
 		t.Fatal(err)
 	}
 	if err := v.Observe(encode(t, epochOf(1, nil, Window{0, 1, 0})), 20e6, 20e6, wall, 0); err != nil {
-		t.Errorf("a leader that lost count is ignored after the epoch ended: %v", err)
+		t.Errorf("lower number rejected after the previous epoch expired: %v", err)
 	}
 }
