--- a/internal/admission/view_test.go
+++ b/internal/admission/view_test.go
@@ -37,7 +37,7 @@
 		if x.Admit {
 			admitted++
 		} else if x.RetryDelay < micros.Second || x.RetryDelay > MaxRetryDelay {
-			t.Fatalf("turn %d", x.RetryDelay)
+			t.Fatalf("retry delay %d us out of range", x.RetryDelay)
 		}
 	}
 	if admitted < 300 || admitted > 1500 {
