--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -10,20 +10,20 @@
 	"google.golang.org/protobuf/encoding/prototext"
 )
 
-// SyntaxError is a file that cannot be read as what it should be.
+// SyntaxError reports a settings file that cannot be parsed.
 type SyntaxError struct {
 	File string
 	Err  error
 }
 
-// Error names the file first.
+// Error begins with the name of the file.
 func (e *SyntaxError) Error() string { return e.File + ": " + e.Err.Error() }
 
-// Unwrap returns what the parser said.
+// Unwrap returns the error of the parser.
 func (e *SyntaxError) Unwrap() error { return e.Err }
 
-// Load reads and checks both files; operatorPath may be empty. The error of a file that can't be parsed
-// names the file; that of refused settings joins one error a fault, each naming its field.
+// Load reads and validates both files; operatorPath may be empty. The error for a file that cannot be
+// parsed names the file; for invalid settings, one error per setting is joined, each naming its field.
 func Load(platformPath, operatorPath string) (*Config, error) {
 	platform, err := os.ReadFile(platformPath)
 	if err != nil {
@@ -38,12 +38,12 @@
 	return parse(source{platformPath, platform}, source{operatorPath, operator})
 }
 
-// Parse is Load on the files' contents.
+// Parse is like Load but takes the contents of the files.
 func Parse(platform, operator []byte) (*Config, error) {
 	return parse(source{"settings", platform}, source{"operator settings", operator})
 }
 
-// source is a file's contents and what errors call it.
+// source is the content of a file and its name in errors.
 type source struct {
 	name string
 	text []byte
@@ -61,8 +61,8 @@
 	return c, errors.Join(c.check()...)
 }
 
-// parsePlatform reads the platform's file. A value of the wrong type is a refused setting, which its
-// field names; the rest has no field, and is named by file and line.
+// parsePlatform parses the platform's file. The error for a value of the wrong type names the field, as
+// for other invalid settings; any other syntax error has no field and names file and line.
 func parsePlatform(file source, platform *Platform) error {
 	err := toml.Unmarshal(file.text, platform)
 	if err == nil {
