--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,18 +1,18 @@
-// Package config reads and checks the platform's settings file (TOML) and the operators' own settings
-// (protobuf text format). The names in both files stay as operators know them: siblings are peers,
-// workers are agents, state is the key-value store, queues are partitions, permit is the member lease.
+// Package config reads and validates the platform's settings file (TOML) and the operator's settings
+// (protobuf text format). Both files keep the names that operators use: siblings are peers, workers
+// are agents, state is the key-value store, queues are partitions, and permit is the member lease.
 package config
 
 //go:generate protoc --go_out=. --go_opt=paths=source_relative operator.proto
 
-// Peer is another controller.
+// Peer is another controller of the cluster.
 type Peer struct {
 	Member  string `toml:"member"`
 	Zone    string `toml:"zone"`
 	Address string `toml:"address"`
 }
 
-// Services are the outside services that a controller calls.
+// Services are the addresses of the external services that a controller calls.
 type Services struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
@@ -36,7 +36,7 @@
 	Times   float64 `toml:"times"`
 }
 
-// Workers are the agents' fixed times, in seconds.
+// Workers are the fixed intervals and time limits of agents, in seconds.
 type Workers struct {
 	ReportS float64 `toml:"report_s"`
 	LeaseS  float64 `toml:"lease_s"`
@@ -49,11 +49,11 @@
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
-	// Next are limits that come into force at some moment, unannounced.
+	// Next holds limits that will take effect at an unannounced time.
 	Next *NextState `toml:"next"`
 }
 
-// NextState are limits to come; what is left out stays as it is.
+// NextState are upcoming limits of the key-value store; omitted limits do not change.
 type NextState struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -61,21 +61,21 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Cloud are the limits of the cloud's interface.
+// Cloud are the limits of the cloud API.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// MachineLimits bound the machine this controller runs on.
+// MachineLimits are the resource limits of the machine that the controller runs on.
 type MachineLimits struct {
 	CPU            float64 `toml:"cpu"`
 	MemoryMB       float64 `toml:"memory_mb"`
 	MaxConnections int     `toml:"max_connections"`
 }
 
-// Settings are the deployment's settings, the same for every controller. The parser names this type, and
-// its fields, in its errors, which operators get.
+// Settings are the settings of the deployment, identical for every controller. The parser's errors, which
+// operators see, contain the names of this type and its fields.
 type Settings struct {
 	Nodes         int           `toml:"nodes"`
 	Zones         []string      `toml:"zones"`
@@ -88,7 +88,7 @@
 	MachineLimits MachineLimits `toml:"machine_limits"`
 }
 
-// Platform is the settings file that the platform hands to one controller.
+// Platform is the settings file that the platform provides to one controller.
 type Platform struct {
 	Member       string   `toml:"member"`
 	Zone         string   `toml:"zone"`
@@ -99,7 +99,7 @@
 	Settings     Settings `toml:"settings"`
 }
 
-// Config is everything that a controller is configured with.
+// Config is the complete configuration of a controller.
 type Config struct {
 	Platform
 	Operator *Operator
