--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -6,26 +6,26 @@
 	"strings"
 )
 
-// minValue is the least that a value must be able to hold: a job with every field but its
-// lists, a part of the completed ranges of a job.
+// minValue is the minimum size limit of a value in bytes. It fits a job with all fields except its
+// lists, or one part of a job's completed ranges.
 const minValue = 900
 
-// The least that a controller gets by with: sockets, and operations in a transaction.
+// Minimum numbers of sockets, and of operations per transaction, that a controller needs.
 const (
 	minConnections = 16
 	minTxnOps      = 4
 )
 
-// FieldError is a setting that is refused. Operators get its text, one line a setting.
+// FieldError reports an invalid setting. Its text is shown to operators, one line per setting.
 type FieldError struct {
-	Field   string // as in the file, with the tables around it
+	Field   string // full path of the field, as named in the file
 	Problem string
 }
 
-// Error names the field first.
+// Error begins with the path of the field.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// checker collects what is wrong with settings, by field.
+// checker collects the errors found in settings.
 type checker struct{ errs []error }
 
 func (k *checker) reject(field, format string, args ...any) {
@@ -144,15 +144,15 @@
 	}
 }
 
-// Bounds of the settings of fair admission.
+// Bounds on the settings for fair admission.
 const (
 	minEpochMs, maxEpochMs = 1000, 30_000
 	maxLagS                = 3600
 	maxWeight              = 1000
 )
 
-// checkFairAdmission names every setting that is out of its bounds: a share that is not
-// what the operator meant shows only under overload.
+// checkFairAdmission rejects every setting that is out of bounds rather than adjusting it, since an
+// unintended share would become apparent only under overload.
 func (c *Config) checkFairAdmission(k *checker) {
 	f := c.Operator.FairAdmission
 	if f.EpochMs < minEpochMs || f.EpochMs > maxEpochMs {
