--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Warnings are settings that can be lived with, but that the operator should know
-// of; each names its field.
+// Warnings returns messages on settings that are valid but likely to cause problems. Each begins with
+// the path of its field.
 func (c *Config) Warnings() []string {
 	var out []string
 	warn := func(field, format string, args ...any) {
