--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -151,8 +151,8 @@
 	maxWeight              = 1000
 )
 
-// checkFairAdmission rejects every setting that is out of bounds rather than adjusting it, since an
-// unintended share would become apparent only under overload.
+// checkFairAdmission reports every setting that is out of bounds: an unintended share would become
+// apparent only under overload.
 func (c *Config) checkFairAdmission(k *checker) {
 	f := c.Operator.FairAdmission
 	if f.EpochMs < minEpochMs || f.EpochMs > maxEpochMs {
