--- a/internal/config/configtest/configtest.go
+++ b/internal/config/configtest/configtest.go
@@ -1,9 +1,9 @@
-// Package configtest has the settings of a small site for tests.
+// Package configtest provides the settings of a small deployment for tests.
 package configtest
 
 import "fmt"
 
-// Site is what tests want to differ in the settings of a site with one controller and one team.
+// Site holds the settings that vary between tests, for a deployment with one controller and one team.
 type Site struct {
 	Member         string
 	Listen         string
@@ -13,7 +13,7 @@
 	MaxConnections int
 }
 
-// Default is a site whose addresses nobody listens at.
+// Default returns a site whose addresses have no listeners.
 func Default() Site {
 	return Site{
 		Member:         "n0",
@@ -25,7 +25,7 @@
 	}
 }
 
-// Platform is the site's settings file, as the platform would write it.
+// Platform returns the site's settings file in the platform's format.
 func (s Site) Platform() []byte {
 	return fmt.Appendf(nil, `member = %q
 listen = %q
