--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -54,13 +54,13 @@
 	if c.Operator.PermitMs != 3000 || c.Operator.SilenceMs != 3000 || c.Settings.Teams[0].CPUsMax != 48 {
 		t.Errorf("got %+v", c.Operator)
 	}
-	// Term + lease + margins stay within cancel_s.
+	// Term, lease and margins together stay within cancel_s.
 	if got := c.LeadershipTerm() + c.AgentLeaseExpiry(); got >= 35_000_000 || got < 30_000_000 {
-		t.Errorf("term and lease take %d us", got)
+		t.Errorf("term and lease take %d us, want 30 s to 35 s", got)
 	}
 }
 
-// TestBadSettings wants one line an error, each naming its field.
+// TestBadSettings checks that every invalid setting gives one line that begins with its field.
 func TestBadSettings(t *testing.T) {
 	for _, c := range []struct{ from, to, field string }{
 		{`member = "node-0"`, ``, "member:"},
@@ -86,14 +86,15 @@
 	}
 	bad := strings.Replace(strings.Replace(good, `member = "node-0"`, "", 1), "nodes = 2", "nodes = 0", 1)
 	if _, err := Parse([]byte(bad), nil); err == nil || strings.Count(err.Error(), "\n") != 1 {
-		t.Errorf("two errors: got %v", err)
+		t.Errorf("got %v, want two errors", err)
 	}
 	if _, err := Parse([]byte(good), []byte("no_such_field: 1")); err == nil {
-		t.Error("a bad operator file was taken")
+		t.Error("operator settings with an unknown field were accepted")
 	}
 }
 
-// TestWarnings: small limits are told, not refused.
+// TestWarnings checks that settings that are valid but likely to cause problems give a warning, not an
+// error.
 func TestWarnings(t *testing.T) {
 	for _, c := range []struct{ from, to, field string }{
 		{"", "", ""},
@@ -109,13 +110,13 @@
 		}
 		w := strings.Join(cfg.Warnings(), "\n")
 		if !strings.HasPrefix(w, c.field) || strings.Contains(w, "\n") || (w == "") != (c.field == "") {
-			t.Errorf("%q: got %q", c.to, w)
+			t.Errorf("%q: got %q, want one line on %q", c.to, w, c.field)
 		}
 	}
 }
 
-// TestSockets: all shares together stay within the limit, and what serves workers is
-// by far the greatest.
+// TestSockets checks that the parts of all uses together stay within the limit, and that at least a
+// quarter is left for inbound connections of agents and users.
 func TestSockets(t *testing.T) {
 	for _, most := range []int{16, 100, 1000, 3606} {
 		settings := strings.Replace(good, "max_connections = 1000", fmt.Sprint("max_connections = ", most), 1)
@@ -125,12 +126,13 @@
 		}
 		s := cfg.Sockets()
 		if s.Calls+s.Service+s.Serve > most || s.Serve < most/4 {
-			t.Errorf("%d: %+v", most, s)
+			t.Errorf("max_connections = %d: %+v", most, s)
 		}
 	}
 }
 
-// TestLimitsToCome: everything keeps to the smaller limits from the start.
+// TestLimitsToCome checks that the smaller of current and upcoming limits applies from the start, and
+// that invalid upcoming limits are rejected.
 func TestLimitsToCome(t *testing.T) {
 	withNext := func(limits string) []byte {
 		return []byte(strings.Replace(good, "[settings.cloud]", "[settings.state.next]\n"+limits+"\n[settings.cloud]", 1))
@@ -143,17 +145,17 @@
 		t.Errorf("limits: got %+v, want %+v", got, want)
 	}
 	if got := c.Settings.MaxValue(); got >= 2048 {
-		t.Errorf("values of %d bytes", got)
+		t.Errorf("maximum value size: got %d bytes, want less than 2048", got)
 	}
 	for _, bad := range []string{"txn_ops = 3", "value_kb = 0.5", "write_rps = -1.0"} {
 		if _, err := Parse(withNext(bad), nil); err == nil {
-			t.Errorf("%s was taken", bad)
+			t.Errorf("%s was accepted", bad)
 		}
 	}
 }
 
-// TestFairAdmissionSettings: the file of deploy/ is valid, and whatever is wrong is named, a
-// line each.
+// TestFairAdmissionSettings checks that the file in deploy/ is valid, that fair admission is off by
+// default, and that every invalid setting is named on a line of its own.
 func TestFairAdmissionSettings(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/fair-admission.textproto")
 	if err != nil {
@@ -167,22 +169,22 @@
 		t.Errorf("got %+v", f)
 	}
 	if c, err = Parse([]byte(good), nil); err != nil || c.Operator.FairAdmission.Enabled {
-		t.Errorf("not off by default: %v", err)
+		t.Errorf("invalid, or fair admission is not off by default: %v", err)
 	}
 	bad := `fair_admission { enabled: true epoch_ms: 500 floor_percent: 101 lag_s: 4000
 		weights { team: "nobody" weight: 2 } weights { team: "alpha" weight: 2000 }
 		weights { team: "alpha" weight: 3 } weights { team: "alpha" class: "x" } }`
 	_, err = Parse([]byte(good), []byte(bad))
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("invalid settings were accepted")
 	}
 	for _, field := range []string{"epoch_ms", "floor_percent", "lag_s",
 		"weights[0].team", "weights[1].weight", "weights[2]", "weights[3].weight"} {
 		if strings.Count(err.Error(), "operator.fair_admission."+field+":") != 1 {
-			t.Errorf("%s is not named once: %v", field, err)
+			t.Errorf("%s is not named exactly once: %v", field, err)
 		}
 	}
 	if n := strings.Count(err.Error(), "\n"); n != 6 {
-		t.Errorf("%d lines: %v", n+1, err)
+		t.Errorf("got %d lines, want 7: %v", n+1, err)
 	}
 }
