--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// load writes both files and reads them as a controller does at its start.
+// load writes both files and loads them as a controller does on startup.
 func load(t *testing.T, platform, operator string) (platformPath, operatorPath string, err error) {
 	t.Helper()
 	platformPath = filepath.Join(t.TempDir(), "settings.toml")
@@ -22,6 +22,8 @@
 	return platformPath, operatorPath, err
 }
 
+// TestSyntaxErrorsNameTheFileOnOneLine checks that a file that cannot be parsed gives one line with its
+// name and, for the platform's file, the line number.
 func TestSyntaxErrorsNameTheFileOnOneLine(t *testing.T) {
 	for _, test := range []struct {
 		name, platform, operator, prefix string
@@ -45,8 +47,8 @@
 	}
 }
 
-// TestRefusedSettingsKeepTheirLine: operators and their scripts know these lines; the file's name is not
-// added to them.
+// TestRefusedSettingsKeepTheirLine checks that the errors for invalid settings keep their text, without
+// the name of the file: operators' scripts match these lines.
 func TestRefusedSettingsKeepTheirLine(t *testing.T) {
 	for _, test := range []struct{ name, from, to, want string }{
 		{"value out of range", "nodes = 2", "nodes = 0", "settings.nodes: must be at least 1, is 0"},
