--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func (k *checker) atLeast0(field string, v float64) {
+func (k *checker) nonNegative(field string, v float64) {
 	if !(v >= 0) {
 		k.reject(field, "must not be negative, is %v", v)
 	}
@@ -60,7 +60,7 @@
 	k.positive("settings.workers.cancel_s", s.Workers.CancelS)
 	s.checkState(k)
 	k.positive("settings.cloud.rps", s.Cloud.RPS)
-	k.atLeast0("settings.cloud.list_lag_s", s.Cloud.ListLagS)
+	k.nonNegative("settings.cloud.list_lag_s", s.Cloud.ListLagS)
 	k.positive("settings.machine_limits.memory_mb", s.MachineLimits.MemoryMB)
 	if need := max(minConnections, c.ownSockets()+minServe); s.MachineLimits.MaxConnections < need {
 		k.reject("settings.machine_limits.max_connections",
@@ -105,10 +105,10 @@
 			k.reject(f+"name", "missing or given twice: %q", t.Name)
 		}
 		names[t.Name] = true
-		k.atLeast0(f+"cpus", t.CPUs)
-		k.atLeast0(f+"cpus_max", t.CPUsMax)
-		k.atLeast0(f+"gpus", t.GPUs)
-		k.atLeast0(f+"gpus_max", t.GPUsMax)
+		k.nonNegative(f+"cpus", t.CPUs)
+		k.nonNegative(f+"cpus_max", t.CPUsMax)
+		k.nonNegative(f+"gpus", t.GPUs)
+		k.nonNegative(f+"gpus_max", t.GPUsMax)
 	}
 }
 
@@ -117,9 +117,9 @@
 	k.positive("settings.state.write_rps", s.State.WriteRPS)
 	k.positive("settings.state.value_kb", s.State.ValueKB)
 	if n := s.State.Next; n != nil {
-		k.atLeast0("settings.state.next.rps", n.RPS)
-		k.atLeast0("settings.state.next.write_rps", n.WriteRPS)
-		k.atLeast0("settings.state.next.value_kb", n.ValueKB)
+		k.nonNegative("settings.state.next.rps", n.RPS)
+		k.nonNegative("settings.state.next.write_rps", n.WriteRPS)
+		k.nonNegative("settings.state.next.value_kb", n.ValueKB)
 		if n.TxnOps != 0 && n.TxnOps < minTxnOps {
 			k.reject("settings.state.next.txn_ops", "must be at least %d, is %d", minTxnOps, n.TxnOps)
 		}
