--- a/internal/admission/demand.go
+++ b/internal/admission/demand.go
@@ -175,8 +175,8 @@
 // Refused records that a submission was refused for lack of capacity.
 func (t *Tracker) Refused(now micros.Time) { t.refused.add(now) }
 
-// RefusedLately returns the number of submissions refused for lack of capacity in the recent period.
-func (t *Tracker) RefusedLately(now micros.Time) int64 { return t.refused.total(now) }
+// RecentRefusals returns the number of submissions refused for lack of capacity in the recent period.
+func (t *Tracker) RecentRefusals(now micros.Time) int64 { return t.refused.total(now) }
 
 // Demand returns the recent demand.
 func (t *Tracker) Demand(now micros.Time) Demand {
--- a/internal/coordination/admission_demand.go
+++ b/internal/coordination/admission_demand.go
@@ -21,7 +21,7 @@
 
 // refusedLately tells whether any controller refused a submission for lack of capacity of late.
 func (f *fairAdmission) refusedLately(now micros.Time) bool {
-	if f.tracker.RefusedLately(now) > 0 {
+	if f.tracker.RecentRefusals(now) > 0 {
 		return true
 	}
 	for _, peer := range f.peerDemands {
