--- a/internal/admission/view.go
+++ b/internal/admission/view.go
@@ -77,9 +77,9 @@
 	if e.Admits(f, id) {
 		return Verdict{Epoch: e.Number, Leader: e.Leader, Admit: true, Unrestricted: e.window(f).Width == Points}
 	}
-	turn := e.RetryDelay(f, id) - (now - v.validFrom)
-	if near := e.Length * exactRetryLengths; turn > near {
-		turn = near + (turn-near)*6/10
+	delay := e.RetryDelay(f, id) - (now - v.validFrom)
+	if near := e.Length * exactRetryLengths; delay > near {
+		delay = near + (delay-near)*6/10
 	}
-	return Verdict{Epoch: e.Number, Leader: e.Leader, RetryDelay: min(MaxRetryDelay, max(micros.Second, turn))}
+	return Verdict{Epoch: e.Number, Leader: e.Leader, RetryDelay: min(MaxRetryDelay, max(micros.Second, delay))}
 }
