--- a/internal/admission/epoch_test.go
+++ b/internal/admission/epoch_test.go
@@ -66,12 +66,12 @@
 		if e.Admits(f, ref) {
 			return
 		}
-		turn := e.RetryDelay(f, ref)
+		delay := e.RetryDelay(f, ref)
 		for n := micros.Time(1); ; n++ {
 			w = w.next(w.Width)
 			if epochOf(1, map[string]Window{f.Key(): w}, w).Admits(f, ref) {
-				if turn < n*e.Length || turn > (n+1)*e.Length {
-					t.Fatalf("admitted after %d epochs, but the retry delay was %d us", n, turn)
+				if delay < n*e.Length || delay > (n+1)*e.Length {
+					t.Fatalf("admitted after %d epochs, but the retry delay was %d us", n, delay)
 				}
 				return
 			}
