--- a/internal/admission/epoch_test.go
+++ b/internal/admission/epoch_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestWindowsCoverTheCircle checks that successive windows of any widths admit every job within the
+// TestWindowsCoverTheRing checks that successive windows of any widths admit every job within the
 // number of epochs that windows of the narrowest width need to cover the whole ring.
-func TestWindowsCoverTheCircle(t *testing.T) {
+func TestWindowsCoverTheRing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		least := rapid.Uint32Range(Points/40, Points).Draw(t, "least")
 		w := Window{Start: rapid.Uint32Range(0, Points-1).Draw(t, "start"), Width: least}
