--- a/internal/admission/view_test.go
+++ b/internal/admission/view_test.go
@@ -77,7 +77,7 @@
 		e.Leader, e.Written = leader, at
 		return record(e)
 	}
-	beyondCircle := record(epochOf(5, map[string]Window{"x": {Points, 1, 0}}, Window{0, 1, 0}))
+	beyondRing := record(epochOf(5, map[string]Window{"x": {Points, 1, 0}}, Window{0, 1, 0}))
 	forEver := strings.Replace(withWindow(5, Window{0, 1, 0}), `"v":12000000`, `"v":9000000000000`, 1)
 	for name, c := range map[string]struct {
 		raw  string
@@ -87,7 +87,7 @@
 		"another shape":  {`[1,2]`, ErrMalformed},
 		"no number":      {withWindow(0, Window{0, 1, 0}), ErrMalformed},
 		"no width":       {withWindow(5, Window{0, 0, 0}), ErrMalformed},
-		"beyond circle":  {beyondCircle, ErrMalformed},
+		"beyond circle":  {beyondRing, ErrMalformed},
 		"overlaps":       {withWindow(5, Window{0, Points, 1}), ErrMalformed},
 		"for ever":       {forEver, ErrMalformed},
 		"older number":   {withWindow(3, Window{0, 1, 0}), ErrContradictory},
