--- a/internal/admission/view_test.go
+++ b/internal/admission/view_test.go
@@ -83,17 +83,17 @@
 		raw  string
 		want error
 	}{
-		"not JSON":       {`{"n":`, ErrMalformed},
-		"another shape":  {`[1,2]`, ErrMalformed},
-		"no number":      {withWindow(0, Window{0, 1, 0}), ErrMalformed},
-		"no width":       {withWindow(5, Window{0, 0, 0}), ErrMalformed},
-		"beyond circle":  {beyondRing, ErrMalformed},
-		"overlaps":       {withWindow(5, Window{0, Points, 1}), ErrMalformed},
-		"for ever":       {forEver, ErrMalformed},
-		"older number":   {withWindow(3, Window{0, 1, 0}), ErrContradictory},
-		"same number":    {writtenBy(4, 5, wall+1), ErrContradictory},
-		"older leader":   {writtenBy(9, 4, wall), ErrContradictory},
-		"written before": {writtenBy(9, 6, wall-60*micros.Second), ErrStale},
+		"not JSON":        {`{"n":`, ErrMalformed},
+		"another shape":   {`[1,2]`, ErrMalformed},
+		"no number":       {withWindow(0, Window{0, 1, 0}), ErrMalformed},
+		"no width":        {withWindow(5, Window{0, 0, 0}), ErrMalformed},
+		"beyond the ring": {beyondRing, ErrMalformed},
+		"overlaps":        {withWindow(5, Window{0, Points, 1}), ErrMalformed},
+		"for ever":        {forEver, ErrMalformed},
+		"older number":    {withWindow(3, Window{0, 1, 0}), ErrContradictory},
+		"same number":     {writtenBy(4, 5, wall+1), ErrContradictory},
+		"older leader":    {writtenBy(9, 4, wall), ErrContradictory},
+		"written before":  {writtenBy(9, 6, wall-60*micros.Second), ErrStale},
 	} {
 		var v View
 		if err := v.Observe(encode(t, good), 0, 0, wall, 0); err != nil {
