--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -131,9 +131,9 @@
 	}
 }
 
-// TestLimitsToCome checks that the smaller of current and upcoming limits applies from the start, and
+// TestUpcomingLimits checks that the smaller of current and upcoming limits applies from the start, and
 // that invalid upcoming limits are rejected.
-func TestLimitsToCome(t *testing.T) {
+func TestUpcomingLimits(t *testing.T) {
 	withNext := func(limits string) []byte {
 		return []byte(strings.Replace(good, "[settings.cloud]", "[settings.state.next]\n"+limits+"\n[settings.cloud]", 1))
 	}
