--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -40,10 +40,10 @@
 // minServe is the minimum number of sockets for inbound connections of agents and users.
 const minServe = 4
 
-// ownSockets returns the number of sockets needed for listeners, peers and the minimum of outbound
+// minReservedSockets returns the number of sockets needed for listeners, peers and the minimum of outbound
 // calls: two listeners, one outbound and several inbound connections for each peer, and calls to
 // agents, the key-value store and the cloud.
-func (c *Config) ownSockets() int { return 1 + 5*len(c.Peers) + 2 + 4 }
+func (c *Config) minReservedSockets() int { return 1 + 5*len(c.Peers) + 2 + 4 }
 
 // Sockets divides max_connections by use. Outbound connections get a small, bounded part, so that
 // every agent of the fleet finds a socket for its heartbeats even if all connect to one controller.
--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -62,7 +62,7 @@
 	k.positive("settings.cloud.rps", s.Cloud.RPS)
 	k.nonNegative("settings.cloud.list_lag_s", s.Cloud.ListLagS)
 	k.positive("settings.machine_limits.memory_mb", s.MachineLimits.MemoryMB)
-	if need := max(minConnections, c.ownSockets()+minServe); s.MachineLimits.MaxConnections < need {
+	if need := max(minConnections, c.minReservedSockets()+minServe); s.MachineLimits.MaxConnections < need {
 		k.reject("settings.machine_limits.max_connections",
 			"must be at least %d for the controllers themselves, is %d", need, s.MachineLimits.MaxConnections)
 	}
