--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -87,9 +87,9 @@
 		return
 	}
 	c.log(messages.LevelDebug, "admission verdict", "job", job.ID, "epoch", verdict.Epoch, "leader", verdict.Leader,
-		"admit", verdict.Admit, "turn_ms", verdict.Turn/micros.Millisecond)
+		"admit", verdict.Admit, "turn_ms", verdict.RetryDelay/micros.Millisecond)
 	if !verdict.Admit {
-		c.deferSubmission(request, job, verdict.Turn)
+		c.deferSubmission(request, job, verdict.RetryDelay)
 		return
 	}
 	f.tracker.Admitted(c.now, flow)
@@ -100,7 +100,7 @@
 // whose whole demand is admitted may overdraw the request budget; otherwise it would lose its share to
 // flows of which only a part is admitted.
 func admittedUrgency(verdict admission.Verdict) storage.Urgency {
-	if verdict.Whole {
+	if verdict.Unrestricted {
 		return storage.Urgent
 	}
 	return storage.Prompt
@@ -111,7 +111,7 @@
 // accepted before is answered with its state.
 func (c *Core) deferSubmission(request messages.RequestID, job *workload.Job, turn micros.Time) {
 	c.respondStatusOr(request, job.ID, func() {
-		c.fairAdmission.tracker.ComeBack(c.now, flowOf(job), job.ID, turn)
+		c.fairAdmission.tracker.Deferred(c.now, flowOf(job), job.ID, turn)
 		c.respond(messages.Response{
 			Request:    request,
 			Kind:       messages.Overloaded,
--- a/internal/coordination/admission_demand.go
+++ b/internal/coordination/admission_demand.go
@@ -21,7 +21,7 @@
 
 // recentlyRefused reports whether any controller recently refused a submission for lack of capacity.
 func (f *fairAdmission) recentlyRefused(now micros.Time) bool {
-	if f.tracker.RefusedLately(now) > 0 {
+	if f.tracker.RecentRefusals(now) > 0 {
 		return true
 	}
 	for _, peer := range f.peerDemands {
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -120,8 +120,8 @@
 				t.Fatalf("responses %+v, want one of kind %d", responses, test.want)
 			}
 			after := responses[0].RetryAfter
-			if test.want == messages.Overloaded && (after < micros.Second || after > admission.MaxTurn) {
-				t.Errorf("retry after %d µs, want %d to %d", after, micros.Second, admission.MaxTurn)
+			if test.want == messages.Overloaded && (after < micros.Second || after > admission.MaxRetryDelay) {
+				t.Errorf("retry after %d µs, want %d to %d", after, micros.Second, admission.MaxRetryDelay)
 			}
 		})
 	}
