--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -10,21 +10,21 @@
 	"pipitlatch/internal/workload"
 )
 
-// dependencyGraph is which active jobs depend on which. What a job depends on never changes, so
-// that whether it may start, and whether it is cancelled with a dependency, are functions of the
-// records, whatever the order in which they come.
+// dependencyGraph tracks the dependencies between active jobs. A job's dependencies never change,
+// so whether it may start and whether it is cancelled by a dependency depend only on the records,
+// not on the order in which they arrive.
 type dependencyGraph struct {
-	// Dependents are the active jobs that depend on a job, by the id of that job.
+	// Dependents maps a job ID to the active jobs that depend on that job.
 	Dependents map[string]map[string]bool
-	// ArchivedPhases is what became of dependencies whose records were moved to the archive.
+	// ArchivedPhases maps dependencies whose records were archived to their final phases.
 	ArchivedPhases map[string]workload.Phase
 
-	unresolved      map[string]bool                   // dependencies with neither a record nor a known outcome
-	dependencyParts map[string]map[int]dependencyPart // by job and name of the list, then by number
-	affected        []string                          // jobs for which another job changed something
+	unresolved      map[string]bool                   // dependencies with neither a cached record nor a known phase
+	dependencyParts map[string]map[int]dependencyPart // by job ID and list name, then by part number
+	affected        []string                          // jobs whose state changed because of another job
 }
 
-// dependencyPart is a part of a list of dependencies that did not fit the record of its job.
+// dependencyPart is one part of a dependency list that did not fit into its job's record.
 type dependencyPart struct {
 	ids         []string
 	modRevision uint64
@@ -39,15 +39,16 @@
 	}
 }
 
-// TakeAffected returns the jobs for which, since the last call, something changed because another
-// job did: they may start now, or are cancelled.
+// TakeAffected returns and clears the jobs whose state changed because of another job since the
+// last call: they may be ready to start, or are cancelled.
 func (c *Cache) TakeAffected() []string {
 	affected := c.affected
 	c.affected = nil
 	return affected
 }
 
-// trackDependencies updates the graph after a job's record, or a part of its list, has come.
+// trackDependencies updates the graph after a job's record or a part of its dependency list has
+// arrived.
 func (c *Cache) trackDependencies(id string, entry *JobEntry) {
 	if entry.Job.Phase != workload.Active {
 		c.untrackDependencies(id, entry)
@@ -74,8 +75,8 @@
 	}
 }
 
-// assembleDependencies puts a job's list of dependencies together from its record or from the
-// parts it was stored in. It returns false while parts are missing.
+// assembleDependencies builds a job's dependency list from its record or from the parts in which
+// it is stored. It returns false while parts are missing.
 func (c *Cache) assembleDependencies(id string, entry *JobEntry) bool {
 	entry.Dependencies, entry.DependenciesIncomplete = entry.Job.DependsOn, false
 	count := entry.Job.DependencyParts
@@ -93,7 +94,7 @@
 	return true
 }
 
-// untrackDependencies takes a job that ended out of the graph.
+// untrackDependencies removes a job that has ended from the graph.
 func (c *Cache) untrackDependencies(id string, entry *JobEntry) {
 	for _, dependency := range entry.Dependencies {
 		delete(c.Dependents[dependency], id)
@@ -109,7 +110,7 @@
 	}
 }
 
-// notifyDependents passes on to the jobs that depend on a job that it is done or cancelled.
+// notifyDependents propagates the completion or cancellation of a job to its dependents.
 func (c *Cache) notifyDependents(id string, cancelled bool) {
 	for dependent := range c.Dependents[id] {
 		if cancelled {
@@ -120,7 +121,8 @@
 	}
 }
 
-// cancelWithDependents marks a job as cancelled with a dependency, and all that depend on it.
+// cancelWithDependents marks a job and its direct and indirect dependents as cancelled by a
+// dependency. It is iterative, because dependency chains can be long.
 func (c *Cache) cancelWithDependents(id string) {
 	pending := []string{id}
 	for len(pending) > 0 {
@@ -145,8 +147,8 @@
 	return c.ArchivedPhases[id] == workload.Cancelled
 }
 
-// jobRemoved notes that a job's record was moved to the archive: what became of the job stays
-// known while an unfinished job depends on it.
+// jobRemoved updates the graph after a job's record was moved to the archive. The job's final phase
+// is kept while an unfinished job depends on it.
 func (c *Cache) jobRemoved(id string, entry *JobEntry) {
 	c.untrackDependencies(id, entry)
 	if len(c.Dependents[id]) > 0 && entry.Job.Phase != workload.Active {
@@ -154,7 +156,8 @@
 	}
 }
 
-// Resolve tells what became of a dependency that is not cached, as its archived record says.
+// Resolve sets the final phase of a dependency that is not cached, as read from its archived
+// record.
 func (c *Cache) Resolve(id string, phase workload.Phase) {
 	if len(c.Dependents[id]) == 0 || phase == workload.Active {
 		return
@@ -164,8 +167,8 @@
 	c.notifyDependents(id, phase == workload.Cancelled)
 }
 
-// Blocked tells whether a job has to wait for dependencies, and names one whose outcome is not
-// known here, if there is one.
+// Blocked reports whether a job has to wait for its dependencies. If the phase of a dependency is
+// not known to this controller, it returns that dependency's ID as unresolved.
 func (c *Cache) Blocked(entry *JobEntry) (blocked bool, unresolved string) {
 	if entry.DependenciesIncomplete {
 		return true, ""
@@ -187,9 +190,9 @@
 	return blocked, ""
 }
 
-// Unresolved lists the dependencies of a job, direct or not, whose records were archived before
-// this controller learned what became of them. Until they are read nobody can tell whether the
-// job is cancelled with one of them.
+// Unresolved returns the direct and indirect dependencies of a job whose records were archived
+// before this controller learned their phases. Until their archived records are read, it is unknown
+// whether one of them cancels the job.
 func (c *Cache) Unresolved(id string) []string {
 	if len(c.unresolved) == 0 {
 		return nil
@@ -217,8 +220,8 @@
 	return unresolved
 }
 
-// applyDependencyPart takes a part of a job's list of dependencies. It is written before the
-// job's record; in a snapshot it comes after.
+// applyDependencyPart applies one part of a job's dependency list. Parts are written before the
+// job's record, but follow it in a snapshot.
 func (c *Cache) applyDependencyPart(id string, item Item) (changed bool, err error) {
 	list, n, err := parseDependencyPart(id)
 	if err != nil {
@@ -246,8 +249,8 @@
 	return true, nil
 }
 
-// parseDependencyPart splits what follows the kind in the key of a part of a list into the list,
-// which is the job's id and the list's name, and the number of the part.
+// parseDependencyPart splits the part of a dependency part's key after the kind into the list, which
+// consists of job ID and list name, and the part number.
 func parseDependencyPart(id string) (list string, n int, err error) {
 	at := strings.LastIndexByte(id, '/')
 	if at < 0 {
@@ -257,8 +260,9 @@
 	return id[:at], n, err
 }
 
-// OrphanedDependencyParts are the keys of parts of lists that no unfinished job has, and that are
-// not newer than a revision: those of a job that ended, or of a submission that was cut off.
+// OrphanedDependencyParts returns the keys of up to limit dependency parts that belong to no
+// unfinished job and are not newer than a revision. They are left by jobs that have ended and by
+// interrupted submissions.
 func (c *Cache) OrphanedDependencyParts(revision uint64, limit int) []string {
 	var keys []string
 	for list, parts := range c.dependencyParts {
@@ -273,8 +277,9 @@
 			}
 		}
 	}
-	// The first part of a list goes before the others, or with them. A job's record requires it,
-	// so that one which is written late can't refer to a list with a gap.
+	// The first part of a list is deleted before the others or together with them. The transaction
+	// that writes a job's record requires the first part, so that a late write can't refer to an
+	// incomplete list.
 	slices.Sort(keys)
 	return keys[:min(limit, len(keys))]
 }
