--- a/internal/storage/apply.go
+++ b/internal/storage/apply.go
@@ -10,15 +10,15 @@
 	"pipitlatch/internal/workload"
 )
 
-// Change tells which record an applied item changed.
+// Change identifies the record that an applied item changed.
 type Change struct {
 	Kind     RecordKind
-	ID       string   // what follows the kind in the key; for completed segments the job
-	Machines []string // for a block: the machines that it has, and had before
+	ID       string   // part of the key after the kind; for completed segments the job ID
+	Machines []string // for a block: its current and previous machines
 }
 
-// Apply takes one item of the snapshot or of the change stream. Items that are not newer than what
-// is cached are passed over, so that the pages of a snapshot and the stream may overlap.
+// Apply applies one item of the snapshot or of the change stream. Items that are not newer than the
+// cached record are ignored, so that snapshot pages and the change stream may overlap.
 func (c *Cache) Apply(item Item) (change Change, changed bool, err error) {
 	rest, ok := strings.CutPrefix(item.Key, c.Keys.Prefix)
 	if !ok {
@@ -66,10 +66,10 @@
 	case FormatRecord:
 		return c.applyFormat(item)
 	}
-	return false, nil // a kind of a newer version
+	return false, nil // a record kind of a newer version
 }
 
-// applyTo stores an item's record in a map unless the map has a newer one.
+// applyTo stores an item's record in a map unless the map holds a record at least as new.
 func applyTo[K comparable, T any](records map[K]Versioned[T], key K, item Item) (changed bool, err error) {
 	if records[key].ModRevision >= item.ModRevision {
 		return false, nil
@@ -103,7 +103,8 @@
 	return true, nil
 }
 
-// applyMember takes a member's registration, and the format of records that its version writes.
+// applyMember applies a member's registration, including the newest record format that the member
+// supports.
 func (c *Cache) applyMember(member string, item Item) (changed bool, err error) {
 	changed, err = applyTo(c.Members, member, item)
 	if !changed {
@@ -125,7 +126,7 @@
 	return applyTo(c.Partitions, n, item)
 }
 
-// applyFormat takes the format of records that may be written, which only grows.
+// applyFormat applies the record format that may be written, which never decreases.
 func (c *Cache) applyFormat(item Item) (changed bool, err error) {
 	if item.Deleted {
 		return false, nil
@@ -141,7 +142,7 @@
 	return changed, nil
 }
 
-// applyAdmission takes the record of the admission epoch, whatever is in it.
+// applyAdmission stores the admission epoch's record without parsing it.
 func (c *Cache) applyAdmission(item Item) (changed bool) {
 	if c.Admission.ModRevision >= item.ModRevision {
 		return false
@@ -162,7 +163,7 @@
 	return true, nil
 }
 
-// applyCatalogPart takes a part of the catalog and puts the catalog together anew.
+// applyCatalogPart applies one part of the catalog and rebuilds the catalog from all parts.
 func (c *Cache) applyCatalogPart(item Item) (changed bool, err error) {
 	changed, err = applyTo(c.catalogParts, item.Key, item)
 	if !changed {
@@ -176,7 +177,7 @@
 	return true, nil
 }
 
-// CatalogPartRevision is the mod revision of a part of the catalog, 0 if there is none.
+// CatalogPartRevision returns the mod revision of a catalog part, or 0 if it does not exist.
 func (c *Cache) CatalogPartRevision(n int) uint64 {
 	return c.catalogParts[c.Keys.CatalogPart(n)].ModRevision
 }
