--- a/internal/storage/apply_blocks.go
+++ b/internal/storage/apply_blocks.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// applyBlock takes a block's record and tells which machines it touched.
+// applyBlock applies a block's record and returns the machines that it affects.
 func (c *Cache) applyBlock(name string, item Item) (machines []string, changed bool, err error) {
 	old := c.Blocks[name].Value.Machines
 	changed, err = applyTo(c.Blocks, name, item)
@@ -11,8 +11,8 @@
 	}
 	block := c.Blocks[name].Value // the zero record if it was deleted
 	for machine := range old {
-		// A move to another block is one transaction: the other record may have come first, and
-		// owns the machine then.
+		// A move to another block is a single transaction. If the other block's record was applied
+		// first, the machine already belongs to that block.
 		if _, ok := block.Machines[machine]; !ok && c.Machines[machine].Value.Block == name {
 			delete(c.Machines, machine)
 			c.findInOtherBlock(machine)
@@ -20,8 +20,8 @@
 		}
 	}
 	for machine, record := range block.Machines {
-		// Two records have the machine while it moves, or because an older version adopted an
-		// instance that was being requested: it may have tasks if either says so.
+		// Two records list the machine while it moves, or because an older version adopted an
+		// instance that was being requested. It may have tasks if either record says so.
 		if cached, ok := c.Machines[machine]; ok && cached.Value.Block != name && cached.Value.Used {
 			record.Used = true
 		}
@@ -32,7 +32,8 @@
 	return machines, true, nil
 }
 
-// findInOtherBlock looks for a machine in the records of the blocks other than the one that it left.
+// findInOtherBlock restores a machine from another block that lists it, after its former block no
+// longer does.
 func (c *Cache) findInOtherBlock(machine string) {
 	for name, block := range c.Blocks {
 		if record, ok := block.Value.Machines[machine]; ok {
