--- a/internal/storage/apply_jobs.go
+++ b/internal/storage/apply_jobs.go
@@ -6,7 +6,7 @@
 	"pipitlatch/internal/workload"
 )
 
-// applyJob takes a job's record, and what came before it: its completed segments.
+// applyJob applies a job's record, and the job's completed segments that arrived before it.
 func (c *Cache) applyJob(id string, item Item) (changed bool, err error) {
 	entry := c.Jobs[id]
 	if entry != nil && entry.ModRevision >= item.ModRevision {
@@ -42,7 +42,7 @@
 	return true, nil
 }
 
-// applyCompleted takes the completed tasks of one segment of a job.
+// applyCompleted applies the completed tasks of one segment of a job.
 func (c *Cache) applyCompleted(id string, segment int, item Item) (changed bool, err error) {
 	entry := c.Jobs[id]
 	if entry == nil {
@@ -64,8 +64,8 @@
 	return true, entry.Completed.AddRanges(segment, ranges)
 }
 
-// keepForJob keeps a completed segment until the record of its job comes: in a snapshot the keys
-// of completed segments sort before those of jobs.
+// keepForJob buffers a completed segment until its job's record arrives: in a snapshot the keys of
+// completed segments sort before those of jobs.
 func (c *Cache) keepForJob(id string, segment int, item Item) {
 	if c.completedBeforeJob[id] == nil {
 		c.completedBeforeJob[id] = map[int]Item{}
