--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -8,8 +8,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// Cache is a controller's copy of the key-value store, built from one snapshot and one ordered
-// stream of changes.
+// Cache is a controller's local copy of the key-value store, built from a snapshot and the ordered
+// change stream.
 type Cache struct {
 	Keys          Keys
 	Revision      uint64
@@ -20,21 +20,22 @@
 	Blocks        map[string]Versioned[BlockRecord] // by name
 	Machines      map[string]Versioned[Machine]     // of all blocks
 	Jobs          map[string]*JobEntry
-	Archived      bool // jobs that ended long ago were moved out of Jobs into the archive
+	Archived      bool // the store holds archived jobs, which are not in Jobs
 
-	// Admission is the record of the admission epoch as it is stored; package admission parses it.
+	// Admission is the unparsed record of the admission epoch; package admission parses it.
 	Admission Versioned[json.RawMessage]
 
-	MemberFormats map[string]int // by member: the format of records that its version writes
-	Format        int            // the format that may be written
+	MemberFormats map[string]int // by member: the newest record format that its version writes
+	Format        int            // the record format that may be written
 
 	dependencyGraph
 	catalogParts map[string]Versioned[workload.Catalog] // by key
-	// completedBeforeJob are completed segments that came before the record of their job.
+	// completedBeforeJob holds completed segments that arrived before their job's record, by job ID
+	// and segment.
 	completedBeforeJob map[string]map[int]Item
 }
 
-// NewCache returns an empty cache of the records below the keys' prefix.
+// NewCache returns an empty cache of the records under the prefix of keys.
 func NewCache(keys Keys) *Cache {
 	return &Cache{
 		Keys:               keys,
@@ -50,24 +51,24 @@
 	}
 }
 
-// SnapshotComplete ends the loading of a snapshot: completed segments whose job does not exist
-// are dropped.
+// SnapshotComplete finishes loading a snapshot: it drops completed segments whose job does not
+// exist.
 func (c *Cache) SnapshotComplete() { clear(c.completedBeforeJob) }
 
-// Live tells whether a process is registered.
+// Live reports whether a process is registered.
 func (c *Cache) Live(p Process) bool {
 	v, ok := c.Members[p.Member]
 	return ok && v.Value == p
 }
 
-// Dead tells whether a process has surely ended: a newer process of the same member is
-// registered. A missing registration only shows that the member lease expired.
+// Dead reports whether a process is certain to have ended, because another process of the same
+// member is registered. A missing registration only shows that the member lease expired.
 func (c *Cache) Dead(p Process) bool {
 	v, ok := c.Members[p.Member]
 	return ok && v.Value != p
 }
 
-// LiveMembers are the registered processes in order of their names.
+// LiveMembers returns the registered processes, sorted by member name.
 func (c *Cache) LiveMembers() []Process {
 	members := make([]Process, 0, len(c.Members))
 	for _, v := range c.Members {
