--- a/internal/storage/rate_limiter.go
+++ b/internal/storage/rate_limiter.go
@@ -3,18 +3,18 @@
 import "pipitlatch/internal/micros"
 
 const (
-	// milli is the unit of the buckets: thousandths of a request or of a change.
+	// milli is the scale of the buckets, which count thousandths of a request or change.
 	milli = 1000
-	// usablePerMille is the part of the store's limits that is used, in thousandths: the
-	// clocks of store and controllers differ.
+	// usablePerMille is the fraction of the store's limits that is used, in thousandths. The rest
+	// is a margin for clock differences between the store and the controllers.
 	usablePerMille = 950
-	// minWriteBurst lets one transaction of the usual size pass at once, however low the rate.
+	// minWriteBurst allows a transaction of the usual size to be sent at once, however low the rate.
 	minWriteBurst = 12 * milli
 )
 
-// RateLimiter keeps this controller within its share of the key-value store's limits: an even
-// share, and what the other controllers leave unused. Requests and changes have a token bucket
-// each.
+// RateLimiter keeps this controller within its share of the key-value store's rate limits: an equal
+// share plus capacity that the other controllers leave unused. Requests and changes have separate
+// token buckets.
 type RateLimiter struct {
 	requests   bucket
 	writes     bucket
@@ -25,16 +25,16 @@
 	recent    Usage
 }
 
-// Usage is what a controller recently used of the limits, in thousandths a second.
+// Usage is a controller's recent use of the limits, in thousandths per second.
 type Usage struct{ Requests, Writes int64 }
 
-// Urgency is how far a request may overdraw the limit.
+// Urgency determines how far a request may overdraw the limit.
 type Urgency uint8
 
-// Deferrable requests wait for their turn. Prompt ones, users' that are refused otherwise, may
-// overdraw the limit by half a second's worth, Urgent ones by a whole second's: three controllers
-// that overdraw by that much for their users at once have the store refuse what the leaders
-// write. Critical is for what ends an overload.
+// Deferrable requests may not overdraw the limit. Prompt requests, which serve users and are refused
+// otherwise, may overdraw it by half a second's worth and Urgent requests by a full second's. If
+// three controllers overdraw by a full second's worth for their users at once, the store refuses the
+// leaders' writes. Critical requests, which end an overload, may overdraw by a second and a half's.
 const (
 	Deferrable Urgency = iota
 	Prompt
@@ -42,11 +42,11 @@
 	Critical
 )
 
-// overdraftQuarters is by how many quarters of a second's worth a request may overdraw the limit.
+// overdraftQuarters is the permitted overdraft, in quarters of a second's worth of the limit.
 var overdraftQuarters = [...]int64{Deferrable: 0, Prompt: 2, Urgent: 4, Critical: 6}
 
-// NewRateLimiter shares the store's limits, in requests and changes a second, evenly among the
-// controllers.
+// NewRateLimiter returns a limiter for one of several controllers, which initially share the
+// store's limits, in requests and changes per second, equally.
 func NewRateLimiter(requestRate, writeRate float64, controllers int) *RateLimiter {
 	return &RateLimiter{
 		requests: newBucket(requestRate, controllers),
@@ -54,20 +54,22 @@
 	}
 }
 
-// SetPeerUsage tells what the other controllers recently used. What they leave may be used here,
-// but for a reserve that lets them begin to use more.
+// SetPeerUsage sets the recent usage of the other controllers. This controller may use what they
+// leave unused, except for a reserve that allows them to increase their usage.
 func (l *RateLimiter) SetPeerUsage(peers Usage) {
 	l.requests.leaveToPeers(peers.Requests)
 	l.writes.leaveToPeers(peers.Writes)
 }
 
-// TotalWriteRate is how many changes a second all controllers may make, in thousandths.
+// TotalWriteRate returns the rate of changes permitted to all controllers together, in thousandths
+// per second.
 func (l *RateLimiter) TotalWriteRate() int64 { return l.writes.total }
 
-// RecentUsage is what this controller recently used.
+// RecentUsage returns this controller's usage over the last measured interval.
 func (l *RateLimiter) RecentUsage() Usage { return l.recent }
 
-// Allow tells whether a request with a number of changes may be sent now, and counts it if so.
+// Allow reports whether a request with the given number of changes may be sent now, and if so
+// charges it to the buckets.
 func (l *RateLimiter) Allow(now micros.Time, writes int, urgency Urgency) bool {
 	l.refill(now)
 	l.measureUsage(now)
@@ -107,11 +109,11 @@
 	l.used, l.usedSince = Usage{}, now
 }
 
-// bucket is a token bucket in thousandths, and thousandths a second.
+// bucket is a token bucket. Its level is in thousandths, its rates are in thousandths per second.
 type bucket struct {
-	total int64 // rate of all controllers
-	even  int64 // an even share of it
-	rate  int64 // the share now
+	total int64 // rate of all controllers together
+	even  int64 // an equal share of total
+	rate  int64 // current share of this controller
 	level int64 // negative while overdrawn
 }
 
@@ -130,7 +132,7 @@
 	b.level = min(burst, b.level+b.rate*elapsed/micros.Second)
 }
 
-// covers tells whether a cost may be taken out, overdrawn as far as its urgency allows.
+// covers reports whether a cost can be charged without exceeding the overdraft of its urgency.
 func (b *bucket) covers(cost int64, urgency Urgency) bool {
 	lowest := -b.rate * overdraftQuarters[urgency] / 4
 	return b.level-cost >= lowest
