--- a/internal/storage/request.go
+++ b/internal/storage/request.go
@@ -1,6 +1,7 @@
-// Package storage is the controllers' view of the key-value store: keys, records, requests and
-// compare-and-swap transactions, the local cache fed by a snapshot and the change stream, and the
-// rate limiter of requests. It performs no I/O: requests are handed out and replies handed in.
+// Package storage implements the controllers' view of the key-value store: keys, records, requests
+// and compare-and-swap transactions, the local cache built from a snapshot and the change stream, and
+// the rate limiter for requests. It performs no I/O: callers send the requests and pass in the
+// replies.
 package storage
 
 import (
@@ -15,20 +16,21 @@
 // The kinds of requests.
 const (
 	Get            RequestKind = iota // one key
-	List                              // a page of the keys below a prefix
+	List                              // a page of the keys under a prefix
 	Txn                               // a compare-and-swap transaction
 	LeaseGrant                        // a new lease
 	LeaseKeepAlive                    // renews a lease
-	Watch                             // waits for changes below a prefix
+	Watch                             // waits for changes under a prefix
 )
 
-// Compare is a guard of a transaction: it requires a key to have a mod revision; 0: not to exist.
+// Compare is a precondition of a transaction: the key has the given mod revision, or does not exist
+// if the revision is 0.
 type Compare struct {
 	Key         string
 	ModRevision uint64
 }
 
-// Put sets a key. A key that is attached to a lease is deleted when the lease expires; 0: no lease.
+// Put sets a key. If Lease is not 0, the key is deleted when that lease expires.
 type Put struct {
 	Key   string
 	Value json.RawMessage
@@ -40,8 +42,8 @@
 	Kind RequestKind
 	Key  string // Get: the key; List, Watch: the prefix
 
-	After string // List: the last key of the page before
-	Limit int    // List: keys in a page at most
+	After string // List: the last key of the previous page
+	Limit int    // List: maximum number of keys in a page
 
 	Revision uint64      // Watch: changes after this revision
 	Wait     micros.Time // Watch: how long to wait for the first change
@@ -49,37 +51,38 @@
 	TTL   micros.Time // LeaseGrant
 	Lease uint64      // LeaseKeepAlive
 
-	// Txn: all puts and deletes, if all compares hold; otherwise nothing.
+	// Txn: all puts and deletes are applied if all compares hold, otherwise none.
 	Compares []Compare
 	Puts     []Put
 	Deletes  []string
 }
 
-// Writes is how many changes the request counts as for the rate limit.
+// Writes returns the number of changes that the request counts as for the rate limit.
 func (r *Request) Writes() int { return len(r.Puts) + len(r.Deletes) }
 
-// Outcome is what became of a request.
+// Outcome is the result of a request.
 type Outcome uint8
 
 // The outcomes.
 const (
 	OK Outcome = iota
-	// Conflict: a compare of the transaction did not hold; nothing was changed.
+	// Conflict means that a compare of the transaction did not hold and nothing was changed.
 	Conflict
 	NotFound
-	// Compacted: the changes after the revision of a watch are not kept any more.
+	// Compacted means that the store no longer keeps all changes after the watch's revision.
 	Compacted
 	LeaseNotFound
-	// Unavailable: the request was surely not executed, and may be sent again.
+	// Unavailable means that the request was definitely not executed and may be retried.
 	Unavailable
-	// Invalid: the store calls the request malformed or too large. It was not executed, and would
-	// not be if it were sent again as it is.
+	// Invalid means that the store rejected the request as malformed or too large. It was not
+	// executed, and retrying it unchanged would fail again.
 	Invalid
-	// OutcomeUnknown: no reply came. The request may have been, or may still be, executed.
+	// OutcomeUnknown means that no reply arrived. The request may have been executed, or may still
+	// be.
 	OutcomeUnknown
 )
 
-// Item is a key with its value and mod revision, as read or as changed.
+// Item is a key with its value and mod revision, from a read or from the change stream.
 type Item struct {
 	Key         string
 	Value       json.RawMessage
@@ -90,8 +93,8 @@
 // Reply is the key-value store's reply to a request.
 type Reply struct {
 	Outcome  Outcome
-	Revision uint64 // of the store when it replied
+	Revision uint64 // the store's revision when it replied
 	Lease    uint64 // LeaseGrant
-	Items    []Item // Get: one; List: a page; Watch: the changes in order
-	More     bool   // List: there are further pages
+	Items    []Item // Get: one item; List: a page; Watch: the changes in order
+	More     bool   // List: more pages follow
 }
