--- a/internal/storage/cache_test.go
+++ b/internal/storage/cache_test.go
@@ -6,7 +6,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// TestApplyIgnoresOlderItems: the pages of a snapshot and the stream may overlap.
+// TestApplyIgnoresOlderItems guards against an older item replacing a newer record when snapshot
+// pages and the change stream overlap.
 func TestApplyIgnoresOlderItems(t *testing.T) {
 	k := Keys{Prefix: "pl/"}
 	c := NewCache(k)
@@ -17,8 +18,9 @@
 	}
 }
 
-// TestCompletedSegmentsBeforeTheirJob: in a snapshot completed segments come before their job, and
-// those of a job that does not exist are dropped at its end.
+// TestCompletedSegmentsBeforeTheirJob checks that completed segments, which precede their job in a
+// snapshot, are applied once the job arrives, and that segments of a job that does not exist are
+// dropped at the end of the snapshot.
 func TestCompletedSegmentsBeforeTheirJob(t *testing.T) {
 	k := Keys{Prefix: "pl/"}
 	c := NewCache(k)
@@ -32,12 +34,12 @@
 	}
 	put(t, c, 5, k.Job("wk-2"), &workload.Job{ID: "wk-2", Tasks: 4})
 	if c.Jobs["wk-2"].Completed != nil {
-		t.Error("a segment of before the job was kept beyond the end of the snapshot")
+		t.Error("a completed segment without a job was kept after the end of the snapshot")
 	}
 }
 
-// TestMachineMovesBetweenBlocks: whichever block's record comes first, the machine is kept, and
-// whether it may have tasks is not forgotten.
+// TestMachineMovesBetweenBlocks guards against losing a machine that moves between blocks when
+// either block's record is applied first, and against losing its Used flag.
 func TestMachineMovesBetweenBlocks(t *testing.T) {
 	k := Keys{Prefix: "pl/"}
 	used := BlockRecord{Partition: 0, Machines: map[string]MachineRecord{"vm-1": {Used: true}}}
@@ -58,7 +60,7 @@
 				t.Errorf("machine %+v, want it in block b of partition 1", got)
 			}
 			if newFirst && !got.Used {
-				t.Error("the machine may have tasks, and counts as unused")
+				t.Error("the machine may have tasks but is marked as unused")
 			}
 		})
 	}
@@ -70,14 +72,14 @@
 	c := NewCache(k)
 	put(t, c, 1, k.Member("node-1"), Registration{Process: first, Format: Format})
 	if !c.Live(first) || c.Dead(first) {
-		t.Error("the registered process does not count as live")
+		t.Error("the registered process is not reported as live")
 	}
 	put(t, c, 2, k.Member("node-1"), nil)
 	if c.Live(first) || c.Dead(first) {
-		t.Error("without a registration the process is neither live nor surely dead")
+		t.Error("a process without a registration is reported as live or dead")
 	}
 	put(t, c, 3, k.Member("node-1"), Registration{Process: second})
 	if !c.Dead(first) || !c.Live(second) || c.MemberFormats["node-1"] != 0 {
-		t.Error("a newer process of the member does not show that the first one is dead")
+		t.Error("after a newer process of the member registered: want the first one dead, the second one live, format 0")
 	}
 }
