--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -23,9 +23,10 @@
 	return &workload.Job{ID: id, Tasks: 1, Phase: phase, DependsOn: dependencies}
 }
 
-// TestDependenciesInAnyOrder: what a job may do is the same whatever the order in which records
-// come, since a snapshot does not have that of the stream; and a dependency that was archived, as
-// before a submission whose transaction was carried out minutes late, is unresolved until it is read.
+// TestDependenciesInAnyOrder checks that the dependency state of a job does not depend on the order
+// in which records arrive, because a snapshot orders them differently from the change stream. A
+// dependency that was archived before the job's record arrived, for example because the submission's
+// transaction was executed minutes late, is unresolved until its archived record is read.
 func TestDependenciesInAnyOrder(t *testing.T) {
 	k := Keys{"pl/"}
 	for _, first := range []bool{true, false} {
@@ -46,11 +47,11 @@
 		r.TakeAffected()
 		r.Resolve("wk-0", workload.Done)
 		if blocked, _ := r.Blocked(e); blocked || len(r.TakeAffected()) != 1 {
-			t.Error("still blocked, or nobody told")
+			t.Error("wk-2 is still blocked, or is not the only affected job")
 		}
-		// The one after it waits for its record, then goes; a cancellation goes all the way.
+		// wk-3 waits for the record of wk-2 and is cancelled when wk-2 is.
 		if blocked, _ := r.Blocked(r.Jobs["wk-3"]); !blocked || r.Jobs["wk-3"].Cancelled() {
-			t.Error("wk-3 may start before wk-2 is done")
+			t.Error("wk-3 is not blocked by wk-2, or is already cancelled")
 		}
 		put(t, r, 10, k.Job("wk-2"), job("wk-2", workload.Cancelled))
 		if !r.Jobs["wk-3"].Cancelled() {
@@ -58,19 +59,20 @@
 		}
 		put(t, r, 11, k.Job("wk-3"), job("wk-3", workload.Cancelled))
 		if len(r.Dependents) != 0 || len(r.ArchivedPhases) != 0 {
-			t.Errorf("kept: %v %v", r.Dependents, r.ArchivedPhases)
+			t.Errorf("entries left in the graph: dependents %v, archived phases %v", r.Dependents, r.ArchivedPhases)
 		}
 	}
-	// Archived as cancelled before the late acceptance was carried out.
+	// wk-4 was archived as cancelled before the late transaction that accepted wk-5.
 	r := NewCache(k)
 	put(t, r, 5, k.Job("wk-5"), job("wk-5", workload.Active, "wk-4"))
 	r.Resolve("wk-4", workload.Cancelled)
 	if !r.Jobs["wk-5"].Cancelled() {
-		t.Error("not cancelled with a job that was moved away")
+		t.Error("wk-5 is not cancelled with its archived dependency wk-4")
 	}
 }
 
-// TestCancellationReachesLongChains: cancellations reach the end of long chains and wide fans.
+// TestCancellationReachesLongChains checks that a cancellation reaches the end of a long dependency
+// chain.
 func TestCancellationReachesLongChains(t *testing.T) {
 	k, r := Keys{"pl/"}, NewCache(Keys{"pl/"})
 	const n = 20_000
@@ -82,31 +84,32 @@
 	put(t, r, n+2, k.Job(id(0)), job(id(0), workload.Cancelled))
 	for i := 1; i <= n; i++ {
 		if !r.Jobs[id(i)].Cancelled() {
-			t.Fatalf("the chain ends at %d", i)
+			t.Fatalf("the cancellation did not reach job %d of the chain", i)
 		}
 	}
 }
 
-// TestSplitBlock: every part fits, none is empty, and no machine is lost.
+// TestSplitBlock checks that every part fits, none is empty, and no machine is lost, duplicated or
+// changed.
 func TestSplitBlock(t *testing.T) {
 	b := BlockRecord{InstanceType: "t", Zone: "z", Requested: 3, Machines: map[string]MachineRecord{}}
 	for i := range MaxBlockMachines {
 		b.Machines[fmt.Sprintf("vm-%06d", i)] = MachineRecord{Address: fmt.Sprintf("10.100.100.%d:9000", i), Used: i%2 == 0}
 	}
-	seen, want := map[string]bool{}, 0
+	seen, requested := map[string]bool{}, 0
 	for _, p := range b.Split(1900) {
 		if n := len(Encode(p)); n > 1900 || len(p.Machines) == 0 {
-			t.Errorf("a part of %d bytes, %d machines", n, len(p.Machines))
+			t.Errorf("part of %d bytes with %d machines, want at most 1900 bytes and at least one machine", n, len(p.Machines))
 		}
-		want += p.Requested
+		requested += p.Requested
 		for m, rec := range p.Machines {
 			if seen[m] || rec != b.Machines[m] {
-				t.Errorf("%s: twice, or changed", m)
+				t.Errorf("machine %s is duplicated or changed", m)
 			}
 			seen[m] = true
 		}
 	}
-	if len(seen) != MaxBlockMachines || want != 3 {
-		t.Errorf("%d machines, %d wanted", len(seen), want)
+	if len(seen) != MaxBlockMachines || requested != 3 {
+		t.Errorf("%d machines and %d requested, want %d and 3", len(seen), requested, MaxBlockMachines)
 	}
 }
