--- a/internal/storage/keys_test.go
+++ b/internal/storage/keys_test.go
@@ -6,7 +6,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// TestKeysStayAsStored: the keys are those of the first version, whatever the code calls them.
+// TestKeysStayAsStored guards against a rename in the code changing the stored keys, which would
+// make existing data unreadable.
 func TestKeysStayAsStored(t *testing.T) {
 	k := Keys{Prefix: "pl/"}
 	for got, want := range map[string]string{
