--- a/internal/storage/rate_limiter_test.go
+++ b/internal/storage/rate_limiter_test.go
@@ -6,8 +6,8 @@
 	"pipitlatch/internal/micros"
 )
 
-// drain takes requests with a number of changes until the limiter refuses, and returns how many
-// it allowed.
+// drain sends requests with the given number of changes until the limiter refuses one, and returns
+// how many it allowed.
 func drain(l *RateLimiter, now micros.Time, writes int, urgency Urgency) int {
 	n := 0
 	for n < 10_000 && l.Allow(now, writes, urgency) {
@@ -32,7 +32,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			// 95% of the limits are used: 300 requests and 60 changes a second for three controllers.
+			// 95% of the limits are usable: 300 requests and 60 changes per second for three controllers.
 			l := NewRateLimiter(300/0.95, 60/0.95, 3)
 			got := drain(l, micros.Second, test.writes, test.urgency)
 			if got < test.want-1 || got > test.want {
@@ -56,13 +56,14 @@
 			l := NewRateLimiter(300/0.95, 60/0.95, 3)
 			l.SetPeerUsage(test.peers)
 			if got := l.requests.rate; got < test.want-2 || got > test.want {
-				t.Errorf("rate %d, want %d thousandths a second", got, test.want)
+				t.Errorf("rate %d, want %d thousandths per second", got, test.want)
 			}
 		})
 	}
 }
 
-// TestRateLimiterRecentUsage: peers are told what was used a second, and a new measurement begins.
+// TestRateLimiterRecentUsage checks that the usage reported to peers is a rate per second, measured
+// anew for each interval.
 func TestRateLimiterRecentUsage(t *testing.T) {
 	l := NewRateLimiter(300/0.95, 60/0.95, 3)
 	l.Allow(micros.Second, 2, Deferrable)
