--- a/internal/workload/bitmap.go
+++ b/internal/workload/bitmap.go
@@ -2,7 +2,7 @@
 
 import "math/bits"
 
-// Bitmap is a set of task numbers.
+// Bitmap is a set of task numbers with a fixed upper bound.
 type Bitmap struct {
 	words []uint64
 	count int
@@ -11,12 +11,12 @@
 // NewBitmap returns an empty set of numbers below size.
 func NewBitmap(size int) *Bitmap { return &Bitmap{words: make([]uint64, (size+63)/64)} }
 
-// Has tells whether i is in the set.
+// Has reports whether i is in the set.
 func (b *Bitmap) Has(i int) bool {
 	return i >= 0 && i/64 < len(b.words) && b.words[i/64]&(1<<(i%64)) != 0
 }
 
-// Add puts i into the set and tells whether it is new there.
+// Add adds i to the set and reports whether it was added: false if i is present or out of range.
 func (b *Bitmap) Add(i int) bool {
 	if i < 0 || i/64 >= len(b.words) || b.Has(i) {
 		return false
@@ -26,7 +26,7 @@
 	return true
 }
 
-// Remove takes i out of the set.
+// Remove removes i from the set.
 func (b *Bitmap) Remove(i int) {
 	if b.Has(i) {
 		b.words[i/64] &^= 1 << (i % 64)
@@ -34,10 +34,10 @@
 	}
 }
 
-// Len is how many numbers the set has.
+// Len returns the number of elements in the set.
 func (b *Bitmap) Len() int { return b.count }
 
-// Next is the smallest number in the set that is at least i, or -1.
+// Next returns the smallest element that is at least i, or -1 if there is none.
 func (b *Bitmap) Next(i int) int {
 	for w := i / 64; w < len(b.words); w++ {
 		word := b.words[w]
