--- a/internal/workload/catalog.go
+++ b/internal/workload/catalog.go
@@ -6,23 +6,24 @@
 	"pipitlatch/internal/micros"
 )
 
-// InstanceType is one entry of the cloud's catalog. It is stored as JSON under the names of its
-// fields.
+// InstanceType is one entry of the cloud's catalog. It is stored as JSON under its field names, which
+// must therefore not change.
 type InstanceType struct {
 	Name      string
 	Capacity  Resources
 	CacheGB   float64
 	FetchGBps float64
-	Price     float64 // an hour
+	Price     float64 // per hour
 	SpotPrice float64
 	Boot      micros.Time
 	Zones     []string
 }
 
-// Catalog is the cloud's instance types by name.
+// Catalog maps the names of the cloud's instance types to their descriptions.
 type Catalog map[string]*InstanceType
 
-// Fits tells whether a task of the job fits some machine it is allowed.
+// Fits reports whether a task of the job fits on at least one instance type that the job allows, in
+// an allowed zone.
 func (c Catalog) Fits(j *Job) bool {
 	for _, t := range c {
 		inZone := j.Zone == "" || slices.Contains(t.Zones, j.Zone)
@@ -33,8 +34,8 @@
 	return false
 }
 
-// SameTypes tells whether two catalogs have the same instance types; prices, which move, may
-// differ.
+// SameTypes reports whether two catalogs have the same instance types. Prices are ignored because
+// they fluctuate.
 func (c Catalog) SameTypes(o Catalog) bool {
 	if len(c) != len(o) {
 		return false
