--- a/internal/workload/job.go
+++ b/internal/workload/job.go
@@ -1,5 +1,5 @@
-// Package workload holds jobs and their resources, the tasks they completed, the quotas of teams,
-// how long tasks really run, and the instance types that tasks run on.
+// Package workload defines jobs and their resources, sets of completed tasks, team quotas, run-time
+// statistics, and the instance types that tasks run on.
 package workload
 
 import (
@@ -8,17 +8,17 @@
 	"pipitlatch/internal/micros"
 )
 
-// JobKind tells whether a job's tasks end by themselves.
+// JobKind distinguishes jobs whose tasks run to completion from services.
 type JobKind uint8
 
-// The kinds of jobs. The protocol has no gangs: the tasks of an array are independent of each
+// The kinds of jobs. There is no gang scheduling: the tasks of an array are independent of each
 // other.
 const (
 	Array   JobKind = iota // a job array: each task runs to completion
-	Service                // its tasks are replicas, which run until the job is cancelled
+	Service                // tasks are replicas that run until the job is cancelled
 )
 
-// Priority orders jobs; higher may preempt lower.
+// Priority orders jobs; jobs of higher priority may preempt those of lower priority.
 type Priority uint8
 
 // The priorities, lowest first.
@@ -29,8 +29,8 @@
 	Production
 )
 
-// Phase is what is final about a job. Whether an active one is queued or running depends on its
-// tasks.
+// Phase tells whether a job is active or how it ended. Whether an active job is queued or running
+// depends on its tasks.
 type Phase uint8
 
 // The phases.
@@ -40,7 +40,7 @@
 	Cancelled
 )
 
-// Job is what a user submitted, and its phase. It is stored as JSON under the names of the tags.
+// Job is a user's submission and its phase. It is stored as JSON under the names in the tags.
 type Job struct {
 	ID                 string      `json:"id"`
 	Class              string      `json:"cl,omitempty"`
@@ -59,32 +59,32 @@
 	Estimate           micros.Time `json:"e,omitempty"`
 	CheckpointInterval micros.Time `json:"ce,omitempty"`
 	CheckpointDuration micros.Time `json:"sv,omitempty"`
-	Deadline           micros.Time `json:"d,omitempty"` // after submission; 0: none
+	Deadline           micros.Time `json:"d,omitempty"` // relative to submission; 0: none
 	Submitted          micros.Time `json:"at"`          // time of day
 	Phase              Phase       `json:"p,omitempty"`
 
-	// DependsOn are the jobs that must be done before a task of this one starts: those that were
-	// not done when it was accepted. A list that does not fit the record is stored in parts, before
-	// the record, under the name DependencyListName.
+	// DependsOn lists the jobs that must be done before a task of this job starts, without those
+	// that were already done when it was accepted. A list that does not fit into the record is
+	// stored in parts under the name DependencyListName; the parts are written before the record.
 	DependsOn          []string    `json:"w,omitempty"`
 	DependencyListName string      `json:"wk,omitempty"`
 	DependencyParts    int         `json:"wn,omitempty"`
-	CompletedAt        micros.Time `json:"o,omitempty"` // time of day at which it was done
+	CompletedAt        micros.Time `json:"o,omitempty"` // time of day at which the job was done
 }
 
-// HasDependencies tells whether the job was accepted before all its dependencies were done.
+// HasDependencies reports whether some dependencies were not done when the job was accepted.
 func (j *Job) HasDependencies() bool { return len(j.DependsOn) > 0 || j.DependencyParts > 0 }
 
-// Tombstone returns what must be kept of a job that ended: its team and resources count for quotas
-// while tasks of it are still on machines.
+// Tombstone returns the part of a job's record that is kept after it ended. Its team and resources
+// count towards quotas while its tasks are still on machines.
 func (j *Job) Tombstone(p Phase) *Job {
 	return &Job{ID: j.ID, Team: j.Team, Tasks: j.Tasks, Resources: j.Resources, Phase: p, Submitted: j.Submitted}
 }
 
-// AllowsInstanceType tells whether the job's tasks may run on machines of a type.
+// AllowsInstanceType reports whether the job's tasks may run on machines of the given type.
 func (j *Job) AllowsInstanceType(t string) bool {
 	return len(j.InstanceTypes) == 0 || slices.Contains(j.InstanceTypes, t)
 }
 
-// SpreadLimit is how many tasks of a spread job one zone may hold.
+// SpreadLimit returns the maximum number of tasks of a spread job in one zone.
 func (j *Job) SpreadLimit() int { return (j.Tasks + 1) / 2 }
