--- a/internal/workload/resources.go
+++ b/internal/workload/resources.go
@@ -1,6 +1,6 @@
 package workload
 
-// Resources are amounts in thousandths: CPUs, GPUs and gigabytes of memory.
+// Resources holds amounts of CPUs, GPUs and gigabytes of memory, in thousandths.
 type Resources struct {
 	CPU int64 `json:"c"`
 	GPU int64 `json:"g,omitempty"`
@@ -17,20 +17,20 @@
 	return Resources{r.CPU - o.CPU, r.GPU - o.GPU, r.Mem - o.Mem}
 }
 
-// Times returns n of r.
+// Times returns r multiplied by n.
 func (r Resources) Times(n int64) Resources {
 	return Resources{r.CPU * n, r.GPU * n, r.Mem * n}
 }
 
-// Fits tells whether r fits into o.
+// Fits reports whether r fits into o.
 func (r Resources) Fits(o Resources) bool {
 	return r.CPU <= o.CPU && r.GPU <= o.GPU && r.Mem <= o.Mem
 }
 
-// maxCount bounds Count for resources that need nothing.
+// maxCount is the result of Count when r is zero, and its upper bound.
 const maxCount = 1 << 20
 
-// Count is how many of r fit into o.
+// Count returns how many times r fits into o.
 func (r Resources) Count(o Resources) int64 {
 	count := int64(maxCount)
 	for _, amounts := range [...]struct{ each, available int64 }{
