--- a/internal/workload/runtime_stats.go
+++ b/internal/workload/runtime_stats.go
@@ -6,21 +6,23 @@
 	"pipitlatch/internal/micros"
 )
 
-// RuntimeStats corrects the estimates of jobs' owners by observed run times. Estimates are often
-// wrong, by a common factor on some days, so what is kept of each class of jobs is the distribution
-// of observed time over estimate.
+// RuntimeStats corrects users' run-time estimates by observed run times. Estimates are often wrong,
+// on some days by a common factor, so it keeps for each job class the distribution of the ratio of
+// observed to estimated run time.
 type RuntimeStats struct {
 	ratios map[string]*hdrhistogram.Histogram // by class, in units of ratioUnit
 }
 
 const (
-	// minObservations is from how many observations on the median is trusted more than the owner.
+	// minObservations is the number of observations from which on estimates are corrected by the
+	// median ratio.
 	minObservations = 8
-	// maxClasses bounds the classes with statistics of their own: users name them.
+	// maxClasses bounds the number of classes with statistics, because users choose class names
+	// freely.
 	maxClasses = 256
-	// maxRatio is the largest ratio that is told apart.
+	// maxRatio is the largest ratio recorded; larger ones are clamped to it.
 	maxRatio = 1000
-	// significantDigits is the precision of the histograms.
+	// significantDigits is the precision of the histograms, in decimal digits.
 	significantDigits = 2
 )
 
@@ -32,7 +34,7 @@
 	return &RuntimeStats{ratios: map[string]*hdrhistogram.Histogram{}}
 }
 
-// Observe records that a task of the class ran for took against its estimate.
+// Observe records the actual run time of a task of the class and its estimate.
 func (r *RuntimeStats) Observe(class string, estimate, took micros.Time) {
 	if estimate <= 0 || took <= 0 {
 		return
@@ -46,10 +48,10 @@
 		r.ratios[class] = h
 	}
 	ratio := min(maxRatio*ratioUnit, max(1, took*ratioUnit/estimate))
-	_ = h.RecordValue(ratio) // it fails for values out of the range only
+	_ = h.RecordValue(ratio) // fails only for values out of range
 }
 
-// CorrectionFactor is what estimates of the class have to be multiplied with.
+// CorrectionFactor returns the factor by which estimates of the class are multiplied.
 func (r *RuntimeStats) CorrectionFactor(class string) float64 {
 	h := r.ratios[class]
 	if h == nil || h.TotalCount() < minObservations {
@@ -58,13 +60,13 @@
 	return float64(h.ValueAtQuantile(50)) / ratioUnit
 }
 
-// Estimate is the estimate of the job's owner after correction.
+// Estimate returns the corrected run-time estimate of the job, at least one millisecond.
 func (r *RuntimeStats) Estimate(j *Job) micros.Time {
 	return max(micros.Millisecond, micros.Time(float64(j.Estimate)*r.CorrectionFactor(j.Class)))
 }
 
-// TailRatio is how much longer than the corrected estimate a task takes that is slower than nine
-// in ten of its class: the 90th percentile over the median.
+// TailRatio returns the ratio of the 90th percentile to the median of the class: how much longer
+// than the corrected estimate a task takes that is slower than nine in ten.
 func (r *RuntimeStats) TailRatio(class string) float64 {
 	h := r.ratios[class]
 	if h == nil || h.TotalCount() < minObservations {
