--- a/internal/workload/segments.go
+++ b/internal/workload/segments.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// LargeSegmentTasks is how many tasks a large segment has.
+	// LargeSegmentTasks is the number of tasks in a large segment.
 	LargeSegmentTasks = 1024
-	// LargeSegmentBytes is what the completed tasks of a large segment take at worst, quotes
-	// included: with every third task missing, the text has some 8 bytes ("600-601,") for each of
-	// them.
+	// LargeSegmentBytes is the maximum encoded size of the completed tasks in a large segment,
+	// including quotes. In the worst case every third task is missing, which takes about 8 bytes
+	// ("600-601,") for each missing task.
 	LargeSegmentBytes = LargeSegmentTasks/3*8 + 64
-	// SmallSegmentTasks is how many tasks a small segment has: it fits a record where a large one
-	// does not. A job may have completed tasks in segments of both sizes.
+	// SmallSegmentTasks is the number of tasks in a small segment, which is used where a large one
+	// does not fit into a record. A job may have completed tasks in segments of both sizes.
 	SmallSegmentTasks = 256
 	// FirstSmallSegment is the number of the first small segment, above those of all large ones.
 	FirstSmallSegment = 1 << 20
 )
 
-// Segment is the number of the segment, large or small, that a task belongs to.
+// Segment returns the number of the large or small segment that a task belongs to.
 func Segment(task int, small bool) int {
 	if small {
 		return FirstSmallSegment + task/SmallSegmentTasks
@@ -28,7 +28,7 @@
 	return task / LargeSegmentTasks
 }
 
-// segmentBounds is the first task of a segment, and how many it has.
+// segmentBounds returns the first task of a segment and the number of its tasks.
 func segmentBounds(segment int) (first, count int) {
 	if segment >= FirstSmallSegment {
 		return (segment - FirstSmallSegment) * SmallSegmentTasks, SmallSegmentTasks
@@ -36,13 +36,13 @@
 	return segment * LargeSegmentTasks, LargeSegmentTasks
 }
 
-// InSegment tells whether a task belongs to a segment.
+// InSegment reports whether a task belongs to a segment.
 func InSegment(task, segment int) bool {
 	first, count := segmentBounds(segment)
 	return task >= first && task < first+count
 }
 
-// Ranges encodes the members of a segment as ranges relative to its first task: "0-5,7".
+// Ranges encodes the elements in a segment as ranges relative to its first task, such as "0-5,7".
 func (b *Bitmap) Ranges(segment int) string {
 	var text strings.Builder
 	start, count := segmentBounds(segment)
@@ -69,7 +69,7 @@
 	return text.String()
 }
 
-// AddRanges adds what Ranges encoded of a segment.
+// AddRanges adds the elements of a segment that Ranges encoded.
 func (b *Bitmap) AddRanges(segment int, text string) error {
 	start, count := segmentBounds(segment)
 	if text == "" {
