--- a/internal/workload/teams.go
+++ b/internal/workload/teams.go
@@ -2,8 +2,8 @@
 
 import "pipitlatch/internal/config"
 
-// Team is a team's guaranteed quota and quota limit, in thousandths of CPUs and GPUs; a limit of -1
-// is none.
+// Team holds a team's guaranteed quota and quota limit, in thousandths of CPUs and GPUs. A limit of
+// -1 means no limit.
 type Team struct {
 	Name                       string
 	GuaranteeCPU, GuaranteeGPU int64
@@ -11,8 +11,8 @@
 	Partition                  int
 }
 
-// Teams builds the table of teams. A team's partition is a function of the settings alone, the same
-// on every controller: one partition leader sees all of a team's jobs.
+// Teams returns the configured teams by name. A team's partition depends only on the settings, so
+// that it is the same on every controller and one partition leader sees all of a team's jobs.
 func Teams(c *config.Config) map[string]*Team {
 	partitions := PartitionCount(c)
 	teams := map[string]*Team{}
@@ -30,26 +30,27 @@
 	return teams
 }
 
-// PartitionCount is the number of partitions.
+// PartitionCount returns the number of partitions: as configured, but at least one and at most one
+// for each team.
 func PartitionCount(c *config.Config) int {
 	return max(1, min(int(c.Operator.Queues), len(c.Settings.Teams)))
 }
 
-// Milli converts an amount to thousandths.
+// Milli converts an amount to thousandths, rounding to the nearest.
 func Milli(v float64) int64 { return int64(v*1000 + 0.5) }
 
-// WithinLimit tells whether a usage stays within the team's quota limit.
+// WithinLimit reports whether a usage stays within the team's quota limit.
 func (t *Team) WithinLimit(usage Resources) bool {
 	return (t.LimitCPU < 0 || usage.CPU <= t.LimitCPU) && (t.LimitGPU < 0 || usage.GPU <= t.LimitGPU)
 }
 
-// WithinGuarantee tells whether a usage fits into the team's guaranteed quota.
+// WithinGuarantee reports whether a usage fits into the team's guaranteed quota.
 func (t *Team) WithinGuarantee(usage Resources) bool {
 	return usage.CPU <= t.GuaranteeCPU && usage.GPU <= t.GuaranteeGPU
 }
 
-// CanEverRun tells whether the job could run within the team's quota limit: one task of an array,
-// all replicas of a service.
+// CanEverRun reports whether the team's quota limit permits the job to run at all: at least one task
+// of an array, or all replicas of a service.
 func (t *Team) CanEverRun(j *Job) bool {
 	if j.Kind == Service {
 		return t.WithinLimit(j.Resources.Times(int64(j.Tasks)))
