--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -38,7 +38,7 @@
 func TestBadRanges(t *testing.T) {
 	for _, text := range []string{"x", "3-1", "-1", "1024", "5-", "0,,1"} {
 		if NewBitmap(2000).AddRanges(0, text) == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("invalid ranges %q were accepted", text)
 		}
 	}
 }
@@ -58,7 +58,8 @@
 	}
 }
 
-// TestWorstRanges: with every third task missing the text is longest.
+// TestWorstRanges guards against completed tasks that exceed the size bound of their record. The
+// encoded text is longest with every third task missing.
 func TestWorstRanges(t *testing.T) {
 	for period := 2; period <= 5; period++ {
 		set := NewBitmap(2 * LargeSegmentTasks)
@@ -105,10 +106,10 @@
 	array := Job{Kind: Array, Tasks: 10, Resources: Resources{CPU: 2000}}
 	service := Job{Kind: Service, Tasks: 10, Resources: Resources{CPU: 2000}}
 	if !team.CanEverRun(&array) {
-		t.Error("an array of which one task fits the limit can run")
+		t.Error("an array of which one task fits the limit is reported as unable to run")
 	}
 	if team.CanEverRun(&service) {
-		t.Error("a service whose replicas exceed the limit together can never run")
+		t.Error("a service whose replicas together exceed the limit is reported as able to run")
 	}
 	if !team.WithinGuarantee(Resources{CPU: 4000}) || team.WithinGuarantee(Resources{CPU: 4001}) {
 		t.Error("the guaranteed quota is not 4 CPUs")
