--- a/internal/micros/micros_test.go
+++ b/internal/micros/micros_test.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// TestMaxLeavesRoomForSums: instants are added to Max and to each other in comparisons.
+// TestMaxLeavesRoomForSums guards against overflow: comparisons add instants to Max and to each
+// other.
 func TestMaxLeavesRoomForSums(t *testing.T) {
 	if sum := uint64(Max) * 3; sum > math.MaxInt64 {
 		t.Errorf("3 times Max overflows: %d", sum)
