--- a/internal/storage/apply_jobs.go
+++ b/internal/storage/apply_jobs.go
@@ -46,7 +46,7 @@
 func (c *Cache) applyCompleted(id string, segment int, item Item) (changed bool, err error) {
 	entry := c.Jobs[id]
 	if entry == nil {
-		c.keepForJob(id, segment, item)
+		c.bufferCompleted(id, segment, item)
 		return false, nil
 	}
 	outdated := entry.CompletedRevisions[segment] >= item.ModRevision
@@ -64,9 +64,9 @@
 	return true, entry.Completed.AddRanges(segment, ranges)
 }
 
-// keepForJob buffers a completed segment until its job's record arrives: in a snapshot the keys of
+// bufferCompleted buffers a completed segment until its job's record arrives: in a snapshot the keys of
 // completed segments sort before those of jobs.
-func (c *Cache) keepForJob(id string, segment int, item Item) {
+func (c *Cache) bufferCompleted(id string, segment int, item Item) {
 	if c.completedBeforeJob[id] == nil {
 		c.completedBeforeJob[id] = map[int]Item{}
 	}
