--- a/internal/storage/apply_blocks.go
+++ b/internal/storage/apply_blocks.go
@@ -15,7 +15,7 @@
 		// first, the machine already belongs to that block.
 		if _, ok := block.Machines[machine]; !ok && c.Machines[machine].Value.Block == name {
 			delete(c.Machines, machine)
-			c.findInOtherBlock(machine)
+			c.restoreFromOtherBlock(machine)
 			machines = append(machines, machine)
 		}
 	}
@@ -32,9 +32,9 @@
 	return machines, true, nil
 }
 
-// findInOtherBlock restores a machine from another block that lists it, after its former block no
+// restoreFromOtherBlock restores a machine from another block that lists it, after its former block no
 // longer does.
-func (c *Cache) findInOtherBlock(machine string) {
+func (c *Cache) restoreFromOtherBlock(machine string) {
 	for name, block := range c.Blocks {
 		if record, ok := block.Value.Machines[machine]; ok {
 			c.Machines[machine] = machineOf(name, block.Value, record, block.ModRevision)
