--- a/internal/storage/apply_blocks.go
+++ b/internal/storage/apply_blocks.go
@@ -25,7 +25,7 @@
 		if cached, ok := c.Machines[machine]; ok && cached.Value.Block != name && cached.Value.Used {
 			record.Used = true
 		}
-		c.Machines[machine] = machineOf(name, block, record, item.ModRevision)
+		c.Machines[machine] = newMachine(name, block, record, item.ModRevision)
 		machines = append(machines, machine)
 	}
 	slices.Sort(machines)
@@ -37,13 +37,13 @@
 func (c *Cache) restoreFromOtherBlock(machine string) {
 	for name, block := range c.Blocks {
 		if record, ok := block.Value.Machines[machine]; ok {
-			c.Machines[machine] = machineOf(name, block.Value, record, block.ModRevision)
+			c.Machines[machine] = newMachine(name, block.Value, record, block.ModRevision)
 			return
 		}
 	}
 }
 
-func machineOf(name string, block BlockRecord, record MachineRecord, modRevision uint64) Versioned[Machine] {
+func newMachine(name string, block BlockRecord, record MachineRecord, modRevision uint64) Versioned[Machine] {
 	return Versioned[Machine]{
 		Value: Machine{
 			MachineRecord: record,
