--- a/internal/storage/apply.go
+++ b/internal/storage/apply.go
@@ -69,8 +69,8 @@
 	return false, nil // a record kind of a newer version
 }
 
-// applyTo stores an item's record in a map unless the map holds a record at least as new.
-func applyTo[K comparable, T any](records map[K]Versioned[T], key K, item Item) (changed bool, err error) {
+// applyToMap stores an item's record in a map unless the map holds a record at least as new.
+func applyToMap[K comparable, T any](records map[K]Versioned[T], key K, item Item) (changed bool, err error) {
 	if records[key].ModRevision >= item.ModRevision {
 		return false, nil
 	}
@@ -106,7 +106,7 @@
 // applyMember applies a member's registration, including the newest record format that the member
 // supports.
 func (c *Cache) applyMember(member string, item Item) (changed bool, err error) {
-	changed, err = applyTo(c.Members, member, item)
+	changed, err = applyToMap(c.Members, member, item)
 	if !changed {
 		return false, err
 	}
@@ -123,7 +123,7 @@
 	if err != nil {
 		return false, err
 	}
-	return applyTo(c.Partitions, n, item)
+	return applyToMap(c.Partitions, n, item)
 }
 
 // applyFormat applies the record format that may be written, which never decreases.
@@ -165,7 +165,7 @@
 
 // applyCatalogPart applies one part of the catalog and rebuilds the catalog from all parts.
 func (c *Cache) applyCatalogPart(item Item) (changed bool, err error) {
-	changed, err = applyTo(c.catalogParts, item.Key, item)
+	changed, err = applyToMap(c.catalogParts, item.Key, item)
 	if !changed {
 		return false, err
 	}
--- a/internal/storage/apply_blocks.go
+++ b/internal/storage/apply_blocks.go
@@ -5,7 +5,7 @@
 // applyBlock applies a block's record and returns the machines that it affects.
 func (c *Cache) applyBlock(name string, item Item) (machines []string, changed bool, err error) {
 	old := c.Blocks[name].Value.Machines
-	changed, err = applyTo(c.Blocks, name, item)
+	changed, err = applyToMap(c.Blocks, name, item)
 	if !changed {
 		return nil, false, err
 	}
