--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -26,8 +26,8 @@
 	FormatRecord          RecordKind = "format"
 )
 
-// smallSegmentMark precedes the number of a small segment in the keys of completed tasks.
-const smallSegmentMark = "p"
+// smallSegmentPrefix precedes the number of a small segment in the keys of completed tasks.
+const smallSegmentPrefix = "p"
 
 // Keys builds the keys of all records under a prefix. The names in the keys date from the first
 // version and must not change, so that stored data remains readable.
@@ -76,7 +76,7 @@
 // CompletedSegment returns the key of the completed tasks in one segment of a job.
 func (k Keys) CompletedSegment(id string, segment int) string {
 	if segment >= workload.FirstSmallSegment {
-		return k.CompletedPrefix(id) + smallSegmentMark + strconv.Itoa(segment-workload.FirstSmallSegment)
+		return k.CompletedPrefix(id) + smallSegmentPrefix + strconv.Itoa(segment-workload.FirstSmallSegment)
 	}
 	return k.CompletedPrefix(id) + strconv.Itoa(segment)
 }
@@ -94,7 +94,7 @@
 // ID and the segment number.
 func parseCompletedSegment(id string) (job string, segment int, err error) {
 	job, n, _ := strings.Cut(id, "/")
-	part, isPart := strings.CutPrefix(n, smallSegmentMark)
+	part, isPart := strings.CutPrefix(n, smallSegmentPrefix)
 	if segment, err = strconv.Atoi(part); err == nil && isPart {
 		segment += workload.FirstSmallSegment
 	}
