--- a/internal/storage/apply_jobs.go
+++ b/internal/storage/apply_jobs.go
@@ -14,7 +14,7 @@
 	}
 	if item.Deleted {
 		if entry != nil {
-			c.jobRemoved(id, entry)
+			c.trackRemovedJob(id, entry)
 		}
 		delete(c.Jobs, id)
 		return entry != nil, nil
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -147,9 +147,9 @@
 	return c.ArchivedPhases[id] == workload.Cancelled
 }
 
-// jobRemoved updates the graph after a job's record was moved to the archive. The job's final phase
+// trackRemovedJob updates the graph after a job's record was moved to the archive. The job's final phase
 // is kept while an unfinished job depends on it.
-func (c *Cache) jobRemoved(id string, entry *JobEntry) {
+func (c *Cache) trackRemovedJob(id string, entry *JobEntry) {
 	c.untrackDependencies(id, entry)
 	if len(c.Dependents[id]) > 0 && entry.Job.Phase != workload.Active {
 		c.ArchivedPhases[id] = entry.Job.Phase
