--- a/internal/storage/rate_limiter.go
+++ b/internal/storage/rate_limiter.go
@@ -57,8 +57,8 @@
 // SetPeerUsage sets the recent usage of the other controllers. This controller may use what they
 // leave unused, except for a reserve that allows them to increase their usage.
 func (l *RateLimiter) SetPeerUsage(peers Usage) {
-	l.requests.leaveToPeers(peers.Requests)
-	l.writes.leaveToPeers(peers.Writes)
+	l.requests.setPeerUsage(peers.Requests)
+	l.writes.setPeerUsage(peers.Writes)
 }
 
 // TotalWriteRate returns the rate of changes permitted to all controllers together, in thousandths
@@ -123,7 +123,7 @@
 	return bucket{total: total, even: even, rate: even, level: even}
 }
 
-func (b *bucket) leaveToPeers(used int64) {
+func (b *bucket) setPeerUsage(used int64) {
 	reserve := b.even / 2
 	b.rate = max(b.even, b.total-used-reserve)
 }
