--- a/internal/storage/rate_limiter.go
+++ b/internal/storage/rate_limiter.go
@@ -74,10 +74,10 @@
 	l.refill(now)
 	l.measureUsage(now)
 	requestCost, writeCost := int64(milli), int64(writes)*milli
-	if !l.requests.covers(requestCost, urgency) {
+	if !l.requests.canSpend(requestCost, urgency) {
 		return false
 	}
-	if writes > 0 && !l.writes.covers(writeCost, urgency) {
+	if writes > 0 && !l.writes.canSpend(writeCost, urgency) {
 		return false
 	}
 	l.requests.level -= requestCost
@@ -132,8 +132,8 @@
 	b.level = min(burst, b.level+b.rate*elapsed/micros.Second)
 }
 
-// covers reports whether a cost can be charged without exceeding the overdraft of its urgency.
-func (b *bucket) covers(cost int64, urgency Urgency) bool {
+// canSpend reports whether a cost can be charged without exceeding the overdraft of its urgency.
+func (b *bucket) canSpend(cost int64, urgency Urgency) bool {
 	lowest := -b.rate * overdraftQuarters[urgency] / 4
 	return b.level-cost >= lowest
 }
