--- a/internal/storage/rate_limiter.go
+++ b/internal/storage/rate_limiter.go
@@ -112,7 +112,7 @@
 // bucket is a token bucket. Its level is in thousandths, its rates are in thousandths per second.
 type bucket struct {
 	total int64 // rate of all controllers together
-	even  int64 // an equal share of total
+	evenShare  int64 // an equal share of total
 	rate  int64 // current share of this controller
 	level int64 // negative while overdrawn
 }
@@ -120,12 +120,12 @@
 func newBucket(rate float64, controllers int) bucket {
 	total := int64(rate * usablePerMille)
 	even := total / int64(controllers)
-	return bucket{total: total, even: even, rate: even, level: even}
+	return bucket{total: total, evenShare: even, rate: even, level: even}
 }
 
 func (b *bucket) setPeerUsage(used int64) {
-	reserve := b.even / 2
-	b.rate = max(b.even, b.total-used-reserve)
+	reserve := b.evenShare / 2
+	b.rate = max(b.evenShare, b.total-used-reserve)
 }
 
 func (b *bucket) refill(elapsed micros.Time, burst int64) {
