--- a/internal/workload/catalog.go
+++ b/internal/workload/catalog.go
@@ -42,14 +42,14 @@
 	}
 	for name, a := range c {
 		b := o[name]
-		if b == nil || !a.same(b) {
+		if b == nil || !a.equalExceptPrices(b) {
 			return false
 		}
 	}
 	return true
 }
 
-func (t *InstanceType) same(o *InstanceType) bool {
+func (t *InstanceType) equalExceptPrices(o *InstanceType) bool {
 	return t.Capacity == o.Capacity &&
 		t.Boot == o.Boot &&
 		t.CacheGB == o.CacheGB &&
