--- a/internal/storage/apply.go
+++ b/internal/storage/apply.go
@@ -103,8 +103,8 @@
 	return true, nil
 }
 
-// applyMember applies a member's registration, including the newest record format that the member
-// supports.
+// applyMember applies a member's registration, including the newest record format that its version
+// writes.
 func (c *Cache) applyMember(member string, item Item) (changed bool, err error) {
 	changed, err = applyToMap(c.Members, member, item)
 	if !changed {
