--- a/internal/storage/rate_limiter.go
+++ b/internal/storage/rate_limiter.go
@@ -111,10 +111,10 @@
 
 // bucket is a token bucket. Its level is in thousandths, its rates are in thousandths per second.
 type bucket struct {
-	total int64 // rate of all controllers together
-	evenShare  int64 // an equal share of total
-	rate  int64 // current share of this controller
-	level int64 // negative while overdrawn
+	total     int64 // rate of all controllers together
+	evenShare int64 // an equal share of total
+	rate      int64 // current share of this controller
+	level     int64 // negative while overdrawn
 }
 
 func newBucket(rate float64, controllers int) bucket {
