--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -132,7 +132,7 @@
 		p.core.lookupArchivedJob(id, func(entry *storage.JobEntry, ok bool) {
 			p.dependencies.endLookup()
 			if ok && entry != nil {
-				p.core.cache.Resolve(id, entry.Job.Phase)
+				p.core.cache.ResolveDependency(id, entry.Job.Phase)
 				p.core.reevaluateAffected()
 			}
 		})
@@ -190,7 +190,7 @@
 			return
 		}
 		if entry != nil && c.cache == cache {
-			cache.Resolve(ids[0], entry.Job.Phase)
+			cache.ResolveDependency(ids[0], entry.Job.Phase)
 			c.reevaluateAffected()
 		}
 		c.readArchivedDependencies(cache, ids[1:], callback)
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -156,9 +156,9 @@
 	}
 }
 
-// Resolve sets the final phase of a dependency that is not cached, as read from its archived
+// ResolveDependency sets the final phase of a dependency that is not cached, as read from its archived
 // record.
-func (c *Cache) Resolve(id string, phase workload.Phase) {
+func (c *Cache) ResolveDependency(id string, phase workload.Phase) {
 	if len(c.Dependents[id]) == 0 || phase == workload.Active {
 		return
 	}
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -45,7 +45,7 @@
 			t.Fatalf("blocked %v by %q", blocked, unknown)
 		}
 		r.TakeAffected()
-		r.Resolve("wk-0", workload.Done)
+		r.ResolveDependency("wk-0", workload.Done)
 		if blocked, _ := r.Blocked(e); blocked || len(r.TakeAffected()) != 1 {
 			t.Error("wk-2 is still blocked, or is not the only affected job")
 		}
@@ -65,7 +65,7 @@
 	// wk-4 was archived as cancelled before the late transaction that accepted wk-5.
 	r := NewCache(k)
 	put(t, r, 5, k.Job("wk-5"), job("wk-5", workload.Active, "wk-4"))
-	r.Resolve("wk-4", workload.Cancelled)
+	r.ResolveDependency("wk-4", workload.Cancelled)
 	if !r.Jobs["wk-5"].Cancelled() {
 		t.Error("wk-5 is not cancelled with its archived dependency wk-4")
 	}
