--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -176,7 +176,7 @@
 // Otherwise a controller that started after they were archived would report a job as queued that other
 // controllers report as cancelled.
 func (c *Core) resolveDependencies(id string, callback func(ok bool)) {
-	c.readArchivedDependencies(c.cache, c.cache.Unresolved(id), callback)
+	c.readArchivedDependencies(c.cache, c.cache.UnresolvedDependencies(id), callback)
 }
 
 func (c *Core) readArchivedDependencies(cache *storage.Cache, ids []string, callback func(ok bool)) {
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -190,10 +190,10 @@
 	return blocked, ""
 }
 
-// Unresolved returns the direct and indirect dependencies of a job whose records were archived
+// UnresolvedDependencies returns the direct and indirect dependencies of a job whose records were archived
 // before this controller learned their phases. Until their archived records are read, it is unknown
 // whether one of them cancels the job.
-func (c *Cache) Unresolved(id string) []string {
+func (c *Cache) UnresolvedDependencies(id string) []string {
 	if len(c.unresolved) == 0 {
 		return nil
 	}
