--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -100,7 +100,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			core := newFair(t)
-			core.cache.Archived = true
+			core.cache.HasArchivedJobs = true
 			responses := ask(core, 2*micros.Second, known, func(r *storage.Request) *storage.Reply {
 				switch {
 				case r.Kind == storage.Get && r.Key == core.keys.ReadBarrier():
--- a/internal/coordination/archived_jobs.go
+++ b/internal/coordination/archived_jobs.go
@@ -19,7 +19,7 @@
 // have brought the cache up to date first: only then does a job that is neither cached nor archived
 // count as never accepted, since a job may move from the cache to the archive but not back.
 func (c *Core) lookupArchivedJob(id string, callback func(e *storage.JobEntry, ok bool)) {
-	if !c.cache.Archived {
+	if !c.cache.HasArchivedJobs {
 		callback(nil, true) // no job has been archived yet
 		return
 	}
--- a/internal/coordination/archived_jobs_test.go
+++ b/internal/coordination/archived_jobs_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	c := New(testConfig(t), "1")
 	c.output = &messages.Output{}
-	c.cache.Archived = true
+	c.cache.HasArchivedJobs = true
 	return c
 }
 
@@ -72,7 +72,7 @@
 
 func TestLookupArchivedJobSkipsStoreWhenArchiveIsEmpty(t *testing.T) {
 	c := newCoreWithArchive(t)
-	c.cache.Archived = false
+	c.cache.HasArchivedJobs = false
 	if got := startLookup(c, "wk-000001"); *got != (lookupResult{true, false, true}) || len(c.output.StoreCalls) > 0 {
 		t.Errorf("got result %+v with %d store requests, want no job and no requests", *got, len(c.output.StoreCalls))
 	}
--- a/internal/coordination/replication/snapshot.go
+++ b/internal/coordination/replication/snapshot.go
@@ -52,11 +52,11 @@
 		if _, _, err := into.Apply(item); err != nil {
 			r.logUndecodable(err)
 		}
-		if into.Archived {
+		if into.HasArchivedJobs {
 			break // what follows is read when somebody asks for it
 		}
 	}
-	if page.More && !into.Archived {
+	if page.More && !into.HasArchivedJobs {
 		r.loadPage(into, page.Items[len(page.Items)-1].Key, firstRevision)
 		return
 	}
--- a/internal/coordination/submission_test.go
+++ b/internal/coordination/submission_test.go
@@ -129,7 +129,7 @@
 func TestRejectedDuplicateReturnsJobStatus(t *testing.T) {
 	c := newServingCore(t)
 	job := testJob(7)
-	c.cache.Archived = true
+	c.cache.HasArchivedJobs = true
 	known := storage.Item{Key: c.keys.Archive(job.ID), ModRevision: 5, Value: storage.Encode(job.Tombstone(workload.Done))}
 	repeated := testJob(7)
 	repeated.Team = "nobody"
--- a/internal/storage/apply.go
+++ b/internal/storage/apply.go
@@ -47,7 +47,7 @@
 	case JobRecord:
 		return c.applyJob(change.ID, item)
 	case ArchivedJobRecord:
-		c.Archived = true
+		c.HasArchivedJobs = true
 		return false, nil
 	case CompletedRecord:
 		var segment int
--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -11,16 +11,16 @@
 // Cache is a controller's local copy of the key-value store, built from a snapshot and the ordered
 // change stream.
 type Cache struct {
-	Keys          Keys
-	Revision      uint64
-	ClusterLeader Versioned[Process]
-	Catalog       Versioned[workload.Catalog]
-	Members       map[string]Versioned[Process]
-	Partitions    map[int]Versioned[PartitionRecord]
-	Blocks        map[string]Versioned[BlockRecord] // by name
-	Machines      map[string]Versioned[Machine]     // of all blocks
-	Jobs          map[string]*JobEntry
-	Archived      bool // the store holds archived jobs, which are not in Jobs
+	Keys            Keys
+	Revision        uint64
+	ClusterLeader   Versioned[Process]
+	Catalog         Versioned[workload.Catalog]
+	Members         map[string]Versioned[Process]
+	Partitions      map[int]Versioned[PartitionRecord]
+	Blocks          map[string]Versioned[BlockRecord] // by name
+	Machines        map[string]Versioned[Machine]     // of all blocks
+	Jobs            map[string]*JobEntry
+	HasArchivedJobs bool // the store holds archived jobs, which are not in Jobs
 
 	// Admission is the unparsed record of the admission epoch; package admission parses it.
 	Admission Versioned[json.RawMessage]
