--- a/internal/coordination/archived_jobs.go
+++ b/internal/coordination/archived_jobs.go
@@ -27,7 +27,7 @@
 		callback(e, true) // archived records are immutable
 		return
 	}
-	request := &storage.Request{Kind: storage.Get, Key: c.keys.Archive(id)}
+	request := &storage.Request{Kind: storage.Get, Key: c.keys.ArchivedJob(id)}
 	if !c.callStore(request, storage.Deferrable, archiveReadTimeout, func(r *storage.Reply) {
 		switch {
 		case r.Outcome == storage.NotFound:
--- a/internal/coordination/archived_jobs_test.go
+++ b/internal/coordination/archived_jobs_test.go
@@ -55,7 +55,7 @@
 					got.done, len(c.output.StoreCalls))
 			}
 			call := c.output.StoreCalls[0]
-			if call.Request.Kind != storage.Get || call.Request.Key != c.keys.Archive("wk-000001") {
+			if call.Request.Kind != storage.Get || call.Request.Key != c.keys.ArchivedJob("wk-000001") {
 				t.Errorf("got request %+v, want a read of the job's archive record", call.Request)
 			}
 			c.Step(1, 1, &messages.StoreCompletion{Call: call.Call, Reply: &test.reply})
--- a/internal/coordination/clusterleader/archiver.go
+++ b/internal/coordination/clusterleader/archiver.go
@@ -123,7 +123,7 @@
 		}
 		key := a.keys.Job(e.Job.ID)
 		r.Compares = append(r.Compares, storage.Compare{Key: key, ModRevision: e.ModRevision})
-		r.Puts = append(r.Puts, storage.Put{Key: a.keys.Archive(e.Job.ID), Value: storage.Encode(e.Job)})
+		r.Puts = append(r.Puts, storage.Put{Key: a.keys.ArchivedJob(e.Job.ID), Value: storage.Encode(e.Job)})
 		r.Deletes = append(r.Deletes, key)
 	}
 	return r
--- a/internal/coordination/clusterleader/archiver_test.go
+++ b/internal/coordination/clusterleader/archiver_test.go
@@ -66,7 +66,7 @@
 	for _, put := range call.Request.Puts {
 		archived = append(archived, put.Key)
 	}
-	if want := []string{testKeys.Archive("wk-000001"), testKeys.Archive("wk-000002")}; !slices.Equal(archived, want) {
+	if want := []string{testKeys.ArchivedJob("wk-000001"), testKeys.ArchivedJob("wk-000002")}; !slices.Equal(archived, want) {
 		t.Errorf("archived %v, want %v", archived, want)
 	}
 	if call.Urgency != storage.Deferrable {
--- a/internal/coordination/replication/replica_test.go
+++ b/internal/coordination/replication/replica_test.go
@@ -116,7 +116,7 @@
 func TestSnapshotEndsAtTheArchive(t *testing.T) {
 	r := newReplicaTest()
 	r.Refresh()
-	archived := storage.Item{Key: testKeys.Archive("j"), Value: []byte("{}"), ModRevision: 7}
+	archived := storage.Item{Key: testKeys.ArchivedJob("j"), Value: []byte("{}"), ModRevision: 7}
 	r.environment.Take(t, storage.List).Reply(storage.Reply{
 		Outcome: storage.OK, Revision: 20, More: true, Items: []storage.Item{member("n1", 3), archived, undecodable(8)},
 	})
--- a/internal/coordination/submission.go
+++ b/internal/coordination/submission.go
@@ -71,7 +71,7 @@
 	}
 	sent := c.callStore(&storage.Request{
 		Kind:     storage.Txn,
-		Compares: append([]storage.Compare{{Key: key}, {Key: c.keys.Archive(s.id)}}, compares...),
+		Compares: append([]storage.Compare{{Key: key}, {Key: c.keys.ArchivedJob(s.id)}}, compares...),
 		Puts:     []storage.Put{{Key: key, Value: value}},
 	}, urgency, storeTimeout, s.handleWriteReply)
 	if !sent {
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -63,8 +63,8 @@
 // Job returns the key of a job's record.
 func (k Keys) Job(id string) string { return k.below(JobRecord) + id }
 
-// Archive returns the key of an archived job's record.
-func (k Keys) Archive(id string) string { return k.ArchivePrefix() + id }
+// ArchivedJob returns the key of an archived job's record.
+func (k Keys) ArchivedJob(id string) string { return k.ArchivePrefix() + id }
 
 // ArchivePrefix returns the key prefix of archived jobs. It sorts after all other keys, so that
 // snapshot loading can stop there.
--- a/internal/storage/keys_test.go
+++ b/internal/storage/keys_test.go
@@ -16,7 +16,7 @@
 		k.Partition(3):                   "pl/queue/3",
 		k.Block("c7-1"):                  "pl/block/c7-1",
 		k.Job("wk-1"):                    "pl/job/wk-1",
-		k.Archive("wk-1"):                "pl/~over/wk-1",
+		k.ArchivedJob("wk-1"):            "pl/~over/wk-1",
 		k.CompletedSegment("wk-1", 2):    "pl/fin/wk-1/2",
 		k.DependencyPart("wk-1", "a", 0): "pl/wait/wk-1/a/0",
 		k.Catalog():                      "pl/catalog",
