--- a/internal/scenario/writes_test.go
+++ b/internal/scenario/writes_test.go
@@ -35,7 +35,7 @@
 
 // keysNeverSet are methods of storage.Keys that name no record: prefixes, and the key that
 // the barrier reads.
-var keysNeverSet = map[string]bool{"ReadBarrier": true, "CompletedPrefix": true, "ArchivePrefix": true}
+var keysNeverSet = map[string]bool{"ReadBarrier": true, "CompletedPrefix": true, "ArchivedJobPrefix": true}
 
 // keyOfKind calls the methods of storage.Keys by name, to find the kind of their records.
 func keyOfKind(t *testing.T) map[string]string {
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -64,11 +64,11 @@
 func (k Keys) Job(id string) string { return k.below(JobRecord) + id }
 
 // ArchivedJob returns the key of an archived job's record.
-func (k Keys) ArchivedJob(id string) string { return k.ArchivePrefix() + id }
+func (k Keys) ArchivedJob(id string) string { return k.ArchivedJobPrefix() + id }
 
-// ArchivePrefix returns the key prefix of archived jobs. It sorts after all other keys, so that
+// ArchivedJobPrefix returns the key prefix of archived jobs. It sorts after all other keys, so that
 // snapshot loading can stop there.
-func (k Keys) ArchivePrefix() string { return k.below(ArchivedJobRecord) }
+func (k Keys) ArchivedJobPrefix() string { return k.below(ArchivedJobRecord) }
 
 // CompletedPrefix returns the key prefix of a job's completed segments.
 func (k Keys) CompletedPrefix(id string) string { return k.below(CompletedRecord) + id + "/" }
