--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -101,7 +101,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			core := newFairAdmissionCore(t)
-			core.cache.Archived = true
+			core.cache.HasArchivedJobs = true
 			responses := submitAndComplete(core, 2*micros.Second, known, func(r *storage.Request) *storage.Reply {
 				switch {
 				case r.Kind == storage.Get && r.Key == core.keys.ReadBarrier():
--- a/internal/coordination/archived_jobs_test.go
+++ b/internal/coordination/archived_jobs_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	c := New(testConfig(t), "1")
 	c.output = &messages.Output{}
-	c.cache.Archived = true
+	c.cache.HasArchivedJobs = true
 	return c
 }
 
@@ -55,7 +55,7 @@
 					got.done, len(c.output.StoreCalls))
 			}
 			call := c.output.StoreCalls[0]
-			if call.Request.Kind != storage.Get || call.Request.Key != c.keys.Archive("wk-000001") {
+			if call.Request.Kind != storage.Get || call.Request.Key != c.keys.ArchivedJob("wk-000001") {
 				t.Errorf("got request %+v, want a read of the job's archive record", call.Request)
 			}
 			c.Step(1, 1, &messages.StoreCompletion{Call: call.Call, Reply: &test.reply})
@@ -72,7 +72,7 @@
 
 func TestLookupArchivedJobSkipsStoreWhenArchiveIsEmpty(t *testing.T) {
 	c := newCoreWithArchive(t)
-	c.cache.Archived = false
+	c.cache.HasArchivedJobs = false
 	if got := startLookup(c, "wk-000001"); *got != (lookupResult{true, false, true}) || len(c.output.StoreCalls) > 0 {
 		t.Errorf("got result %+v with %d store requests, want no job and no requests", *got, len(c.output.StoreCalls))
 	}
--- a/internal/coordination/replication/snapshot.go
+++ b/internal/coordination/replication/snapshot.go
@@ -53,11 +53,11 @@
 		if _, _, err := into.Apply(item); err != nil {
 			r.logUndecodable(err)
 		}
-		if into.Archived {
+		if into.HasArchivedJobs {
 			break // archived jobs are read on demand
 		}
 	}
-	if page.More && !into.Archived {
+	if page.More && !into.HasArchivedJobs {
 		r.loadPage(into, page.Items[len(page.Items)-1].Key, firstRevision)
 		return
 	}
--- a/internal/coordination/submission_test.go
+++ b/internal/coordination/submission_test.go
@@ -129,8 +129,8 @@
 func TestRejectedDuplicateReturnsJobStatus(t *testing.T) {
 	c := newServingCore(t)
 	job := testJob(7)
-	c.cache.Archived = true
-	known := storage.Item{Key: c.keys.Archive(job.ID), ModRevision: 5, Value: storage.Encode(job.Tombstone(workload.Done))}
+	c.cache.HasArchivedJobs = true
+	known := storage.Item{Key: c.keys.ArchivedJob(job.ID), ModRevision: 5, Value: storage.Encode(job.Tombstone(workload.Done))}
 	repeated := testJob(7)
 	repeated.Team = "nobody"
 	responses := submitAndWait(c, repeated, func(r *storage.Request) *storage.Reply {
