--- a/internal/coordination/clusterleader/archiver_test.go
+++ b/internal/coordination/clusterleader/archiver_test.go
@@ -66,8 +66,9 @@
 	for _, put := range call.Request.Puts {
 		archived = append(archived, put.Key)
 	}
-	if want := []string{testKeys.ArchivedJob("wk-000001"), testKeys.ArchivedJob("wk-000002")}; !slices.Equal(archived, want) {
-		t.Errorf("archived %v, want %v", archived, want)
+	wantArchived := []string{testKeys.ArchivedJob("wk-000001"), testKeys.ArchivedJob("wk-000002")}
+	if !slices.Equal(archived, wantArchived) {
+		t.Errorf("archived %v, want %v", archived, wantArchived)
 	}
 	if call.Urgency != storage.Deferrable {
 		t.Errorf("urgency %d, want a deferrable request", call.Urgency)
--- a/internal/coordination/submission_test.go
+++ b/internal/coordination/submission_test.go
@@ -130,7 +130,8 @@
 	c := newServingCore(t)
 	job := testJob(7)
 	c.cache.HasArchivedJobs = true
-	known := storage.Item{Key: c.keys.ArchivedJob(job.ID), ModRevision: 5, Value: storage.Encode(job.Tombstone(workload.Done))}
+	tombstone := job.Tombstone(workload.Done)
+	known := storage.Item{Key: c.keys.ArchivedJob(job.ID), ModRevision: 5, Value: storage.Encode(tombstone)}
 	repeated := testJob(7)
 	repeated.Team = "nobody"
 	responses := submitAndWait(c, repeated, func(r *storage.Request) *storage.Reply {
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -94,12 +94,14 @@
 func TestSplitBlock(t *testing.T) {
 	block := BlockRecord{InstanceType: "t", Zone: "z", Requested: 3, Machines: map[string]MachineRecord{}}
 	for i := range MaxBlockMachines {
-		block.Machines[fmt.Sprintf("vm-%06d", i)] = MachineRecord{Address: fmt.Sprintf("10.100.100.%d:9000", i), Used: i%2 == 0}
+		record := MachineRecord{Address: fmt.Sprintf("10.100.100.%d:9000", i), Used: i%2 == 0}
+		block.Machines[fmt.Sprintf("vm-%06d", i)] = record
 	}
 	seen, requested := map[string]bool{}, 0
 	for _, part := range block.Split(1900) {
 		if n := len(Encode(part)); n > 1900 || len(part.Machines) == 0 {
-			t.Errorf("part of %d bytes with %d machines, want at most 1900 bytes and at least one machine", n, len(part.Machines))
+			t.Errorf("part of %d bytes with %d machines, want at most 1900 bytes and at least one machine",
+				n, len(part.Machines))
 		}
 		requested += part.Requested
 		for m, rec := range part.Machines {
