--- a/internal/workload/teams.go
+++ b/internal/workload/teams.go
@@ -49,7 +49,7 @@
 	return usage.CPU <= t.GuaranteeCPU && usage.GPU <= t.GuaranteeGPU
 }
 
-// CanEverRun reports whether the team's quota limit permits the job to run at all: at least one task
+// CanEverRun reports whether the team's quota limit allows the job to run at all: at least one task
 // of an array, or all replicas of a service.
 func (t *Team) CanEverRun(j *Job) bool {
 	if j.Kind == Service {
