--- a/internal/transport/driver.go
+++ b/internal/transport/driver.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// steady is the time since the start, counted from 1.
-func (d *driver) steady() micros.Time { return time.Since(d.start).Microseconds() + 1 }
+// monotonicNow is the time since the start, counted from 1.
+func (d *driver) monotonicNow() micros.Time { return time.Since(d.start).Microseconds() + 1 }
 
 // run drives the core until ctx ends, and returns when the calls that it began have ended, too.
 func (d *driver) run(ctx context.Context) {
@@ -80,14 +80,14 @@
 		case <-timer.C:
 		}
 		batch = d.drainInputs(batch)
-		begin := d.steady()
+		begin := d.monotonicNow()
 		out := d.core.Step(begin, time.Now().UnixMicro(), batch...)
-		d.core.ObserveStepDuration(d.steady() - begin)
+		d.core.ObserveStepDuration(d.monotonicNow() - begin)
 		clear(batch)
 		d.execute(ctx, &calls, out)
 		d.healthy.Store(d.core.Healthy())
-		d.stepped.Store(d.steady())
-		timer.Reset(micros.Duration(max(0, out.NextTick-d.steady())))
+		d.stepped.Store(d.monotonicNow())
+		timer.Reset(micros.Duration(max(0, out.NextTick-d.monotonicNow())))
 	}
 }
 
