--- a/internal/transport/driver.go
+++ b/internal/transport/driver.go
@@ -29,13 +29,13 @@
 
 // driver hands inputs to the core, one step at a time, and carries out what it asks for.
 type driver struct {
-	cfg     *config.Config
-	log     *slog.Logger
-	core    *coordination.Core
-	start   time.Time
-	inputs  chan messages.Input
-	healthy atomic.Bool
-	stepped atomic.Int64 // when the loop last went round, in microseconds since start
+	cfg      *config.Config
+	log      *slog.Logger
+	core     *coordination.Core
+	start    time.Time
+	inputs   chan messages.Input
+	healthy  atomic.Bool
+	lastStep atomic.Int64 // when the loop last went round, in microseconds since start
 
 	pending *pendingRequests
 	clients *clients
@@ -86,7 +86,7 @@
 		clear(batch)
 		d.execute(ctx, &calls, out)
 		d.healthy.Store(d.core.Healthy())
-		d.stepped.Store(d.monotonicNow())
+		d.lastStep.Store(d.monotonicNow())
 		timer.Reset(micros.Duration(max(0, out.NextTick-d.monotonicNow())))
 	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -64,7 +64,7 @@
 }
 
 func (d *driver) serveHealth(w http.ResponseWriter, _ *http.Request) {
-	if !d.healthy.Load() || d.monotonicNow()-d.stepped.Load() > maxStepAge {
+	if !d.healthy.Load() || d.monotonicNow()-d.lastStep.Load() > maxStepAge {
 		refuse(w, http.StatusServiceUnavailable, "not ready", micros.Second)
 		return
 	}
