--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func write(w http.ResponseWriter, status int, body []byte) {
+func writeJSON(w http.ResponseWriter, status int, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
@@ -60,7 +60,7 @@
 
 func refuse(w http.ResponseWriter, status int, why string, after micros.Time) {
 	w.Header().Set("Retry-After", strconv.FormatInt((after+micros.Second-1)/micros.Second, 10))
-	write(w, status, protocol.EncodeError(why))
+	writeJSON(w, status, protocol.EncodeError(why))
 }
 
 func (d *driver) serveHealth(w http.ResponseWriter, _ *http.Request) {
@@ -68,7 +68,7 @@
 		refuse(w, http.StatusServiceUnavailable, "not ready", micros.Second)
 		return
 	}
-	write(w, http.StatusOK, []byte("{}"))
+	writeJSON(w, http.StatusOK, []byte("{}"))
 }
 
 // readBody reads a request's body and answers if that fails.
@@ -81,7 +81,7 @@
 	if _, ok := errors.AsType[*http.MaxBytesError](err); ok {
 		why = "body too large"
 	}
-	write(w, http.StatusBadRequest, protocol.EncodeError(why))
+	writeJSON(w, http.StatusBadRequest, protocol.EncodeError(why))
 	return nil, false
 }
 
@@ -94,15 +94,15 @@
 	}
 	switch response.Kind {
 	case messages.JobAccepted:
-		write(w, http.StatusCreated, protocol.EncodeJobStatus(response.Job))
+		writeJSON(w, http.StatusCreated, protocol.EncodeJobStatus(response.Job))
 	case messages.JobFound:
-		write(w, http.StatusOK, protocol.EncodeJobStatus(response.Job))
+		writeJSON(w, http.StatusOK, protocol.EncodeJobStatus(response.Job))
 	case messages.RequestMalformed:
-		write(w, http.StatusBadRequest, protocol.EncodeError(response.Reason))
+		writeJSON(w, http.StatusBadRequest, protocol.EncodeError(response.Reason))
 	case messages.JobUnschedulable:
-		write(w, http.StatusUnprocessableEntity, protocol.EncodeError(response.Reason))
+		writeJSON(w, http.StatusUnprocessableEntity, protocol.EncodeError(response.Reason))
 	case messages.JobNotFound:
-		write(w, http.StatusNotFound, protocol.EncodeError("no such job"))
+		writeJSON(w, http.StatusNotFound, protocol.EncodeError("no such job"))
 	case messages.Overloaded:
 		refuse(w, http.StatusTooManyRequests, response.Reason, response.RetryAfter)
 	case messages.ServiceUnavailable, messages.HeartbeatAcknowledged, messages.HeartbeatRedirected:
@@ -130,7 +130,7 @@
 func (d *driver) lookup(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	if !protocol.ValidJobID(id) {
-		write(w, http.StatusNotFound, protocol.EncodeError("no such job"))
+		writeJSON(w, http.StatusNotFound, protocol.EncodeError("no such job"))
 		return
 	}
 	d.serveUser(w, r, func(request messages.RequestID) messages.Input {
@@ -141,7 +141,7 @@
 func (d *driver) abort(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	if !protocol.ValidJobID(id) {
-		write(w, http.StatusNotFound, protocol.EncodeError("no such job"))
+		writeJSON(w, http.StatusNotFound, protocol.EncodeError("no such job"))
 		return
 	}
 	d.serveUser(w, r, func(request messages.RequestID) messages.Input {
@@ -157,7 +157,7 @@
 	heartbeat, err := protocol.ParseHeartbeat(body)
 	if err != nil {
 		d.malformedHeartbeats.Do(func() { d.log.Warn("malformed heartbeat", "err", err, "address", r.RemoteAddr) })
-		write(w, http.StatusBadRequest, protocol.EncodeError(err.Error()))
+		writeJSON(w, http.StatusBadRequest, protocol.EncodeError(err.Error()))
 		return
 	}
 	response, ok := d.request(r.Context(), heartbeatTimeout, func(request messages.RequestID) messages.Input {
@@ -165,9 +165,9 @@
 	})
 	switch {
 	case ok && response.Kind == messages.HeartbeatAcknowledged:
-		write(w, http.StatusOK, protocol.EncodeHeartbeatReply(response.FencingToken, response.Commands))
+		writeJSON(w, http.StatusOK, protocol.EncodeHeartbeatReply(response.FencingToken, response.Commands))
 	case ok && response.Kind == messages.HeartbeatRedirected:
-		write(w, http.StatusMisdirectedRequest, protocol.EncodeRedirect(response.RedirectTo))
+		writeJSON(w, http.StatusMisdirectedRequest, protocol.EncodeRedirect(response.RedirectTo))
 	default:
 		refuse(w, http.StatusServiceUnavailable, "cannot answer reports now", micros.Second)
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -139,7 +139,7 @@
 	srv := httptest.NewServer(limit.guard(func(w http.ResponseWriter, _ *http.Request) {
 		entered <- true
 		<-hold
-		write(w, 200, nil)
+		writeJSON(w, 200, nil)
 	}, func() { refused.Add(1) }))
 	defer srv.Close()
 	done := make(chan int, 4)
