--- a/internal/transport/request_limit.go
+++ b/internal/transport/request_limit.go
@@ -29,7 +29,7 @@
 		slot, ok := l.limiter.TryAcquirePermit()
 		if !ok {
 			refused()
-			refuse(w, http.StatusTooManyRequests, "too many requests", micros.Second)
+			writeRetryable(w, http.StatusTooManyRequests, "too many requests", micros.Second)
 			return
 		}
 		defer slot.Record()
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -58,14 +58,14 @@
 	_, _ = w.Write(body) // the client may be gone; there is nobody to tell
 }
 
-func refuse(w http.ResponseWriter, status int, why string, after micros.Time) {
+func writeRetryable(w http.ResponseWriter, status int, why string, after micros.Time) {
 	w.Header().Set("Retry-After", strconv.FormatInt((after+micros.Second-1)/micros.Second, 10))
 	writeJSON(w, status, protocol.EncodeError(why))
 }
 
 func (d *driver) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	if !d.healthy.Load() || d.monotonicNow()-d.lastStep.Load() > maxStepAge {
-		refuse(w, http.StatusServiceUnavailable, "not ready", micros.Second)
+		writeRetryable(w, http.StatusServiceUnavailable, "not ready", micros.Second)
 		return
 	}
 	writeJSON(w, http.StatusOK, []byte("{}"))
@@ -89,7 +89,7 @@
 func (d *driver) serveUser(w http.ResponseWriter, r *http.Request, input func(messages.RequestID) messages.Input) {
 	response, ok := d.request(r.Context(), requestTimeout, input)
 	if !ok {
-		refuse(w, http.StatusServiceUnavailable, "no answer in time", micros.Second)
+		writeRetryable(w, http.StatusServiceUnavailable, "no answer in time", micros.Second)
 		return
 	}
 	switch response.Kind {
@@ -104,11 +104,11 @@
 	case messages.JobNotFound:
 		writeJSON(w, http.StatusNotFound, protocol.EncodeError("no such job"))
 	case messages.Overloaded:
-		refuse(w, http.StatusTooManyRequests, response.Reason, response.RetryAfter)
+		writeRetryable(w, http.StatusTooManyRequests, response.Reason, response.RetryAfter)
 	case messages.ServiceUnavailable, messages.HeartbeatAcknowledged, messages.HeartbeatRedirected:
 		fallthrough // the last two are for agents, and don't come here
 	default:
-		refuse(w, http.StatusServiceUnavailable, response.Reason, response.RetryAfter)
+		writeRetryable(w, http.StatusServiceUnavailable, response.Reason, response.RetryAfter)
 	}
 }
 
@@ -169,6 +169,6 @@
 	case ok && response.Kind == messages.HeartbeatRedirected:
 		writeJSON(w, http.StatusMisdirectedRequest, protocol.EncodeRedirect(response.RedirectTo))
 	default:
-		refuse(w, http.StatusServiceUnavailable, "cannot answer reports now", micros.Second)
+		writeRetryable(w, http.StatusServiceUnavailable, "cannot answer reports now", micros.Second)
 	}
 }
