--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -35,16 +35,16 @@
 	r.Post("/v1/report", d.serveHeartbeat)
 	r.Route("/submissions", func(r chi.Router) {
 		r.Use(listener.closeUserConnections)
-		r.Post("/", limit.guard(d.submit, d.reportShed))
+		r.Post("/", limit.guard(d.submit, d.notifyLoadShed))
 		r.Get("/{id}", limit.guard(d.lookup, func() {}))
 		r.Post("/{id}/abort", d.abort)
 	})
 	return r
 }
 
-// reportShed lets the core know that a submission was refused unread. One that finds the queue of inputs
+// notifyLoadShed lets the core know that a submission was refused unread. One that finds the queue of inputs
 // full does not matter: then there are many.
-func (d *driver) reportShed() {
+func (d *driver) notifyLoadShed() {
 	select {
 	case d.inputs <- &messages.LoadShed{}:
 	default:
