--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -80,9 +80,9 @@
 	maxBytes int64
 }
 
-// do sends a request once. It must not be repeated behind the core's back: a repetition would be a
+// sendOnce sends a request once. It must not be repeated behind the core's back: a repetition would be a
 // second send that nobody counts.
-func do(ctx context.Context, client *http.Client, x exchange) (status int, body []byte, err error) {
+func sendOnce(ctx context.Context, client *http.Client, x exchange) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, micros.Duration(x.timeout))
 	defer cancel()
 	req, err := x.httpRequest(ctx)
@@ -123,7 +123,7 @@
 
 // callStore never returns nil: a call without a readable reply may have been executed or not.
 func (c *clients) callStore(ctx context.Context, call *messages.StoreCall) *storage.Reply {
-	status, body, err := do(ctx, c.services, exchange{
+	status, body, err := sendOnce(ctx, c.services, exchange{
 		host:     c.cfg.Services.State,
 		request:  protocol.EncodeStoreRequest(call.Request),
 		timeout:  call.Timeout,
@@ -148,7 +148,7 @@
 
 // callCloud never returns nil: a call without a readable reply may have been executed or not.
 func (c *clients) callCloud(ctx context.Context, call *messages.CloudCall) *messages.CloudReply {
-	status, body, err := do(ctx, c.services, exchange{
+	status, body, err := sendOnce(ctx, c.services, exchange{
 		host:     c.cfg.Services.Cloud,
 		request:  protocol.EncodeCloudRequest(call),
 		timeout:  call.Timeout,
@@ -173,7 +173,7 @@
 			Method: http.MethodPost, Path: "/commands", Body: protocol.EncodeCommands(call),
 		}
 	}
-	status, body, err := do(ctx, c.agents, exchange{
+	status, body, err := sendOnce(ctx, c.agents, exchange{
 		host: call.Address, request: request, timeout: call.Timeout, maxBytes: maxAgentReply,
 	})
 	if err != nil {
