--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer discard(resp.Body)
+	defer closeQuietly(resp.Body)
 	body, err = io.ReadAll(io.LimitReader(resp.Body, x.maxBytes+1))
 	if err != nil {
 		return 0, nil, err
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -46,7 +46,7 @@
 			return &boundedConn{Conn: conn, listener: l}, nil
 		}
 		l.open.Add(-1)
-		discard(conn)
+		closeQuietly(conn)
 		l.refusals.Do(func() {
 			l.log.Warn("connection refused: max_connections is too small for the fleet and its users", "serving", l.limit)
 		})
--- a/internal/transport/peer_sender.go
+++ b/internal/transport/peer_sender.go
@@ -74,7 +74,7 @@
 
 func (s *peerSender) disconnect() {
 	if s.conn != nil {
-		discard(s.conn)
+		closeQuietly(s.conn)
 		s.conn = nil
 	}
 }
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -55,7 +55,7 @@
 		sender := &peerSender{address: peer.Address, log: p.log}
 		links.Go(func() { sender.run(ctx, p.outgoing[peer.Member]) })
 	}
-	stop := context.AfterFunc(ctx, func() { discard(listener) })
+	stop := context.AfterFunc(ctx, func() { closeQuietly(listener) })
 	defer stop()
 	p.accept(ctx, listener, &links)
 }
@@ -79,15 +79,15 @@
 				p.receive(ctx, conn)
 			})
 		default:
-			discard(conn)
+			closeQuietly(conn)
 		}
 	}
 }
 
 // receive reads messages until the connection fails or ctx ends.
 func (p *peerLinks) receive(ctx context.Context, conn net.Conn) {
-	defer discard(conn)
-	stop := context.AfterFunc(ctx, func() { discard(conn) }) // ends a read that waits
+	defer closeQuietly(conn)
+	stop := context.AfterFunc(ctx, func() { closeQuietly(conn) }) // ends a read that waits
 	defer stop()
 	for {
 		status, err := readPeerStatus(conn)
--- a/internal/transport/run.go
+++ b/internal/transport/run.go
@@ -35,7 +35,7 @@
 	}
 	internal, err := net.Listen("tcp", cfg.InternalAddr)
 	if err != nil {
-		discard(public)
+		closeQuietly(public)
 		return fmt.Errorf("internal_addr: %w", err)
 	}
 
@@ -71,7 +71,7 @@
 	go func() { failed <- server.Serve(bounded) }() // ends when the server is shut down, at the latest
 	select {
 	case err := <-failed:
-		discard(server)
+		closeQuietly(server)
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 	}
@@ -79,7 +79,7 @@
 	defer cancel()
 	err := server.Shutdown(shutdown)
 	if err != nil {
-		discard(server) // ends the requests that took longer
+		closeQuietly(server) // ends the requests that took longer
 	}
 	if served := <-failed; !errors.Is(served, http.ErrServerClosed) {
 		d.log.Debug("serving ended", "err", served)
@@ -87,6 +87,6 @@
 	return err
 }
 
-// discard closes what is of no use any more: after a failure, or at the end. What closing it could say,
+// closeQuietly closes what is of no use any more: after a failure, or at the end. What closing it could say,
 // nobody could act on.
-func discard(c io.Closer) { _ = c.Close() }
+func closeQuietly(c io.Closer) { _ = c.Close() }
