--- a/internal/transport/request_limit.go
+++ b/internal/transport/request_limit.go
@@ -15,11 +15,11 @@
 	limiter adaptivelimiter.AdaptiveLimiter[any]
 }
 
-func newRequestLimit(most uint) *requestLimit {
+func newRequestLimit(maxLimit uint) *requestLimit {
 	// The least is what users ask for all at once after an outage; below it the limit would refuse them
 	// for nothing.
-	least := max(most/4, min(most, 16))
-	return &requestLimit{adaptivelimiter.NewBuilder[any]().WithLimits(least, most, max(least, most/2)).
+	least := max(maxLimit/4, min(maxLimit, 16))
+	return &requestLimit{adaptivelimiter.NewBuilder[any]().WithLimits(least, maxLimit, max(least, maxLimit/2)).
 		WithMaxLimitFactor(16).Build()}
 }
 
