--- a/internal/transport/request_limit.go
+++ b/internal/transport/request_limit.go
@@ -16,10 +16,10 @@
 }
 
 func newRequestLimit(maxLimit uint) *requestLimit {
-	// The least is what users ask for all at once after an outage; below it the limit would refuse them
+	// The minLimit is what users ask for all at once after an outage; below it the limit would refuse them
 	// for nothing.
-	least := max(maxLimit/4, min(maxLimit, 16))
-	return &requestLimit{adaptivelimiter.NewBuilder[any]().WithLimits(least, maxLimit, max(least, maxLimit/2)).
+	minLimit := max(maxLimit/4, min(maxLimit, 16))
+	return &requestLimit{adaptivelimiter.NewBuilder[any]().WithLimits(minLimit, maxLimit, max(minLimit, maxLimit/2)).
 		WithMaxLimitFactor(16).Build()}
 }
 
