--- a/cmd/pipitlatch/commands.go
+++ b/cmd/pipitlatch/commands.go
@@ -24,8 +24,8 @@
 	Version kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// files are the flags that name the settings' files.
-type files struct {
+// settingsFlags are the flags that name the settings' settingsFlags.
+type settingsFlags struct {
 	Config   string `help:"The platform's settings file (TOML)." placeholder:"FILE" required:"" type:"path"`
 	Operator string `help:"${operator_help}" placeholder:"FILE" env:"PIPITLATCH_OPERATOR" type:"path"`
 }
@@ -33,9 +33,9 @@
 // operatorHelp stands apart from its flag for the length of the line.
 const operatorHelp = "Operators' own settings (protobuf text format)."
 
-type serveCmd struct{ files }
+type serveCmd struct{ settingsFlags }
 
-type checkCmd struct{ files }
+type checkCmd struct{ settingsFlags }
 
 // newParser builds the command line's parser.
 func newParser(commands *cli) (*kong.Kong, error) {
@@ -47,7 +47,7 @@
 }
 
 // load reads the settings; whatever is wrong with them is a settingsError.
-func (f *files) load() (*config.Config, error) {
+func (f *settingsFlags) load() (*config.Config, error) {
 	cfg, err := config.Load(f.Config, f.Operator)
 	if err != nil {
 		return nil, &settingsError{err}
