--- a/internal/transport/bounds_test.go
+++ b/internal/transport/bounds_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestConnectionsBeyondTheBound: they are refused, and the operator is told, a line now and
+// TestConnectionLimit: they are refused, and the operator is told, a line now and
 // then however many they are.
-func TestConnectionsBeyondTheBound(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
