--- a/internal/transport/bounds_test.go
+++ b/internal/transport/bounds_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestInputQueueHoldsAFleet: every connection may have a request in progress at once.
-func TestInputQueueHoldsAFleet(t *testing.T) {
+// TestInputQueueCoversMaxConnections: every connection may have a request in progress at once.
+func TestInputQueueCoversMaxConnections(t *testing.T) {
 	cfg := &config.Config{}
 	cfg.Settings.MachineLimits.MaxConnections = 10_800
 	if got := inputQueueSize(cfg); got < 10_800 {
