--- a/internal/transport/pending_test.go
+++ b/internal/transport/pending_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestPendingRequestsForgetWhatNobodyWaitsFor(t *testing.T) {
+func TestPendingRequestsDropUnclaimedResponses(t *testing.T) {
 	p := newPendingRequests()
 	removed, response := p.add()
 	p.remove(removed)
