--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -83,9 +83,9 @@
 	return ""
 }
 
-// TestAnswersInAnOutage checks every status that needs no key-value store, and
+// TestResponsesDuringOutage checks every status that needs no key-value store, and
 // that the rest is refused at once, with when to come back.
-func TestAnswersInAnOutage(t *testing.T) {
+func TestResponsesDuringOutage(t *testing.T) {
 	addr := start(t)
 	job := `{"ref":"wk-000001","jobclass":"c","owner":"alpha","shape":"array","rank":"low",` +
 		`"shards":1,"cores":1,"gpus":0,"ram_gb":1,"bundle":"i","size_gb":1,"one_zone":false,"apart":false,"loaners":false,` +
