--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestLimitRefusesAtOnce(t *testing.T) {
+func TestRequestLimitRejectsImmediately(t *testing.T) {
 	hold, entered := make(chan bool), make(chan bool, 64)
 	var refused atomic.Int64
 	limit := newRequestLimit(4)
