--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -191,9 +191,9 @@
 	return resp, err
 }
 
-// TestUsersMakeRoomForWorkers: while sockets are short, a user's connection ends with
+// TestUserConnectionsCloseNearLimit: while sockets are short, a user's connection ends with
 // its answer, an agent's stays, and beyond the limit there are none.
-func TestUsersMakeRoomForWorkers(t *testing.T) {
+func TestUserConnectionsCloseNearLimit(t *testing.T) {
 	addr := start(t)
 	open := 0
 	crowd := func(n int) {
