--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -44,8 +44,8 @@
 	return l.Addr().String()
 }
 
-// start runs a controller on loopback whose key-value store and cloud are down.
-func start(t *testing.T) string {
+// startController runs a controller on loopback whose key-value store and cloud are down.
+func startController(t *testing.T) string {
 	t.Helper()
 	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }))
 	t.Cleanup(down.Close)
@@ -86,7 +86,7 @@
 // TestResponsesDuringOutage checks every status that needs no key-value store, and
 // that the rest is refused at once, with when to come back.
 func TestResponsesDuringOutage(t *testing.T) {
-	addr := start(t)
+	addr := startController(t)
 	job := `{"ref":"wk-000001","jobclass":"c","owner":"alpha","shape":"array","rank":"low",` +
 		`"shards":1,"cores":1,"gpus":0,"ram_gb":1,"bundle":"i","size_gb":1,"one_zone":false,"apart":false,"loaners":false,` +
 		`"expect_s":1,"snapshot_every_s":0,"snapshot_s":0}`
@@ -194,7 +194,7 @@
 // TestUserConnectionsCloseNearLimit: while sockets are short, a user's connection ends with
 // its answer, an agent's stays, and beyond the limit there are none.
 func TestUserConnectionsCloseNearLimit(t *testing.T) {
-	addr := start(t)
+	addr := startController(t)
 	open := 0
 	crowd := func(n int) {
 		for ; open < n; open++ {
