--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -196,7 +196,7 @@
 func TestUserConnectionsCloseNearLimit(t *testing.T) {
 	addr := startController(t)
 	open := 0
-	crowd := func(n int) {
+	openConnections := func(n int) {
 		for ; open < n; open++ {
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
@@ -215,7 +215,7 @@
 		{72, "/v1/report", false, false},
 		{90, "/v1/report", false, true},
 	} {
-		crowd(c.crowd)
+		openConnections(c.crowd)
 		for try := 0; ; try++ { // the crowd may not all be accepted yet
 			resp, err := getOrReport(t, addr, c.path)
 			if (err != nil) == c.err && (err != nil || resp.Close == c.closes) {
@@ -228,7 +228,7 @@
 			if c.err {
 				// The connection of the last probe may still have counted when the crowd came, so that
 				// one of the crowd was refused in its place.
-				crowd(c.crowd + try + 1)
+				openConnections(c.crowd + try + 1)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
