--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -24,10 +24,10 @@
 	symbol = regexp.MustCompile(`\.[A-Z]\w*$`)
 )
 
-// TestPages checks that every relative link of a page, and every path between backticks that looks like one
+// TestMarkdownReferences checks that every relative link of a page, and every path between backticks that looks like one
 // of the repository, leads to something. The incidents tell of the code as it was then, so only their links
 // are checked.
-func TestPages(t *testing.T) {
+func TestMarkdownReferences(t *testing.T) {
 	pages := []struct {
 		pattern string
 		paths   bool
