--- a/internal/transport/run.go
+++ b/internal/transport/run.go
@@ -1,6 +1,6 @@
-// Package transport connects the core with the world: HTTP for users, agents and health checks,
-// clients of key-value store, cloud and agents, and the connections between controllers. One loop, the
-// driver's, drives the core.
+// Package transport performs the core's I/O: the HTTP server for users, agents and health checks, the
+// clients of the key-value store, the cloud and the agents, and the connections between controllers. A
+// single loop, the driver's, steps the core.
 package transport
 
 import (
@@ -20,11 +20,11 @@
 	"pipitlatch/internal/config"
 )
 
-// shutdownTimeout is how long requests in progress may take once the controller is told to end.
+// shutdownTimeout is how long requests in progress may take after shutdown begins.
 const shutdownTimeout = time.Second
 
 // Run serves until ctx ends. When it returns, the driver, its calls and the connections between controllers
-// have ended; requests that were still in progress are cut off.
+// have ended, and the connections of requests that exceeded shutdownTimeout are closed.
 func Run(ctx context.Context, cfg *config.Config, log *slog.Logger) error {
 	incarnation := rand.Text()
 	d := newDriver(cfg, incarnation, log)
@@ -42,7 +42,7 @@
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // before the wait
+	defer cancel() // deferred calls run in reverse order: cancel before the wait
 	tasks.Go(func() { d.peers.run(ctx, internal) })
 	tasks.Go(func() { d.run(ctx) })
 	log.Info("serving", "member", cfg.Member, "incarnation", incarnation, "listen", cfg.Listen,
@@ -50,7 +50,7 @@
 	return d.serve(ctx, public)
 }
 
-// serve answers users, agents and health checks until ctx ends; it closes the listener.
+// serve handles HTTP requests of users, agents and health checks until ctx ends. It closes the listener.
 func (d *driver) serve(ctx context.Context, listener net.Listener) error {
 	bounded := &boundedListener{
 		Listener: listener,
@@ -68,7 +68,7 @@
 		ErrorLog:          slog.NewLogLogger(d.log.Handler(), slog.LevelDebug),
 	}
 	failed := make(chan error, 1)
-	go func() { failed <- server.Serve(bounded) }() // ends when the server is shut down, at the latest
+	go func() { failed <- server.Serve(bounded) }() // returns at shutdown at the latest
 	select {
 	case err := <-failed:
 		closeQuietly(server)
@@ -79,7 +79,7 @@
 	defer cancel()
 	err := server.Shutdown(shutdown)
 	if err != nil {
-		closeQuietly(server) // ends the requests that took longer
+		closeQuietly(server) // closes the connections of requests still in progress
 	}
 	if served := <-failed; !errors.Is(served, http.ErrServerClosed) {
 		d.log.Debug("serving ended", "err", served)
@@ -87,6 +87,5 @@
 	return err
 }
 
-// closeQuietly closes what is of no use any more: after a failure, or at the end. What closing it could say,
-// nobody could act on.
+// closeQuietly closes c after a failure or at shutdown and ignores the error, which no caller could act on.
 func closeQuietly(c io.Closer) { _ = c.Close() }
