--- a/internal/transport/peer_sender.go
+++ b/internal/transport/peer_sender.go
@@ -13,18 +13,18 @@
 	"pipitlatch/internal/protocol"
 )
 
-// frameHeaderBytes is the length that stands before each message between controllers.
+// frameHeaderBytes is the size of the length prefix of each message between controllers.
 const frameHeaderBytes = 4
 
-// peerSender owns the connection on which a peer gets its messages.
+// peerSender owns the outgoing connection to a peer.
 type peerSender struct {
 	address  string
 	log      *slog.Logger
-	conn     net.Conn  // nil when there is none
-	nextDial time.Time // after a failed attempt
+	conn     net.Conn  // nil while disconnected
+	nextDial time.Time // earliest time of the next attempt after a failed one
 }
 
-// run sends what is queued until ctx ends. A message that finds no connection is dropped.
+// run sends queued messages until ctx ends. Messages are dropped while there is no connection.
 func (s *peerSender) run(ctx context.Context, queue <-chan []byte) {
 	defer s.disconnect()
 	for {
@@ -43,7 +43,8 @@
 	}
 }
 
-// connect reports whether there is a connection; without one it makes an attempt, but not too often.
+// connect reports whether there is a connection. If there is none it dials, at most once every
+// peerDialInterval after a failure.
 func (s *peerSender) connect(ctx context.Context) bool {
 	if s.conn != nil {
 		return true
@@ -79,7 +80,7 @@
 	}
 }
 
-// readPeerStatus reads one message.
+// readPeerStatus reads one message, within peerReadTimeout and of at most MaxPeerStatusBytes.
 func readPeerStatus(conn net.Conn) (*messages.PeerStatus, error) {
 	if err := conn.SetReadDeadline(time.Now().Add(peerReadTimeout)); err != nil {
 		return nil, err
