--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -14,18 +14,18 @@
 	"pipitlatch/internal/micros"
 )
 
-// refusalLogInterval is how often refused connections are logged.
+// refusalLogInterval is the minimum interval between log records of refused connections.
 const refusalLogInterval = 10 * time.Second
 
-// boundedListener refuses connections beyond a number, so that this process keeps sockets for its own
-// calls. A refused user goes to another controller.
+// boundedListener closes connections beyond a limit, so that sockets remain for the controller's own
+// calls. A refused user retries at another controller.
 type boundedListener struct {
 	net.Listener
 	limit int64
 	open  atomic.Int64
 
 	log      *slog.Logger
-	refusals rate.Sometimes // bounds what refused connections make us log
+	refusals rate.Sometimes // rate limit for log records of refused connections
 }
 
 // boundedConn counts as open until it is closed for the first time.
@@ -35,7 +35,7 @@
 	listener *boundedListener
 }
 
-// Accept is part of net.Listener.
+// Accept implements net.Listener.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -53,14 +53,15 @@
 	}
 }
 
-// Close is part of net.Conn.
+// Close implements net.Conn.
 func (c *boundedConn) Close() error {
 	c.once.Do(func() { c.listener.open.Add(-1) })
 	return c.Conn.Close()
 }
 
-// closeUserConnections ends users' connections with their answers while sockets are short: an agent
-// that finds none loses its tasks when its lease ends, a user comes again.
+// closeUserConnections closes users' connections after the response while more than 7/8 of the limit is in
+// use. Agents take precedence: an agent that cannot connect loses its tasks when its lease expires, whereas
+// a user can retry.
 func (l *boundedListener) closeUserConnections(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if l.open.Load() > l.limit*7/8 {
@@ -70,8 +71,8 @@
 	})
 }
 
-// idleTimeout ends connections whose other end is gone without a word: agents send heartbeats, and
-// users ask, more often than that.
+// idleTimeout is how long a connection may be idle before it is closed as abandoned. Agents send
+// heartbeats, and users poll, more often than that.
 func idleTimeout(cfg *config.Config) time.Duration {
 	return micros.Duration(max(15*micros.Second, micros.FromSeconds(4*cfg.Settings.Workers.ReportS)))
 }
