--- a/internal/transport/pending.go
+++ b/internal/transport/pending.go
@@ -6,7 +6,7 @@
 	"pipitlatch/internal/coordination/messages"
 )
 
-// pendingRequests are the requests of users and agents that wait for the core's response.
+// pendingRequests tracks requests of users and agents that wait for a response from the core.
 type pendingRequests struct {
 	mu        sync.Mutex
 	last      messages.RequestID
@@ -17,10 +17,10 @@
 	return &pendingRequests{responses: map[messages.RequestID]chan<- messages.Response{}}
 }
 
-// add returns a new request's id and the channel that gets its response. Whoever adds a request removes
-// it when it waits no more.
+// add registers a request and returns its id and the channel for its response. The caller must remove the
+// request when it stops waiting.
 func (p *pendingRequests) add() (messages.RequestID, <-chan messages.Response) {
-	response := make(chan messages.Response, 1) // room for the one that there is: complete never blocks
+	response := make(chan messages.Response, 1) // at most one response is sent, so complete never blocks
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.last++
@@ -34,8 +34,8 @@
 	delete(p.responses, id)
 }
 
-// complete passes a response on to whoever waits for it; for a request that is not waited for any more
-// it does nothing.
+// complete delivers a response to the waiting request. It does nothing if the request was removed or
+// already completed.
 func (p *pendingRequests) complete(r messages.Response) {
 	p.mu.Lock()
 	response := p.responses[r.Request]
