--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// peerQueue is how many messages wait for a peer.
+	// peerQueue is the capacity of a peer's outgoing queue, in messages.
 	peerQueue = 4
-	// peerDialTimeout and peerWriteTimeout bound what a peer that is gone costs its sender.
+	// peerDialTimeout and peerWriteTimeout bound how long an unreachable peer blocks its sender.
 	peerDialTimeout  = time.Second
 	peerWriteTimeout = time.Second
-	// peerDialInterval is how long after a failed attempt the next is made.
+	// peerDialInterval is the delay between a failed connection attempt and the next.
 	peerDialInterval = 500 * time.Millisecond
-	// peerReadTimeout ends connections whose other end is gone without a word.
+	// peerReadTimeout closes connections whose remote end has disappeared without closing them.
 	peerReadTimeout = 15 * time.Second
-	// acceptRetryInterval is the pause after a failure to accept, for want of sockets, say.
+	// acceptRetryInterval is the delay after a failed accept, for example when file descriptors run out.
 	acceptRetryInterval = 50 * time.Millisecond
 )
 
-// peerLinks keeps one connection to every other controller for sending; what they send comes in on
-// theirs. A message is its length and a FlatBuffer. All of it is a hint that the next message replaces,
-// so nothing is ever sent again.
+// peerLinks keeps one outgoing connection to every other controller and receives on the connections that
+// they open. A message is a length prefix and a FlatBuffer. Messages are advisory, and each replaces the
+// previous one, so lost messages are not retransmitted.
 type peerLinks struct {
 	log      *slog.Logger
 	inputs   chan<- messages.Input
@@ -46,7 +46,7 @@
 	return p
 }
 
-// run sends and receives until ctx ends, and returns when all its connections are closed. It closes the
+// run sends and receives until ctx ends, and returns once all its connections are closed. It closes the
 // listener.
 func (p *peerLinks) run(ctx context.Context, listener net.Listener) {
 	var links sync.WaitGroup
@@ -60,7 +60,8 @@
 	p.accept(ctx, listener, &links)
 }
 
-// accept takes connections of peers, a few for each, until the listener is closed.
+// accept accepts connections until the listener is closed. Their number is limited to four per peer, plus
+// four; further ones are closed.
 func (p *peerLinks) accept(ctx context.Context, listener net.Listener, links *sync.WaitGroup) {
 	slots := make(chan struct{}, 4*len(p.peers)+4)
 	for {
@@ -87,7 +88,7 @@
 // receive reads messages until the connection fails or ctx ends.
 func (p *peerLinks) receive(ctx context.Context, conn net.Conn) {
 	defer closeQuietly(conn)
-	stop := context.AfterFunc(ctx, func() { closeQuietly(conn) }) // ends a read that waits
+	stop := context.AfterFunc(ctx, func() { closeQuietly(conn) }) // unblocks a pending read
 	defer stop()
 	for {
 		status, err := readPeerStatus(conn)
@@ -99,12 +100,12 @@
 		}
 		select {
 		case p.inputs <- status:
-		default: // the next message replaces it
+		default: // input queue full: the next message replaces this one
 		}
 	}
 }
 
-// send queues a message; a peer that does not take them misses the oldest.
+// send queues a message without blocking. If the peer's queue is full, the oldest message is dropped.
 func (p *peerLinks) send(member string, status *messages.PeerStatus) {
 	queue := p.outgoing[member]
 	if queue == nil {
