--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -14,17 +14,17 @@
 	"pipitlatch/internal/protocol"
 )
 
-// How long requests of users and agents may be in progress: they give up after 5 s and 4 s.
+// Time limits for requests of users and agents, whose own timeouts are 5 s and 4 s.
 const (
 	requestTimeout   = 3500 * time.Millisecond
 	heartbeatTimeout = 2 * time.Second
 )
 
-// maxStepAge is how long the driver's loop may take to go round before the process counts as not ready.
+// maxStepAge is the age of the driver's last step beyond which the process counts as not ready.
 const maxStepAge = 2 * micros.Second
 
-// maxHeartbeatBytes bounds an agent's heartbeat; it has no limit of its own in the protocol but that of
-// all bodies.
+// maxHeartbeatBytes limits the size of a heartbeat. The protocol has no specific limit for heartbeats, so the
+// one for all request bodies applies.
 const maxHeartbeatBytes = protocol.MaxBody
 
 // routes maps paths to handlers.
@@ -42,8 +42,8 @@
 	return r
 }
 
-// notifyLoadShed lets the core know that a submission was refused unread. One that finds the queue of inputs
-// full does not matter: then there are many.
+// notifyLoadShed tells the core that a submission was rejected unread. A notification is dropped if the
+// input queue is full; it then is one of many.
 func (d *driver) notifyLoadShed() {
 	select {
 	case d.inputs <- &messages.LoadShed{}:
@@ -55,7 +55,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // the client may be gone; there is nobody to tell
+	_, _ = w.Write(body) // fails if the client has disconnected; the error cannot be reported to it
 }
 
 func writeRetryable(w http.ResponseWriter, status int, why string, after micros.Time) {
@@ -71,7 +71,7 @@
 	writeJSON(w, http.StatusOK, []byte("{}"))
 }
 
-// readBody reads a request's body and answers if that fails.
+// readBody reads a request's body. If that fails it writes a 400 response and returns false.
 func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	if err == nil {
@@ -85,7 +85,7 @@
 	return nil, false
 }
 
-// serveUser asks the core and writes its response to a user.
+// serveUser passes a user's request to the core and writes the response.
 func (d *driver) serveUser(w http.ResponseWriter, r *http.Request, input func(messages.RequestID) messages.Input) {
 	response, ok := d.request(r.Context(), requestTimeout, input)
 	if !ok {
@@ -106,7 +106,7 @@
 	case messages.Overloaded:
 		writeRetryable(w, http.StatusTooManyRequests, response.Reason, response.RetryAfter)
 	case messages.ServiceUnavailable, messages.HeartbeatAcknowledged, messages.HeartbeatRedirected:
-		fallthrough // the last two are for agents, and don't come here
+		fallthrough // the last two are responses to agents and do not occur here
 	default:
 		writeRetryable(w, http.StatusServiceUnavailable, response.Reason, response.RetryAfter)
 	}
