--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -18,17 +18,17 @@
 	"pipitlatch/internal/storage"
 )
 
-// Bounds on replies; a larger one counts as none.
+// Size limits of replies. A larger reply is treated as no reply.
 const (
 	maxStoreReply = 8 << 20
 	maxCloudReply = 1 << 20
 	maxAgentReply = 256 << 10
 )
 
-// dialTimeout bounds how long a connection may take to come about.
+// dialTimeout limits how long establishing a connection may take.
 const dialTimeout = time.Second
 
-// errReplyTooLarge: the reply is larger than its bound.
+// errReplyTooLarge is returned for a reply that exceeds its size limit.
 var errReplyTooLarge = errors.New("answer too large")
 
 // clients calls the key-value store, the cloud and agents.
@@ -49,8 +49,8 @@
 	}
 }
 
-// newHTTPClient bounds connections to each host, those of them that are idle, and the idle ones to all
-// hosts.
+// newHTTPClient returns a client with limits on the connections per host, the idle connections per host and
+// the idle connections in total.
 func newHTTPClient(perHost, idlePerHost, idle int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -66,13 +66,13 @@
 	}
 }
 
-// close ends the connections that are kept; calls in progress end with their context.
+// close closes idle connections. Calls in progress end with their context.
 func (c *clients) close() {
 	c.services.CloseIdleConnections()
 	c.agents.CloseIdleConnections()
 }
 
-// exchange is a request that is sent once, and the bounds on its reply.
+// exchange is a request with the time and size limits of its reply.
 type exchange struct {
 	host     string
 	request  protocol.HTTPRequest
@@ -80,8 +80,8 @@
 	maxBytes int64
 }
 
-// sendOnce sends a request once. It must not be repeated behind the core's back: a repetition would be a
-// second send that nobody counts.
+// sendOnce sends a request without retries. The core decides on retries and counts calls; a retry here would
+// be a second request that it does not know of.
 func sendOnce(ctx context.Context, client *http.Client, x exchange) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, micros.Duration(x.timeout))
 	defer cancel()
@@ -109,8 +109,8 @@
 	if x.request.Body == nil {
 		return http.NewRequestWithContext(ctx, x.request.Method, url, nil)
 	}
-	// The reader is hidden from net/http's type check on purpose: without GetBody it does not send the
-	// request a second time on a fresh connection.
+	// The wrapper hides the reader's type from net/http, which then leaves GetBody unset and does not
+	// resend the request on a new connection.
 	body := struct{ io.Reader }{bytes.NewReader(x.request.Body)}
 	req, err := http.NewRequestWithContext(ctx, x.request.Method, url, body)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return req, nil
 }
 
-// callStore never returns nil: a call without a readable reply may have been executed or not.
+// callStore never returns nil. Without a readable reply the outcome is unknown: the call may have been executed.
 func (c *clients) callStore(ctx context.Context, call *messages.StoreCall) *storage.Reply {
 	status, body, err := sendOnce(ctx, c.services, exchange{
 		host:     c.cfg.Services.State,
@@ -130,8 +130,8 @@
 		maxBytes: maxStoreReply,
 	})
 	if errors.Is(err, errReplyTooLarge) && call.Request.Kind == storage.Watch {
-		// A watch brings all changes since the last, however many: after a standstill they may be more
-		// than is ever read, and asking again would bring even more.
+		// A watch returns all changes since the last one. After a long outage they may exceed the size
+		// limit, and a retry would return even more.
 		c.log.Warn("change stream response too large, loading a new snapshot")
 		return &storage.Reply{Outcome: storage.Compacted}
 	}
@@ -146,7 +146,7 @@
 	return reply
 }
 
-// callCloud never returns nil: a call without a readable reply may have been executed or not.
+// callCloud never returns nil. Without a readable reply the outcome is unknown: the call may have been executed.
 func (c *clients) callCloud(ctx context.Context, call *messages.CloudCall) *messages.CloudReply {
 	status, body, err := sendOnce(ctx, c.services, exchange{
 		host:     c.cfg.Services.Cloud,
@@ -165,7 +165,7 @@
 	return reply
 }
 
-// callAgent never returns nil: without a readable reply it is empty.
+// callAgent never returns nil. Without a readable reply it returns an empty one.
 func (c *clients) callAgent(ctx context.Context, call *messages.AgentCall) *messages.AgentReply {
 	request := protocol.HTTPRequest{Method: http.MethodGet, Path: "/show"}
 	if !call.StatusOnly {
