--- a/internal/transport/request_limit.go
+++ b/internal/transport/request_limit.go
@@ -8,22 +8,22 @@
 	"pipitlatch/internal/micros"
 )
 
-// requestLimit limits users' requests in progress; the limit adjusts itself to how long they take. What
-// is above it is refused at once, never queued. Heartbeats, health checks and cancellations are not
-// subject to it.
+// requestLimit is an adaptive concurrency limit for users' requests, adjusted by their latency. Requests
+// above the limit are rejected immediately, never queued. Heartbeats, health checks and cancellations are
+// exempt.
 type requestLimit struct {
 	limiter adaptivelimiter.AdaptiveLimiter[any]
 }
 
 func newRequestLimit(maxLimit uint) *requestLimit {
-	// The minLimit is what users ask for all at once after an outage; below it the limit would refuse them
-	// for nothing.
+	// The minimum covers the burst of requests that users send after an outage; a lower limit would reject
+	// them needlessly.
 	minLimit := max(maxLimit/4, min(maxLimit, 16))
 	return &requestLimit{adaptivelimiter.NewBuilder[any]().WithLimits(minLimit, maxLimit, max(minLimit, maxLimit/2)).
 		WithMaxLimitFactor(16).Build()}
 }
 
-// guard subjects a handler to the limit; refused is called for every request above it.
+// guard applies the limit to a handler. It calls refused for each rejected request.
 func (l *requestLimit) guard(next http.HandlerFunc, refused func()) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		slot, ok := l.limiter.TryAcquirePermit()
