--- a/internal/transport/driver.go
+++ b/internal/transport/driver.go
@@ -15,19 +15,20 @@
 	"pipitlatch/internal/micros"
 )
 
-// minInputQueue bounds the inputs waiting for the loop where there are few sockets.
+// minInputQueue is the capacity of the input queue if max_connections is smaller.
 const minInputQueue = 2048
 
-// maxBatch is how many inputs a step of the core takes at most.
+// maxBatch is the maximum number of inputs per step of the core.
 const maxBatch = 64
 
-// inputQueueSize bounds the inputs waiting for the loop: every connection has one request in progress
-// at most, so that there is a place for each of a fleet whose heartbeats come in the same instant.
+// inputQueueSize is the capacity of the input queue. A connection has at most one request in progress, so
+// the queue holds the heartbeats of a whole fleet even if they arrive at the same instant.
 func inputQueueSize(cfg *config.Config) int {
 	return max(minInputQueue, cfg.Settings.MachineLimits.MaxConnections)
 }
 
-// driver hands inputs to the core, one step at a time, and carries out what it asks for.
+// driver passes inputs to the core, one step at a time, and executes the calls, responses and messages that
+// the step returns.
 type driver struct {
 	cfg      *config.Config
 	log      *slog.Logger
@@ -35,13 +36,13 @@
 	start    time.Time
 	inputs   chan messages.Input
 	healthy  atomic.Bool
-	lastStep atomic.Int64 // when the loop last went round, in microseconds since start
+	lastStep atomic.Int64 // monotonicNow at the end of the last step
 
 	pending *pendingRequests
 	clients *clients
 	peers   *peerLinks
 
-	malformedHeartbeats rate.Sometimes // bounds what malformed heartbeats make us log
+	malformedHeartbeats rate.Sometimes // rate limit for log records of malformed heartbeats
 }
 
 func newDriver(cfg *config.Config, incarnation string, log *slog.Logger) *driver {
@@ -59,10 +60,10 @@
 	}
 }
 
-// monotonicNow is the time since the start, counted from 1.
+// monotonicNow returns the time since the start plus one microsecond, so that it is never zero.
 func (d *driver) monotonicNow() micros.Time { return time.Since(d.start).Microseconds() + 1 }
 
-// run drives the core until ctx ends, and returns when the calls that it began have ended, too.
+// run steps the core until ctx ends, and returns once the calls that it started have ended.
 func (d *driver) run(ctx context.Context) {
 	var calls sync.WaitGroup
 	defer d.clients.close()
@@ -91,7 +92,7 @@
 	}
 }
 
-// drainInputs fills a batch with what waits already.
+// drainInputs fills a batch with inputs that are already queued, without blocking.
 func (d *driver) drainInputs(batch []messages.Input) []messages.Input {
 	for len(batch) < cap(batch) {
 		select {
@@ -104,7 +105,7 @@
 	return batch
 }
 
-// execute carries out what a step asked for. A call's goroutine ends with its timeout, or with ctx.
+// execute carries out the output of a step. The goroutine of a call ends with its timeout or with ctx.
 func (d *driver) execute(ctx context.Context, calls *sync.WaitGroup, out *messages.Output) {
 	for _, r := range out.LogRecords {
 		d.log.Log(ctx, slog.Level(r.Level), r.Message, r.Attributes...)
@@ -135,7 +136,7 @@
 	}
 }
 
-// enqueue hands in a completion; those must not get lost.
+// enqueue queues a completion. It blocks while the queue is full, because completions must not be lost.
 func (d *driver) enqueue(ctx context.Context, in messages.Input) {
 	select {
 	case d.inputs <- in:
@@ -143,8 +144,8 @@
 	}
 }
 
-// request hands a request to the core and waits for the response; none in time, or no place for the
-// request, is the false return.
+// request passes a request to the core and waits for the response. It returns false if the input queue is
+// full, or if there is no response before the timeout or the end of ctx.
 func (d *driver) request(
 	ctx context.Context, timeout time.Duration, input func(messages.RequestID) messages.Input,
 ) (messages.Response, bool) {
