--- a/cmd/pipitlatch/commands.go
+++ b/cmd/pipitlatch/commands.go
@@ -17,27 +17,27 @@
 	"pipitlatch/internal/transport"
 )
 
-// cli is the command line.
+// cli defines the commands and flags.
 type cli struct {
 	Serve   serveCmd         `cmd:"" default:"withargs" help:"Run a controller (the default)."`
 	Check   checkCmd         `cmd:"" help:"Check the settings without serving."`
 	Version kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// settingsFlags are the flags that name the settings' settingsFlags.
+// settingsFlags are the flags for the paths of the settings files.
 type settingsFlags struct {
 	Config   string `help:"The platform's settings file (TOML)." placeholder:"FILE" required:"" type:"path"`
 	Operator string `help:"${operator_help}" placeholder:"FILE" env:"PIPITLATCH_OPERATOR" type:"path"`
 }
 
-// operatorHelp stands apart from its flag for the length of the line.
+// operatorHelp is a variable of the parser because the tag would exceed the line limit.
 const operatorHelp = "Operators' own settings (protobuf text format)."
 
 type serveCmd struct{ settingsFlags }
 
 type checkCmd struct{ settingsFlags }
 
-// newParser builds the command line's parser.
+// newParser returns the parser of the command line.
 func newParser(commands *cli) (*kong.Kong, error) {
 	return kong.New(commands,
 		kong.Name("pipitlatch"),
@@ -46,7 +46,7 @@
 		kong.UsageOnError())
 }
 
-// load reads the settings; whatever is wrong with them is a settingsError.
+// load reads and validates the settings. Its errors are of type settingsError.
 func (f *settingsFlags) load() (*config.Config, error) {
 	cfg, err := config.Load(f.Config, f.Operator)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return cfg, nil
 }
 
-// Run checks the settings and prints what is wrong with them.
+// Run validates the settings and prints warnings.
 func (c *checkCmd) Run() error {
 	cfg, err := c.load()
 	if err != nil {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// Run serves until the process is told to end.
+// Run runs a controller until SIGINT or SIGTERM.
 func (c *serveCmd) Run() error {
 	cfg, err := c.load()
 	if err != nil {
@@ -85,16 +85,17 @@
 	return transport.Run(ctx, cfg, log)
 }
 
-// gcPercent: below the limit of memory, memory is cheaper than the processor time of collections.
+// gcPercent is above Go's default of 100: below the memory limit, memory is cheaper than CPU time spent on
+// garbage collection.
 const gcPercent = 400
 
-// limitRuntime keeps the process within its share of the machine.
+// limitRuntime sets the runtime's memory limit, garbage collection target and GOMAXPROCS from the settings.
 func limitRuntime(cfg *config.Config) {
 	limits := cfg.Settings.MachineLimits
 	debug.SetMemoryLimit(int64(limits.MemoryMB * 1e6 * float64(cfg.Operator.MemoryPercent) / 100))
 	debug.SetGCPercent(gcPercent)
 	if limits.CPU > 0 {
-		// On a share of a core, more threads only add switches.
+		// With a fractional CPU limit, more threads only add context switches.
 		runtime.GOMAXPROCS(max(1, min(runtime.NumCPU(), int(limits.CPU+0.999))))
 	}
 }
