--- a/cmd/pipitlatch/main.go
+++ b/cmd/pipitlatch/main.go
@@ -13,7 +13,7 @@
 	var commands cli
 	parser, err := newParser(&commands)
 	if err != nil {
-		panic(err) // a mistake in the tags of cli
+		panic(err) // only if the struct tags of cli are invalid
 	}
 	ctx, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
