--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -1,4 +1,4 @@
-// Package docs holds the check that the pages name only files that there are.
+// Package docs tests that files and links named in the documentation exist.
 package docs
 
 import (
@@ -9,24 +9,23 @@
 	"testing"
 )
 
-// root is the repository as seen from this package.
+// root is the path of the repository's root relative to this package.
 const root = "../.."
 
 var (
 	fencedBlock = regexp.MustCompile("(?ms)^```.*?^```")
 	link        = regexp.MustCompile(`\]\(([^)\s]+)\)`)
 	codeSpan    = regexp.MustCompile("`([^`\n]+)`")
-	// repositoryPath is what looks like a file or folder of the repository: a path that begins with one of
-	// its folders, or with testdata, or any path to a file of a kind that it has.
+	// repositoryPath matches paths of files and folders of the repository: a path that starts with one of its
+	// top-level folders or testdata, or a path to a file with one of its extensions.
 	repositoryPath = regexp.MustCompile(`^(\.ci|cmd|deploy|docs|internal|scripts|testdata|tools)/` +
 		`|/[^/]*\.(fbs|go|json|md|mod|proto|sh|textproto|toml|txt|yml)$`)
-	// symbol is the exported name after a package, as in internal/admission.Epoch.
+	// symbol matches the exported name after a package, as in internal/admission.Epoch.
 	symbol = regexp.MustCompile(`\.[A-Z]\w*$`)
 )
 
-// TestMarkdownReferences checks that every relative link of a page, and every path between backticks that looks like one
-// of the repository, leads to something. The incidents tell of the code as it was then, so only their links
-// are checked.
+// TestMarkdownReferences checks that the targets of relative links, and paths of the repository in code spans,
+// exist. Incident reports describe the code as of their date, so only their links are checked.
 func TestMarkdownReferences(t *testing.T) {
 	pages := []struct {
 		pattern string
@@ -74,12 +73,12 @@
 			continue
 		}
 		if !exists(filepath.Join(folder, target)) {
-			t.Errorf("link to %s, which there isn't", match[1])
+			t.Errorf("link target %s does not exist", match[1])
 		}
 	}
 }
 
-// checkPaths takes a path as seen from the root, from the page, or from the folders that pages leave out.
+// checkPaths resolves paths relative to the root, to the page, and to the folders that pages omit from paths.
 func checkPaths(t *testing.T, folder, text string) {
 	t.Helper()
 	bases := []string{root, folder, root + "/internal", root + "/internal/coordination", root + "/internal/scenario"}
@@ -89,7 +88,7 @@
 			found = found || exists(filepath.Join(base, path))
 		}
 		if !found {
-			t.Errorf("path `%s`, which there isn't", path)
+			t.Errorf("path `%s` does not exist", path)
 		}
 	}
 }
@@ -98,9 +97,9 @@
 	var paths []string
 	for _, span := range codeSpan.FindAllStringSubmatch(text, -1) {
 		for _, word := range strings.Fields(span[1]) {
-			word = word[strings.LastIndex(word, "=")+1:] // of a flag, its value
+			word = word[strings.LastIndex(word, "=")+1:] // the value of a flag
 			word = strings.TrimSuffix(strings.TrimPrefix(strings.Trim(word, `"',;:()`), "./"), "...")
-			// A word with <...> is a pattern of names.
+			// A word with <...> is a placeholder.
 			if strings.Contains(word, "://") || strings.ContainsAny(word, "<>") || !repositoryPath.MatchString(word) {
 				continue
 			}
@@ -110,13 +109,14 @@
 	return paths
 }
 
-// exists also takes a pattern like testdata/copies_*.
+// exists reports whether any file matches a path or glob pattern, such as testdata/copies_*.
 func exists(pattern string) bool {
 	files, err := filepath.Glob(pattern)
 	return err == nil && len(files) > 0
 }
 
-// TestRepositoryPaths shows what TestPages takes for a path, so that it can't come to check nothing.
+// TestRepositoryPaths checks which words are recognized as paths. Without it, a fault in repositoryPaths could
+// make TestMarkdownReferences pass without checking anything.
 func TestRepositoryPaths(t *testing.T) {
 	cases := []struct {
 		name, text, want string
