--- a/internal/transport/bounds_test.go
+++ b/internal/transport/bounds_test.go
@@ -19,11 +19,11 @@
 	"pipitlatch/internal/storage"
 )
 
-// TestWatchTooLarge: the changes since a long standstill may be more than an answer may
-// have. Asking for them again and again would never end; the state is read anew.
+// TestWatchTooLarge: after a long outage the changes may exceed the size limit of a reply. Repeating the watch
+// would never succeed, so the reply must cause a new snapshot to be loaded.
 func TestWatchTooLarge(t *testing.T) {
 	state := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = w.Write(bytes.Repeat([]byte(" "), maxStoreReply+1)) // the client may hang up before the end
+		_, _ = w.Write(bytes.Repeat([]byte(" "), maxStoreReply+1)) // the client may disconnect before the end
 	}))
 	defer state.Close()
 	cfg := &config.Config{Operator: &config.Operator{}}
@@ -35,15 +35,15 @@
 		return c.callStore(context.Background(), &messages.StoreCall{Request: request, Timeout: 10 * micros.Second}).Outcome
 	}
 	if got := call(storage.Watch); got != storage.Compacted {
-		t.Errorf("a watch: %v", got)
+		t.Errorf("watch: got %v, want %v", got, storage.Compacted)
 	}
 	if got := call(storage.List); got != storage.OutcomeUnknown {
-		t.Errorf("a list: %v", got)
+		t.Errorf("list: got %v, want %v", got, storage.OutcomeUnknown)
 	}
 }
 
-// TestConnectionLimit: they are refused, and the operator is told, a line now and
-// then however many they are.
+// TestConnectionLimit: connections above the limit are closed, and logged at most once per
+// refusalLogInterval regardless of their number.
 func TestConnectionLimit(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,19 +73,19 @@
 		if err := c.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
 			t.Fatal(err)
 		}
-		_, _ = c.Read(make([]byte, 1)) // the end of a refused one, or the deadline
+		_, _ = c.Read(make([]byte, 1)) // returns at EOF if refused, otherwise at the deadline
 	}
 	mustClose(t, inner)
 	<-done
 	close(accepted)
 	if len(accepted) != 2 {
-		t.Errorf("%d accepted", len(accepted))
+		t.Errorf("%d connections accepted, want 2", len(accepted))
 	}
 	for c := range accepted {
 		mustClose(t, c)
 	}
 	if n := strings.Count(out.String(), "connection refused"); n != 1 {
-		t.Errorf("%d lines: %s", n, out.String())
+		t.Errorf("%d log records of refused connections, want 1: %s", n, out.String())
 	}
 }
 
@@ -94,6 +94,6 @@
 	cfg := &config.Config{}
 	cfg.Settings.MachineLimits.MaxConnections = 10_800
 	if got := inputQueueSize(cfg); got < 10_800 {
-		t.Errorf("%d", got)
+		t.Errorf("capacity %d, want at least 10800", got)
 	}
 }
