--- a/internal/transport/clients_test.go
+++ b/internal/transport/clients_test.go
@@ -14,7 +14,7 @@
 	"pipitlatch/internal/micros"
 )
 
-// TestClosedClientsKeepNoConnections: a connection is kept for the next call, and ends with the clients.
+// TestClosedClientsKeepNoConnections: a connection is reused by the next call and closed by close.
 func TestClosedClientsKeepNoConnections(t *testing.T) {
 	ended := make(chan struct{}, 4)
 	agent := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -38,12 +38,12 @@
 		}
 	}
 	if len(ended) != 0 {
-		t.Error("the connection was not kept between calls")
+		t.Error("connection closed between calls")
 	}
 	c.close()
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Error("the connection was kept")
+		t.Error("connection still open 10 s after close")
 	}
 }
