--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -15,8 +15,8 @@
 	"pipitlatch/internal/storage"
 )
 
-// startPeerLinks runs the links of one controller until the test ends. That the cleanup returns shows
-// that they end with their context; TestMain looks for what they might leave.
+// startPeerLinks runs the links of one controller until the test ends. The cleanup waits for run to return
+// after its context is cancelled; TestMain checks for leaked goroutines.
 func startPeerLinks(t *testing.T, peers ...config.Peer) (links *peerLinks, inputs <-chan messages.Input, addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,7 +45,7 @@
 		}
 		return status
 	case <-time.After(10 * time.Second):
-		t.Fatal("no message")
+		t.Fatal("no peer message within 10 s")
 		return nil
 	}
 }
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestPeerQueueDropsTheOldest: a peer that takes no messages must not hold up the driver's loop, and
-// gets the news when it is back.
+// TestPeerQueueDropsTheOldest: a peer that does not receive must not block the driver's loop, and must get the
+// latest messages once it receives again.
 func TestPeerQueueDropsTheOldest(t *testing.T) {
 	cfg := &config.Config{Platform: config.Platform{Peers: []config.Peer{{Member: "b"}}}}
 	links := newPeerLinks(cfg, discardLog(), nil)
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestPeerMessageTooLong: a length beyond the bound ends the connection before memory is taken for it.
+// TestPeerMessageTooLong: a length above the limit is rejected before a buffer is allocated for it.
 func TestPeerMessageTooLong(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer mustClose(t, ours)
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestPeerConnectionsEndWithTheirContext: a peer that is connected and silent must not hold up the end.
+// TestPeerConnectionsEndWithTheirContext: an idle connection of a peer must not delay shutdown.
 func TestPeerConnectionsEndWithTheirContext(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
