--- a/internal/transport/pending_test.go
+++ b/internal/transport/pending_test.go
@@ -30,11 +30,11 @@
 	}
 	completed, response := p.add()
 	p.complete(messages.Response{Request: completed})
-	p.complete(messages.Response{Request: completed}) // a second one must not block
+	p.complete(messages.Response{Request: completed}) // a duplicate response must not block
 	if len(response) != 1 {
-		t.Errorf("%d responses", len(response))
+		t.Errorf("%d responses, want 1", len(response))
 	}
 	if len(p.responses) != 0 {
-		t.Errorf("%d requests are left", len(p.responses))
+		t.Errorf("%d requests still pending, want 0", len(p.responses))
 	}
 }
