--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -18,10 +18,10 @@
 	"pipitlatch/internal/config/configtest"
 )
 
-// TestMain fails if any test leaves a goroutine: all that a controller starts has an end.
+// TestMain fails if a test leaks goroutines: everything that a controller starts must end with it.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// discardLog is for tests that don't read what is logged.
+// discardLog returns a logger that discards its records.
 func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // mustClose fails the test if a connection, body or listener can't be closed.
@@ -32,8 +32,8 @@
 	}
 }
 
-// freeAddress is on an address of its own: no outgoing connection takes the port
-// before it is listened at.
+// freeAddress returns a free port on a loopback address that nothing else uses, so that no outgoing
+// connection takes the port before the controller listens on it.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.78:0")
@@ -44,7 +44,7 @@
 	return l.Addr().String()
 }
 
-// startController runs a controller on loopback whose key-value store and cloud are down.
+// startController runs a controller on loopback whose key-value store and cloud are unavailable.
 func startController(t *testing.T) string {
 	t.Helper()
 	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }))
@@ -79,12 +79,12 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatal("it does not listen")
+	t.Fatal("controller does not accept connections")
 	return ""
 }
 
-// TestResponsesDuringOutage checks every status that needs no key-value store, and
-// that the rest is refused at once, with when to come back.
+// TestResponsesDuringOutage checks the statuses that need no key-value store, and that all other requests are
+// rejected promptly with a Retry-After header.
 func TestResponsesDuringOutage(t *testing.T) {
 	addr := startController(t)
 	job := `{"ref":"wk-000001","jobclass":"c","owner":"alpha","shape":"array","rank":"low",` +
@@ -100,7 +100,7 @@
 		{"POST", "/submissions", `{"ref":"x"}`, 400},
 		{"POST", "/submissions", "{" + strings.Repeat(" ", 70_000) + "}", 400},
 		{"POST", "/submissions", job, 503},
-		{"POST", "/submissions", strings.Replace(job, `"shards":1`, `"shards":0`, 1), 503}, // it may be known
+		{"POST", "/submissions", strings.Replace(job, `"shards":1`, `"shards":0`, 1), 503}, // the job may already be stored
 		{"GET", "/submissions/wk-000001", "", 503},
 		{"GET", "/submissions/other", "", 404},
 		{"POST", "/submissions/wk-000001/abort", "", 503},
@@ -173,7 +173,7 @@
 	}
 }
 
-// getOrReport sends a request on a connection of its own: a malformed heartbeat, or a user's question.
+// getOrReport sends a malformed heartbeat or a user's GET request, on a new connection.
 func getOrReport(t *testing.T, addr, path string) (*http.Response, error) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{}}
@@ -191,8 +191,8 @@
 	return resp, err
 }
 
-// TestUserConnectionsCloseNearLimit: while sockets are short, a user's connection ends with
-// its answer, an agent's stays, and beyond the limit there are none.
+// TestUserConnectionsCloseNearLimit: near the connection limit, users' connections are closed after the
+// response and agents' connections are kept. Above the limit all connections are refused.
 func TestUserConnectionsCloseNearLimit(t *testing.T) {
 	addr := startController(t)
 	open := 0
@@ -216,7 +216,7 @@
 		{90, "/v1/report", false, true},
 	} {
 		openConnections(c.crowd)
-		for try := 0; ; try++ { // the crowd may not all be accepted yet
+		for try := 0; ; try++ { // some connections may not be accepted yet
 			resp, err := getOrReport(t, addr, c.path)
 			if (err != nil) == c.err && (err != nil || resp.Close == c.closes) {
 				break
@@ -226,8 +226,8 @@
 				break
 			}
 			if c.err {
-				// The connection of the last probe may still have counted when the crowd came, so that
-				// one of the crowd was refused in its place.
+				// The previous probe's connection may still have counted when the others were opened, so
+				// that one of them was refused in its place.
 				openConnections(c.crowd + try + 1)
 			}
 			time.Sleep(50 * time.Millisecond)
