--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -58,9 +58,9 @@
 	_, _ = w.Write(body) // fails if the client has disconnected; the error cannot be reported to it
 }
 
-func writeRetryable(w http.ResponseWriter, status int, why string, after micros.Time) {
+func writeRetryable(w http.ResponseWriter, status int, reason string, after micros.Time) {
 	w.Header().Set("Retry-After", strconv.FormatInt((after+micros.Second-1)/micros.Second, 10))
-	writeJSON(w, status, protocol.EncodeError(why))
+	writeJSON(w, status, protocol.EncodeError(reason))
 }
 
 func (d *driver) serveHealth(w http.ResponseWriter, _ *http.Request) {
