--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -77,11 +77,11 @@
 	if err == nil {
 		return body, true
 	}
-	why := "body cannot be read"
+	reason := "body cannot be read"
 	if _, ok := errors.AsType[*http.MaxBytesError](err); ok {
-		why = "body too large"
+		reason = "body too large"
 	}
-	writeJSON(w, http.StatusBadRequest, protocol.EncodeError(why))
+	writeJSON(w, http.StatusBadRequest, protocol.EncodeError(reason))
 	return nil, false
 }
 
