--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -206,7 +206,7 @@
 		}
 	}
 	for _, c := range []struct {
-		crowd       int
+		connections int
 		path        string
 		closes, err bool
 	}{
@@ -215,20 +215,20 @@
 		{72, "/v1/report", false, false},
 		{90, "/v1/report", false, true},
 	} {
-		openConnections(c.crowd)
+		openConnections(c.connections)
 		for try := 0; ; try++ { // some connections may not be accepted yet
 			resp, err := getOrReport(t, addr, c.path)
 			if (err != nil) == c.err && (err != nil || resp.Close == c.closes) {
 				break
 			}
 			if try == 20 {
-				t.Errorf("%d connections, %s: %v, %v", c.crowd, c.path, resp, err)
+				t.Errorf("%d connections, %s: %v, %v", c.connections, c.path, resp, err)
 				break
 			}
 			if c.err {
 				// The previous probe's connection may still have counted when the others were opened, so
 				// that one of them was refused in its place.
-				openConnections(c.crowd + try + 1)
+				openConnections(c.connections + try + 1)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
