--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -50,13 +50,13 @@
 	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }))
 	t.Cleanup(down.Close)
 	addr := freeAddress(t)
-	outside := strings.TrimPrefix(down.URL, "http://")
+	unavailable := strings.TrimPrefix(down.URL, "http://")
 	site := configtest.Site{
 		Member:         "n",
 		Listen:         addr,
 		InternalAddr:   freeAddress(t),
-		Cloud:          outside,
-		Store:          outside,
+		Cloud:          unavailable,
+		Store:          unavailable,
 		MaxConnections: 100,
 	}
 	cfg, err := config.Parse(site.Platform(), nil)
