--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -122,6 +122,7 @@
 }
 
 // callStore never returns nil. Without a readable reply the outcome is unknown: the call may have been executed.
+// A watch whose reply is too large counts as compacted.
 func (c *clients) callStore(ctx context.Context, call *messages.StoreCall) *storage.Reply {
 	status, body, err := sendOnce(ctx, c.services, exchange{
 		host:     c.cfg.Services.State,
