--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -18,10 +18,10 @@
 	"pipitlatch/internal/config/configtest"
 )
 
-// TestMain fails if any test leaves a goroutine: all that a controller starts has an end.
+// TestMain fails if a test leaks goroutines: everything that a controller starts must end with it.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// discardLog is for tests that don't read what is logged.
+// discardLog returns a logger that discards its records.
 func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // mustClose fails the test if a connection, body or listener can't be closed.
@@ -32,8 +32,8 @@
 	}
 }
 
-// freeAddress is on an address of its own: no outgoing connection takes the port
-// before it is listened at.
+// freeAddress returns a free port on a loopback address that nothing else uses, so that no outgoing
+// connection takes the port before the controller listens on it.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.78:0")
@@ -44,19 +44,19 @@
 	return l.Addr().String()
 }
 
-// start runs a controller on loopback whose key-value store and cloud are down.
-func start(t *testing.T) string {
+// startController runs a controller on loopback whose key-value store and cloud are unavailable.
+func startController(t *testing.T) string {
 	t.Helper()
 	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }))
 	t.Cleanup(down.Close)
 	addr := freeAddress(t)
-	outside := strings.TrimPrefix(down.URL, "http://")
+	unavailable := strings.TrimPrefix(down.URL, "http://")
 	site := configtest.Site{
 		Member:         "n",
 		Listen:         addr,
 		InternalAddr:   freeAddress(t),
-		Cloud:          outside,
-		Store:          outside,
+		Cloud:          unavailable,
+		Store:          unavailable,
 		MaxConnections: 100,
 	}
 	cfg, err := config.Parse(site.Platform(), nil)
@@ -79,14 +79,14 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatal("it does not listen")
+	t.Fatal("controller does not accept connections")
 	return ""
 }
 
-// TestAnswersInAnOutage checks every status that needs no key-value store, and
-// that the rest is refused at once, with when to come back.
-func TestAnswersInAnOutage(t *testing.T) {
-	addr := start(t)
+// TestResponsesDuringOutage checks the statuses that need no key-value store, and that all other requests are
+// rejected promptly with a Retry-After header.
+func TestResponsesDuringOutage(t *testing.T) {
+	addr := startController(t)
 	job := `{"ref":"wk-000001","jobclass":"c","owner":"alpha","shape":"array","rank":"low",` +
 		`"shards":1,"cores":1,"gpus":0,"ram_gb":1,"bundle":"i","size_gb":1,"one_zone":false,"apart":false,"loaners":false,` +
 		`"expect_s":1,"snapshot_every_s":0,"snapshot_s":0}`
@@ -100,7 +100,7 @@
 		{"POST", "/submissions", `{"ref":"x"}`, 400},
 		{"POST", "/submissions", "{" + strings.Repeat(" ", 70_000) + "}", 400},
 		{"POST", "/submissions", job, 503},
-		{"POST", "/submissions", strings.Replace(job, `"shards":1`, `"shards":0`, 1), 503}, // it may be known
+		{"POST", "/submissions", strings.Replace(job, `"shards":1`, `"shards":0`, 1), 503}, // the job may already be stored
 		{"GET", "/submissions/wk-000001", "", 503},
 		{"GET", "/submissions/other", "", 404},
 		{"POST", "/submissions/wk-000001/abort", "", 503},
@@ -132,14 +132,14 @@
 	}
 }
 
-func TestLimitRefusesAtOnce(t *testing.T) {
+func TestRequestLimitRejectsImmediately(t *testing.T) {
 	hold, entered := make(chan bool), make(chan bool, 64)
 	var refused atomic.Int64
 	limit := newRequestLimit(4)
 	srv := httptest.NewServer(limit.guard(func(w http.ResponseWriter, _ *http.Request) {
 		entered <- true
 		<-hold
-		write(w, 200, nil)
+		writeJSON(w, 200, nil)
 	}, func() { refused.Add(1) }))
 	defer srv.Close()
 	done := make(chan int, 4)
@@ -173,7 +173,7 @@
 	}
 }
 
-// getOrReport sends a request on a connection of its own: a malformed heartbeat, or a user's question.
+// getOrReport sends a malformed heartbeat or a user's GET request, on a new connection.
 func getOrReport(t *testing.T, addr, path string) (*http.Response, error) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{}}
@@ -191,12 +191,12 @@
 	return resp, err
 }
 
-// TestUsersMakeRoomForWorkers: while sockets are short, a user's connection ends with
-// its answer, an agent's stays, and beyond the limit there are none.
-func TestUsersMakeRoomForWorkers(t *testing.T) {
-	addr := start(t)
+// TestUserConnectionsCloseNearLimit: near the connection limit, users' connections are closed after the
+// response and agents' connections are kept. Above the limit all connections are refused.
+func TestUserConnectionsCloseNearLimit(t *testing.T) {
+	addr := startController(t)
 	open := 0
-	crowd := func(n int) {
+	openConnections := func(n int) {
 		for ; open < n; open++ {
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
@@ -206,7 +206,7 @@
 		}
 	}
 	for _, c := range []struct {
-		crowd       int
+		connections int
 		path        string
 		closes, err bool
 	}{
@@ -215,20 +215,20 @@
 		{72, "/v1/report", false, false},
 		{90, "/v1/report", false, true},
 	} {
-		crowd(c.crowd)
-		for try := 0; ; try++ { // the crowd may not all be accepted yet
+		openConnections(c.connections)
+		for try := 0; ; try++ { // some connections may not be accepted yet
 			resp, err := getOrReport(t, addr, c.path)
 			if (err != nil) == c.err && (err != nil || resp.Close == c.closes) {
 				break
 			}
 			if try == 20 {
-				t.Errorf("%d connections, %s: %v, %v", c.crowd, c.path, resp, err)
+				t.Errorf("%d connections, %s: %v, %v", c.connections, c.path, resp, err)
 				break
 			}
 			if c.err {
-				// The connection of the last probe may still have counted when the crowd came, so that
-				// one of the crowd was refused in its place.
-				crowd(c.crowd + try + 1)
+				// The previous probe's connection may still have counted when the others were opened, so
+				// that one of them was refused in its place.
+				openConnections(c.connections + try + 1)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
