--- a/internal/protocol/agent_commands.go
+++ b/internal/protocol/agent_commands.go
@@ -5,8 +5,8 @@
 	"pipitlatch/internal/micros"
 )
 
-// order is a command on the wire.
-type order struct {
+// commandMessage is a command on the wire.
+type commandMessage struct {
 	Verb      string   `json:"verb"`
 	Shard     string   `json:"shard"`
 	Try       uint64   `json:"try"`
@@ -14,10 +14,10 @@
 }
 
 // encodeOrders never returns nil: an agent gets an empty list, not null.
-func encodeOrders(commands []messages.Command) []order {
-	orders := make([]order, 0, len(commands))
+func encodeOrders(commands []messages.Command) []commandMessage {
+	orders := make([]commandMessage, 0, len(commands))
 	for _, c := range commands {
-		o := order{Verb: operations[c.Operation], Shard: taskID(c.Job, c.Task), Try: c.Number}
+		o := commandMessage{Verb: operations[c.Operation], Shard: taskID(c.Job, c.Task), Try: c.Number}
 		if c.Operation == messages.Stop {
 			seconds := micros.Seconds(c.GracePeriod)
 			o.WindDownS = &seconds
@@ -30,8 +30,8 @@
 // EncodeCommands writes commands that go straight to an agent.
 func EncodeCommands(call *messages.AgentCall) []byte {
 	return mustJSON(struct {
-		Warrant uint64  `json:"warrant"`
-		Tenure  uint64  `json:"tenure"`
-		Orders  []order `json:"orders"`
+		Warrant uint64           `json:"warrant"`
+		Tenure  uint64           `json:"tenure"`
+		Orders  []commandMessage `json:"orders"`
 	}{call.FencingToken, call.AgentEpoch, encodeOrders(call.Commands)})
 }
--- a/internal/protocol/agent_heartbeat.go
+++ b/internal/protocol/agent_heartbeat.go
@@ -91,8 +91,8 @@
 // EncodeHeartbeatReply writes the answer to a heartbeat.
 func EncodeHeartbeatReply(token uint64, commands []messages.Command) []byte {
 	return mustJSON(struct {
-		Warrant uint64  `json:"warrant"`
-		Orders  []order `json:"orders"`
+		Warrant uint64           `json:"warrant"`
+		Orders  []commandMessage `json:"orders"`
 	}{token, encodeOrders(commands)})
 }
 
