--- a/internal/protocol/agent_heartbeat.go
+++ b/internal/protocol/agent_heartbeat.go
@@ -93,7 +93,7 @@
 	return mustJSON(struct {
 		Warrant uint64           `json:"warrant"`
 		Orders  []commandMessage `json:"orders"`
-	}{token, encodeOrders(commands)})
+	}{token, encodeCommands(commands)})
 }
 
 // DecodeAgent reads an agent's answer to a call; anything but a heartbeat counts as none. A conflict
