--- a/internal/protocol/user_fields.go
+++ b/internal/protocol/user_fields.go
@@ -49,8 +49,8 @@
 	return *v
 }
 
-// word is a text that is required and names a value of an enumeration.
-func word[T any](c *fieldChecker, field string, v *string, values map[string]T) T {
+// enumValue is a text that is required and names a value of an enumeration.
+func enumValue[T any](c *fieldChecker, field string, v *string, values map[string]T) T {
 	name := c.text(field, v)
 	value, ok := values[name]
 	if !ok {
--- a/internal/protocol/user_submission.go
+++ b/internal/protocol/user_submission.go
@@ -98,8 +98,8 @@
 		CheckpointInterval: micros.FromSeconds(c.amount("snapshot_every_s", s.SnapshotEveryS, maxSeconds)),
 		CheckpointDuration: micros.FromSeconds(c.amount("snapshot_s", s.SnapshotS, maxSeconds)),
 	}
-	job.Kind = word(c, "shape", s.Shape, jobKinds)
-	job.Priority = word(c, "rank", s.Rank, priorities)
+	job.Kind = enumValue(c, "shape", s.Shape, jobKinds)
+	job.Priority = enumValue(c, "rank", s.Rank, priorities)
 	job.Tasks = c.tasks("shards", s.Shards)
 	job.InstanceTypes = c.instanceTypes("hulls", s.Hulls)
 	if s.Berth != nil {
