--- a/internal/protocol/store_reply.go
+++ b/internal/protocol/store_reply.go
@@ -8,8 +8,8 @@
 	"pipitlatch/internal/storage"
 )
 
-// stateBody is what the key-value store answers, whatever the request.
-type stateBody struct {
+// storeReply is what the key-value store answers, whatever the request.
+type storeReply struct {
 	Key    string          `json:"key"`
 	V      json.RawMessage `json:"v"`
 	Stamp  uint64          `json:"stamp"`
@@ -36,7 +36,7 @@
 	if outcome != storage.OK && outcome != storage.NotFound && outcome != storage.Conflict {
 		return reply, err // the rest of the answer says nothing
 	}
-	var b stateBody
+	var b storeReply
 	if len(body) > 0 {
 		if err := json.Unmarshal(body, &b); err != nil {
 			reply.Outcome = storage.OutcomeUnknown
@@ -86,7 +86,7 @@
 }
 
 // rows are the items of a list.
-func (b *stateBody) rows() []storage.Item {
+func (b *storeReply) rows() []storage.Item {
 	var items []storage.Item
 	for _, r := range b.Rows {
 		items = append(items, storage.Item{Key: r.Key, Value: r.V, ModRevision: r.Stamp})
@@ -95,7 +95,7 @@
 }
 
 // changes are the items of a watch.
-func (b *stateBody) changes() []storage.Item {
+func (b *storeReply) changes() []storage.Item {
 	var items []storage.Item
 	for _, e := range b.Log {
 		item := storage.Item{Key: e.Set, Value: e.V, ModRevision: e.Stamp}
