--- a/internal/protocol/cloud_reply.go
+++ b/internal/protocol/cloud_reply.go
@@ -17,7 +17,7 @@
 	case http.StatusTooManyRequests:
 		return &messages.CloudReply{Outcome: messages.CloudRejected}, nil
 	case http.StatusServiceUnavailable:
-		if operation == messages.CloudRequestInstances && refusedWith(body, errorNoCapacity) {
+		if operation == messages.CloudRequestInstances && bodyHasError(body, errorNoCapacity) {
 			return &messages.CloudReply{Outcome: messages.CloudInsufficientCapacity}, nil
 		}
 		return &messages.CloudReply{Outcome: messages.CloudRejected}, nil
@@ -41,8 +41,8 @@
 	return reply, nil
 }
 
-// refusedWith reports whether the body of a refusal names this error.
-func refusedWith(body []byte, name string) bool {
+// bodyHasError reports whether the body of a refusal names this error.
+func bodyHasError(body []byte, name string) bool {
 	var refusal struct {
 		Error string `json:"error"`
 	}
--- a/internal/protocol/store_reply.go
+++ b/internal/protocol/store_reply.go
@@ -77,7 +77,7 @@
 		return storage.Unavailable, nil
 	case http.StatusBadRequest:
 		usesLease := kind == storage.Txn || kind == storage.LeaseKeepAlive
-		if usesLease && refusedWith(body, errorNoSuchLease) {
+		if usesLease && bodyHasError(body, errorNoSuchLease) {
 			return storage.LeaseNotFound, nil
 		}
 		return storage.Invalid, fmt.Errorf("state: rejected as malformed or too large: %.200s", body)
