--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -13,12 +13,12 @@
 	"pipitlatch/internal/workload"
 )
 
-const good = `{"ref":"wk-000412","jobclass":"train","owner":"vision","shape":"array","rank":"urgent","shards":16,
+const validSubmission = `{"ref":"wk-000412","jobclass":"train","owner":"vision","shape":"array","rank":"urgent","shards":16,
  "cores":8.0,"gpus":1.0,"ram_gb":64.0,"bundle":"img-07","size_gb":6.2,"hulls":["g8"],"berth":null,"one_zone":true,
  "apart":false,"loaners":true,"expect_s":240.0,"snapshot_every_s":30.0,"snapshot_s":4.0,"due_s":900.0,"later":[1]}`
 
 func TestParseSubmission(t *testing.T) {
-	id, j, err := ParseSubmission([]byte(good))
+	id, j, err := ParseSubmission([]byte(validSubmission))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 
 func TestMalformedSubmissions(t *testing.T) {
 	for _, c := range []struct{ from, to, id string }{
-		{good, "", ""}, {good, "null", ""}, {good, "[1]", ""}, {good, `"x"`, ""}, {good, "{", ""}, {good, good + "x", ""},
+		{validSubmission, "", ""}, {validSubmission, "null", ""}, {validSubmission, "[1]", ""}, {validSubmission, `"x"`, ""}, {validSubmission, "{", ""}, {validSubmission, validSubmission + "x", ""},
 		{`"wk-000412"`, `"job-1"`, ""}, {`"wk-000412"`, `12`, ""}, {`"ref":"wk-000412",`, ``, ""},
 		{`"shards":16`, `"shards":0`, "wk-000412"}, {`"shards":16`, `"shards":100001`, "wk-000412"},
 		{`"shards":16`, `"shards":1.5`, "wk-000412"}, {`"shards":16`, `"shards":"16"`, "wk-000412"},
@@ -49,7 +49,7 @@
 		{`"later":[1]`, `"waits_on":["wk-000001",7]`, "wk-000412"}, {`"later":[1]`, `"waits_on":[null]`, "wk-000412"},
 		{`"later":[1]`, `"waits_on":{}`, "wk-000412"},
 	} {
-		body := strings.Replace(good, c.from, c.to, 1)
+		body := strings.Replace(validSubmission, c.from, c.to, 1)
 		id, j, err := ParseSubmission([]byte(body))
 		if err == nil || j != nil || id != c.id {
 			t.Errorf("%s -> %s: id %q, job %v, err %v", c.from[:min(30, len(c.from))], c.to[:min(30, len(c.to))], id, j, err)
@@ -105,7 +105,7 @@
 func TestWaitsOn(t *testing.T) {
 	for from, want := range map[string][]string{`"later":[1]`: nil, `"waits_on":null`: nil, `"waits_on":[]`: nil,
 		`"waits_on":["wk-000398","wk-000405","wk-000398"]`: {"wk-000398", "wk-000405"}} {
-		_, j, err := ParseSubmission([]byte(strings.Replace(good, `"later":[1]`, from, 1)))
+		_, j, err := ParseSubmission([]byte(strings.Replace(validSubmission, `"later":[1]`, from, 1)))
 		if err != nil || !reflect.DeepEqual(j.DependsOn, want) {
 			t.Errorf("%s: %v, %v", from, j, err)
 		}
