--- a/internal/protocol/user_submission.go
+++ b/internal/protocol/user_submission.go
@@ -59,9 +59,9 @@
 
 // parseJobID reads nothing of a submission but its id.
 func parseJobID(body []byte) (string, error) {
-	// The beginning is enough: whatever has more white space than that is none of ours.
-	beginning := strings.TrimLeft(string(body[:min(len(body), 64)]), " \t\r\n")
-	if !strings.HasPrefix(beginning, "{") {
+	// The prefix is enough: whatever has more white space than that is none of ours.
+	prefix := strings.TrimLeft(string(body[:min(len(body), 64)]), " \t\r\n")
+	if !strings.HasPrefix(prefix, "{") {
 		return "", malformed("", "not a JSON object")
 	}
 	var probe struct {
