--- a/internal/protocol/peer_encode.go
+++ b/internal/protocol/peer_encode.go
@@ -22,7 +22,7 @@
 	shifts := encodeTables(b, s.Transfers, encodeTransfer)
 	progress := encodeTables(b, s.Progress, encodeProgress)
 	reach := encodeTables(b, s.Reachability, encodeReachability)
-	heard := encodeTables(b, s.CancellationAcks, encodeCancellationAck)
+	acks := encodeTables(b, s.CancellationAcks, encodeCancellationAck)
 	cancelled := encodeStrings(b, s.Cancelled)
 	gone := encodeStrings(b, s.TerminatedMachines)
 	demand := encodeDemand(b, s.Demand)
@@ -42,7 +42,7 @@
 	wire.StatusAddReach(b, reach)
 	wire.StatusAddCancelled(b, cancelled)
 	wire.StatusAddCancelledUpTo(b, s.CancelledUpTo)
-	wire.StatusAddCancelsHeard(b, heard)
+	wire.StatusAddCancelsHeard(b, acks)
 	if s.Demand != nil {
 		wire.StatusAddDemand(b, demand)
 	}
