--- a/internal/protocol/user_reply.go
+++ b/internal/protocol/user_reply.go
@@ -28,8 +28,8 @@
 }
 
 // EncodeError writes why a request was refused.
-func EncodeError(why string) []byte {
+func EncodeError(reason string) []byte {
 	return mustJSON(struct {
 		Error string `json:"error"`
-	}{why})
+	}{reason})
 }
