--- a/internal/protocol/user_fields.go
+++ b/internal/protocol/user_fields.go
@@ -6,7 +6,7 @@
 const (
 	maxAmount        = 1e6
 	maxSeconds       = 1e8
-	maxText          = 200
+	maxTextBytes     = 200
 	maxInstanceTypes = 64
 )
 
@@ -33,7 +33,7 @@
 
 // text is a text that is required.
 func (c *fieldChecker) text(field string, v *string) string {
-	if v == nil || *v == "" || len(*v) > maxText {
+	if v == nil || *v == "" || len(*v) > maxTextBytes {
 		c.malformed(field, "missing, empty or too long")
 		return ""
 	}
@@ -74,7 +74,7 @@
 		c.malformed(field, "must be null or name 1 to 64 types")
 	}
 	for _, name := range names {
-		if name == "" || len(name) > maxText {
+		if name == "" || len(name) > maxTextBytes {
 			c.malformed(field, "a name is empty or too long")
 			break
 		}
