--- a/internal/protocol/user_fields.go
+++ b/internal/protocol/user_fields.go
@@ -19,12 +19,12 @@
 }
 
 // amount is a number that is required, from 0 to most.
-func (c *fieldChecker) amount(field string, v *float64, most float64) float64 {
+func (c *fieldChecker) amount(field string, v *float64, limit float64) float64 {
 	switch {
 	case v == nil:
 		c.malformed(field, "missing")
 		return 0
-	case math.IsNaN(*v) || *v < 0 || *v > most:
+	case math.IsNaN(*v) || *v < 0 || *v > limit:
 		c.malformed(field, "out of range: %v", *v)
 		return 0
 	}
