--- a/internal/protocol/agent_commands.go
+++ b/internal/protocol/agent_commands.go
@@ -5,7 +5,7 @@
 	"pipitlatch/internal/micros"
 )
 
-// commandMessage is a command on the wire.
+// commandMessage is the JSON form of a command to an agent.
 type commandMessage struct {
 	Verb      string   `json:"verb"`
 	Shard     string   `json:"shard"`
@@ -13,7 +13,7 @@
 	WindDownS *float64 `json:"wind_down_s,omitempty"`
 }
 
-// encodeCommands never returns nil: an agent gets an empty list, not null.
+// encodeCommands never returns nil, so that an agent receives an empty list rather than null.
 func encodeCommands(commands []messages.Command) []commandMessage {
 	orders := make([]commandMessage, 0, len(commands))
 	for _, c := range commands {
@@ -27,7 +27,7 @@
 	return orders
 }
 
-// EncodeCommands writes commands that go straight to an agent.
+// EncodeCommands encodes a call that sends commands directly to an agent, outside a heartbeat reply.
 func EncodeCommands(call *messages.AgentCall) []byte {
 	return mustJSON(struct {
 		Warrant uint64           `json:"warrant"`
