--- a/internal/protocol/agent_heartbeat.go
+++ b/internal/protocol/agent_heartbeat.go
@@ -8,8 +8,9 @@
 	"pipitlatch/internal/micros"
 )
 
-// report is the body of a heartbeat. encoding/json names this type in the texts of its errors, which
-// agents get: its name, and that a shard has none, are part of the wire.
+// report is the body of a heartbeat. Errors of encoding/json that are returned to agents contain the
+// name of this type, so the name is part of the wire format. For the same reason the type of a shard
+// must stay anonymous.
 type report struct {
 	Host     string   `json:"host"`
 	Endpoint string   `json:"endpoint"`
@@ -29,10 +30,10 @@
 	} `json:"shards"`
 }
 
-// noPreemptionNotice is the preemption notice of a machine that got none.
+// noPreemptionNotice is the PreemptionNotice of a machine that has not received one.
 const noPreemptionNotice = -1
 
-// ParseHeartbeat reads an agent's heartbeat.
+// ParseHeartbeat decodes and validates an agent's heartbeat.
 func ParseHeartbeat(body []byte) (*messages.Heartbeat, error) {
 	var r report
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -80,7 +81,8 @@
 	return heartbeat, nil
 }
 
-// parseExitReason counts a cause that this version doesn't know as a stop: nothing is believed done.
+// parseExitReason maps a cause that this version doesn't know to ExitStopped, so that the task is not
+// taken to have completed.
 func parseExitReason(cause string) messages.ExitReason {
 	if reason, ok := exitReasons[cause]; ok {
 		return reason
@@ -88,7 +90,7 @@
 	return messages.ExitStopped
 }
 
-// EncodeHeartbeatReply writes the answer to a heartbeat.
+// EncodeHeartbeatReply encodes the reply to a heartbeat.
 func EncodeHeartbeatReply(token uint64, commands []messages.Command) []byte {
 	return mustJSON(struct {
 		Warrant uint64           `json:"warrant"`
@@ -96,8 +98,9 @@
 	}{token, encodeCommands(commands)})
 }
 
-// DecodeAgent reads an agent's answer to a call; anything but a heartbeat counts as none. A conflict
-// brings a heartbeat, too: the agent refused the commands and tells what it runs.
+// DecodeAgent decodes an agent's reply to a call. A reply with status 409 also contains a heartbeat:
+// the agent refused the commands and reports the tasks that it runs. A reply without a valid heartbeat
+// is treated as no reply.
 func DecodeAgent(status int, body []byte) *messages.AgentReply {
 	if status != http.StatusOK && status != http.StatusConflict {
 		return &messages.AgentReply{}
