--- a/internal/protocol/agent_redirect.go
+++ b/internal/protocol/agent_redirect.go
@@ -1,7 +1,7 @@
 package protocol
 
-// EncodeRedirect writes the answer that sends an agent to another controller; an empty address leaves
-// it to the agent to find one.
+// EncodeRedirect encodes the reply that redirects an agent to another controller. If the address is
+// empty, the agent has to find a controller itself.
 func EncodeRedirect(address string) []byte {
 	return mustJSON(struct {
 		Steward string `json:"steward,omitempty"`
