--- a/internal/protocol/cloud_catalog.go
+++ b/internal/protocol/cloud_catalog.go
@@ -7,6 +7,7 @@
 	"pipitlatch/internal/workload"
 )
 
+// instanceTypeMessage is the JSON form of an entry in the cloud's catalog.
 type instanceTypeMessage struct {
 	SKU        string   `json:"sku"`
 	Cores      float64  `json:"cores"`
