--- a/internal/protocol/cloud_instances.go
+++ b/internal/protocol/cloud_instances.go
@@ -7,7 +7,7 @@
 	"pipitlatch/internal/micros"
 )
 
-// decodeInstanceNames reads the names of the instances that a request got.
+// decodeInstanceNames decodes the names of the instances that a request returned.
 func decodeInstanceNames(body []byte) ([]string, error) {
 	var message struct {
 		Hosts []string `json:"hosts"`
@@ -23,8 +23,8 @@
 	return message.Hosts, nil
 }
 
-// decodeInstances reads a page of the cloud's list. An instance whose name can't be part of a key is
-// left out: none of ours has such a name.
+// decodeInstances decodes one page of the cloud's instance list. It skips instances whose names can't
+// be part of a storage key, because no instance of this cluster has such a name.
 func decodeInstances(body []byte) (instances []messages.Instance, more bool, err error) {
 	var message struct {
 		Hosts []struct {
