--- a/internal/protocol/cloud_reply.go
+++ b/internal/protocol/cloud_reply.go
@@ -8,8 +8,8 @@
 	"pipitlatch/internal/coordination/messages"
 )
 
-// DecodeCloudReply reads the cloud's answer. One that cannot be read counts as lost: what it was about
-// may have happened.
+// DecodeCloudReply decodes the cloud's reply. A reply that can't be decoded has an unknown outcome: the
+// operation may have been carried out.
 func DecodeCloudReply(operation messages.CloudOperation, status int, body []byte) (*messages.CloudReply, error) {
 	lost := &messages.CloudReply{Outcome: messages.CloudOutcomeUnknown}
 	switch status {
@@ -33,7 +33,7 @@
 		reply.Names, err = decodeInstanceNames(body)
 	case messages.CloudList:
 		reply.Instances, reply.More, err = decodeInstances(body)
-	case messages.CloudTerminate: // its answer says nothing more
+	case messages.CloudTerminate: // the reply contains nothing else of use
 	}
 	if err != nil {
 		return lost, fmt.Errorf("cloud: %w", err)
@@ -41,7 +41,7 @@
 	return reply, nil
 }
 
-// bodyHasError reports whether the body of a refusal names this error.
+// bodyHasError reports whether the body of an error reply contains the error with this name.
 func bodyHasError(body []byte, name string) bool {
 	var refusal struct {
 		Error string `json:"error"`
