--- a/internal/protocol/cloud_request.go
+++ b/internal/protocol/cloud_request.go
@@ -8,7 +8,7 @@
 	"pipitlatch/internal/coordination/messages"
 )
 
-// EncodeCloudRequest writes a request to the cloud.
+// EncodeCloudRequest encodes a request to the cloud.
 func EncodeCloudRequest(call *messages.CloudCall) HTTPRequest {
 	switch call.Operation {
 	case messages.CloudRequestInstances:
