--- a/internal/protocol/encoding.go
+++ b/internal/protocol/encoding.go
@@ -7,35 +7,36 @@
 	"strings"
 )
 
-// MaxBody bounds a request's body.
+// MaxBody is the maximum size of a request body in bytes.
 const MaxBody = 64 << 10
 
-// MaxTasks is the most tasks a job may have.
+// MaxTasks is the maximum number of tasks in a job.
 const MaxTasks = 100_000
 
-// maxMachineName bounds a machine's name, which is part of keys.
+// maxMachineName is the maximum length of a machine's name in bytes. Names are part of storage keys.
 const maxMachineName = 150
 
-// HTTPRequest is a request as a client sends it.
+// HTTPRequest is a request to be sent by an HTTP client.
 type HTTPRequest struct {
 	Method string
 	Path   string
 	Body   []byte
 }
 
-// mustJSON writes one of this package's own plain structs, which can't fail but by a mistake here.
+// mustJSON encodes one of this package's own structs. It panics on an error, because encoding them can
+// fail only through a bug in this package.
 func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("protocol: a message cannot be written: %v", err))
+		panic(fmt.Sprintf("protocol: cannot encode message: %v", err))
 	}
 	return b
 }
 
-// taskID is the name of a task on the wire.
+// taskID returns the id of a task on the wire, such as wk-1/0.
 func taskID(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
-// parseTaskID splits a task's name into the id of its job and its number.
+// parseTaskID splits a task's id into the id of its job and the number of the task.
 func parseTaskID(id string) (job string, task int, err error) {
 	slash := strings.LastIndexByte(id, '/')
 	if slash < 1 {
