--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -6,31 +6,31 @@
 	"fmt"
 )
 
-// MalformedError is a body that cannot be read, or a field of it that is not valid. Its text goes to
-// users and agents, and is part of the wire.
+// MalformedError reports a body that can't be decoded or that has an invalid field. Its text is returned
+// to users and agents and is part of the wire format.
 type MalformedError struct {
-	// Field is the wire's name for the field at fault; empty if the body as a whole is.
+	// Field is the wire name of the invalid field; empty if the error concerns the whole body.
 	Field string
 	err   error
 }
 
-// Error is the text that the sender of the body gets.
+// Error returns the text that the sender of the body receives.
 func (e *MalformedError) Error() string { return e.err.Error() }
 
-// Unwrap returns what a decoder said, if one did.
+// Unwrap returns the decoder's error, if there is one.
 func (e *MalformedError) Unwrap() error { return errors.Unwrap(e.err) }
 
-// malformed is an error of a field whose text is all the format's.
+// malformed returns an error for a field. The text does not include the field's name.
 func malformed(field, format string, args ...any) error {
 	return &MalformedError{Field: field, err: fmt.Errorf(format, args...)}
 }
 
-// malformedField is an error of a field whose text begins with the field's name.
+// malformedField returns an error for a field, with the field's name as the prefix of the text.
 func malformedField(field, format string, args ...any) error {
 	return malformed(field, "%s: %s", field, fmt.Sprintf(format, args...))
 }
 
-// malformedJSON is an error of encoding/json, whose text has a prefix.
+// malformedJSON wraps an error of encoding/json and adds a prefix to its text.
 func malformedJSON(prefix string, err error) error {
 	field := ""
 	if wrongType, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
