--- a/internal/protocol/errors_test.go
+++ b/internal/protocol/errors_test.go
@@ -7,14 +7,14 @@
 	"pipitlatch/internal/coordination/messages"
 )
 
-// malformedBody is a body that can't be read, the field that its error names (the first, if there are
-// several) and the text that its sender gets.
+// malformedBody is a body that can't be decoded, the field that its error names (the first, if there are
+// several) and the text that is returned to its sender.
 type malformedBody struct {
 	name, body, field, text string
 }
 
-// run holds the texts to the letter: users and agents get them. Those of encoding/json name the Go type
-// that is read into, which is why submission and report keep their names.
+// run compares the texts exactly, because users and agents receive them. Texts of encoding/json contain
+// the name of the Go type that is decoded into, so submission and report must keep their names.
 func (m malformedBody) run(t *testing.T, parse func([]byte) error) {
 	t.Helper()
 	t.Run(m.name, func(t *testing.T) {
