--- a/internal/protocol/peer_decode.go
+++ b/internal/protocol/peer_decode.go
@@ -9,19 +9,20 @@
 	"pipitlatch/internal/workload"
 )
 
-// minPeerStatusBytes is less than any message has: the offset of its root and a table.
+// minPeerStatusBytes is a lower bound for the size of a message, which contains at least the offset of
+// its root and a table.
 const minPeerStatusBytes = 8
 
-// DecodePeerStatus reads a message from a peer. FlatBuffers are not verified when they are read, so a
-// damaged one ends in a panic, which becomes an error here.
+// DecodePeerStatus decodes a message from a peer. FlatBuffers does not verify a message before reading
+// it, so a corrupt one can cause a panic, which is recovered and returned as an error.
 func DecodePeerStatus(raw []byte) (s *messages.PeerStatus, err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			s, err = nil, malformed("", "damaged status: %v", r)
+			s, err = nil, malformed("", "malformed peer status: %v", r)
 		}
 	}()
 	if len(raw) < minPeerStatusBytes {
-		return nil, malformed("", "damaged status: %d bytes", len(raw))
+		return nil, malformed("", "malformed peer status: %d bytes", len(raw))
 	}
 	w := wire.GetRootAsStatus(raw, 0)
 	s = &messages.PeerStatus{
@@ -39,18 +40,18 @@
 		Progress:           decodeTables(w.ProgressLength(), w.Progress, decodeProgress),
 	}
 	if demand := w.Demand(nil); demand != nil {
-		// What is wrong with it must not lose what else the message says.
+		// An invalid demand is ignored; the rest of the message is still used.
 		if d, err := decodeDemand(demand); err == nil {
 			s.Demand = d
 		}
 	}
 	if s.From.Member == "" {
-		return nil, malformed("member", "damaged status: no member")
+		return nil, malformed("member", "malformed peer status: no member")
 	}
 	return s, nil
 }
 
-// decodeTables reads a list of tables; an empty one is nil.
+// decodeTables decodes a vector of tables; it returns nil for an empty one.
 func decodeTables[Table, T any](n int, at func(*Table, int) bool, decode func(*Table) T) []T {
 	var list []T
 	for i := range n {
@@ -61,7 +62,7 @@
 	return list
 }
 
-// decodeStrings reads a list of strings; an empty one is nil.
+// decodeStrings decodes a vector of strings; it returns nil for an empty one.
 func decodeStrings(n int, at func(int) []byte) []string {
 	var list []string
 	for i := range n {
