--- a/internal/protocol/peer_demand.go
+++ b/internal/protocol/peer_demand.go
@@ -7,8 +7,8 @@
 	"pipitlatch/internal/protocol/wire"
 )
 
-// encodeDemand writes what a controller was asked for; a flow whose sketch can't be written is left
-// out: the next message has it.
+// encodeDemand encodes the demand that a controller received. A flow whose sketch can't be encoded is
+// left out of this message and sent with the next one.
 func encodeDemand(b *flatbuffers.Builder, d *admission.Demand) flatbuffers.UOffsetT {
 	if d == nil {
 		return 0
@@ -39,10 +39,10 @@
 	return wire.DemandEnd(b)
 }
 
-// decodeDemand reads what a peer was asked for.
+// decodeDemand decodes the demand that a peer received.
 func decodeDemand(w *wire.Demand) (*admission.Demand, error) {
 	if n := w.FlowsLength(); n > 2*admission.MaxFlows {
-		return nil, malformed("demand.flows", "damaged status: %d flows", n)
+		return nil, malformed("demand.flows", "malformed peer status: %d flows", n)
 	}
 	demand := &admission.Demand{Refused: w.Refused(), Admitted: w.Admitted(), AcceptRate: w.AcceptRate()}
 	for i := range w.FlowsLength() {
@@ -50,7 +50,7 @@
 		w.Flows(&f, i)
 		asked, err := admission.DecodeSketch(f.AskedBytes())
 		if err != nil {
-			return nil, malformed("demand.flows.asked", "damaged status: %w", err)
+			return nil, malformed("demand.flows.asked", "malformed peer status: %w", err)
 		}
 		demand.Flows = append(demand.Flows, admission.FlowDemand{
 			Flow:     admission.Flow{Team: string(f.Team()), Class: string(f.Class())},
