--- a/internal/protocol/peer_encode.go
+++ b/internal/protocol/peer_encode.go
@@ -11,11 +11,11 @@
 
 //go:generate flatc --go peers.fbs
 
-// MaxPeerStatusBytes bounds a message between controllers.
+// MaxPeerStatusBytes is the maximum size of a message between controllers.
 const MaxPeerStatusBytes = 1 << 20
 
-// EncodePeerStatus writes a message to a peer. A table can't be begun while another is being written,
-// so that the parts come before the whole.
+// EncodePeerStatus encodes a message to a peer. A FlatBuffers builder can't start a table while another
+// is under construction, so nested objects are written before the table that refers to them.
 func EncodePeerStatus(s *messages.PeerStatus) []byte {
 	b := flatbuffers.NewBuilder(1024)
 	queues := encodeTables(b, s.Partitions, encodePartition)
@@ -50,7 +50,7 @@
 	return b.FinishedBytes()
 }
 
-// encodeTables writes a list of tables.
+// encodeTables encodes a vector of tables.
 func encodeTables[T any](
 	b *flatbuffers.Builder, list []T, encode func(*flatbuffers.Builder, *T) flatbuffers.UOffsetT,
 ) flatbuffers.UOffsetT {
@@ -69,7 +69,8 @@
 	return encodeVector(b, offsets)
 }
 
-// encodeVector writes a list of what was written before; a builder writes from the end to the front.
+// encodeVector encodes a vector of objects that have already been written. It adds the offsets in
+// reverse order, because a builder fills its buffer from the end to the front.
 func encodeVector(b *flatbuffers.Builder, offsets []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
 	b.StartVector(flatbuffers.SizeUOffsetT, len(offsets), flatbuffers.SizeUOffsetT)
 	for i := len(offsets) - 1; i >= 0; i-- {
