--- a/internal/protocol/peer_test.go
+++ b/internal/protocol/peer_test.go
@@ -15,8 +15,8 @@
 	"pipitlatch/internal/workload"
 )
 
-// fullPeerStatus is a message between controllers in which every field but the demand is set, and
-// every list has more than one entry.
+// fullPeerStatus returns a message between controllers in which every field except the demand is set
+// and every list has more than one entry.
 func fullPeerStatus() *messages.PeerStatus {
 	return &messages.PeerStatus{
 		From:           storage.Process{Member: "a", Incarnation: "x"},
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestPeerStatusBytes holds the bytes between controllers: builds of two versions run side by side
-// during a rolling upgrade, and the order of the parts is part of what the digests compare.
+// TestPeerStatusBytes guards against changes of the encoding: two versions run side by side during a
+// rolling upgrade, and the digests also depend on the order in which the objects are written.
 func TestPeerStatusBytes(t *testing.T) {
 	const want = "c204792dc98556d559b5942e40c74a1c0f66ea48670f0c5ab97b162538080113"
 	sum := sha256.Sum256(EncodePeerStatus(fullPeerStatus()))
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestDemandAndLags: what controllers tell each other of demand and lags arrives; a damaged
-// sketch loses the demand, not what else the message tells.
+// TestDemandAndLags checks that demand and lags survive a round trip, and that a corrupt sketch
+// discards the demand but not the rest of the message.
 func TestDemandAndLags(t *testing.T) {
 	tracker := admission.NewTracker(2)
 	flow := admission.Flow{Team: "alpha", Class: "short"}
@@ -104,10 +104,10 @@
 	}
 	at := bytes.Index(raw, sketch)
 	if at < 0 {
-		t.Fatal("the sketch is not in the message as it is")
+		t.Fatal("the message does not contain the encoded sketch")
 	}
-	raw[at] = 99 // a version that does not exist
+	raw[at] = 99 // a sketch version that does not exist
 	if got, err = DecodePeerStatus(raw); err != nil || got.Demand != nil || len(got.Partitions) != 1 {
-		t.Errorf("damaged: %+v, %v", got, err)
+		t.Errorf("message with a corrupt sketch: %+v, %v", got, err)
 	}
 }
