--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestDamagedInput feeds noise to every decoder: none may panic.
+// TestDamagedInput checks that no decoder panics on corrupt or random input.
 func TestDamagedInput(t *testing.T) {
 	raw := EncodePeerStatus(&messages.PeerStatus{From: storage.Process{Member: "a"},
 		TerminatedMachines: []string{"vm-1", "vm-2"}})
@@ -97,11 +97,12 @@
 	}
 	heartbeat := `{"host":"vm-1","tenure":1,"shards":[{"shard":"wk-1/0","try":1,"phase":"dreaming"}]}`
 	if r := DecodeAgent(200, []byte(heartbeat)); r.Heartbeat != nil {
-		t.Error("agent: an unknown state was believed")
+		t.Error("agent: a heartbeat with an unknown task state was accepted")
 	}
 }
 
-// TestWaitsOn: absent and null mean none, twice the same counts once.
+// TestWaitsOn checks that an absent, null or empty list means no dependencies, and that duplicates are
+// removed.
 func TestWaitsOn(t *testing.T) {
 	for from, want := range map[string][]string{`"later":[1]`: nil, `"waits_on":null`: nil, `"waits_on":[]`: nil,
 		`"waits_on":["wk-000398","wk-000405","wk-000398"]`: {"wk-000398", "wk-000405"}} {
