--- a/internal/protocol/store_reply.go
+++ b/internal/protocol/store_reply.go
@@ -8,7 +8,7 @@
 	"pipitlatch/internal/storage"
 )
 
-// storeReply is what the key-value store answers, whatever the request.
+// storeReply has the fields of the key-value store's replies to all kinds of request.
 type storeReply struct {
 	Key    string          `json:"key"`
 	V      json.RawMessage `json:"v"`
@@ -29,12 +29,13 @@
 	} `json:"log"`
 }
 
-// DecodeStoreReply reads the key-value store's answer. One that cannot be read counts as lost.
+// DecodeStoreReply decodes the key-value store's reply. A reply that can't be decoded has an unknown
+// outcome.
 func DecodeStoreReply(kind storage.RequestKind, status int, body []byte) (*storage.Reply, error) {
 	outcome, err := storeOutcome(kind, status, body)
 	reply := &storage.Reply{Outcome: outcome}
 	if outcome != storage.OK && outcome != storage.NotFound && outcome != storage.Conflict {
-		return reply, err // the rest of the answer says nothing
+		return reply, err // the body contains no data
 	}
 	var b storeReply
 	if len(body) > 0 {
@@ -57,12 +58,12 @@
 			reply.Outcome = storage.OutcomeUnknown
 			return reply, malformed("ledger", "state: changes without a revision")
 		}
-	case storage.Txn, storage.LeaseGrant, storage.LeaseKeepAlive: // they bring no items
+	case storage.Txn, storage.LeaseGrant, storage.LeaseKeepAlive: // their replies contain no items
 	}
 	return reply, nil
 }
 
-// storeOutcome is what a status means.
+// storeOutcome maps an HTTP status to an outcome.
 func storeOutcome(kind storage.RequestKind, status int, body []byte) (storage.Outcome, error) {
 	switch status {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
@@ -85,7 +86,7 @@
 	return storage.OutcomeUnknown, fmt.Errorf("state: status %d", status)
 }
 
-// rows are the items of a list.
+// rows returns the items in the reply to a List.
 func (b *storeReply) rows() []storage.Item {
 	var items []storage.Item
 	for _, r := range b.Rows {
@@ -94,7 +95,7 @@
 	return items
 }
 
-// changes are the items of a watch.
+// changes returns the items in the reply to a Watch.
 func (b *storeReply) changes() []storage.Item {
 	var items []storage.Item
 	for _, e := range b.Log {
