--- a/internal/protocol/store_request.go
+++ b/internal/protocol/store_request.go
@@ -10,13 +10,13 @@
 	"pipitlatch/internal/storage"
 )
 
-// condition is a compare of a transaction on the wire.
+// condition is the JSON form of a compare in a transaction.
 type condition struct {
 	Key   string `json:"key"`
 	Stamp uint64 `json:"stamp"`
 }
 
-// write is a put or a delete of a transaction on the wire.
+// write is the JSON form of a put or a delete in a transaction.
 type write struct {
 	Set    string          `json:"set,omitempty"`
 	V      json.RawMessage `json:"v,omitempty"`
@@ -24,7 +24,7 @@
 	Delete string          `json:"delete,omitempty"`
 }
 
-// EncodeStoreRequest writes a request to the key-value store.
+// EncodeStoreRequest encodes a request to the key-value store.
 func EncodeStoreRequest(r *storage.Request) HTTPRequest {
 	switch r.Kind {
 	case storage.Get:
@@ -51,7 +51,7 @@
 }
 
 func encodeTransaction(r *storage.Request) HTTPRequest {
-	// Both lists are sent also when they are empty, never as null.
+	// Empty lists are encoded as [], never as null.
 	commit := struct {
 		If     []condition `json:"if"`
 		Writes []write     `json:"writes"`
