--- a/internal/protocol/user_fields.go
+++ b/internal/protocol/user_fields.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// Bounds of a submission's fields. Those of amounts are far above any machine, far below overflow.
+// Limits of the fields of a submission. Those of amounts are far above the size of any machine and far
+// below overflow.
 const (
 	maxAmount        = 1e6
 	maxSeconds       = 1e8
@@ -10,15 +11,15 @@
 	maxInstanceTypes = 64
 )
 
-// fieldChecker reads the fields of a submission and collects what is wrong with them, so that a user
-// gets all faults at once, in the order in which the fields were read.
+// fieldChecker validates the fields of a submission and collects the errors, so that a user receives all
+// of them at once, in the order in which the fields were checked.
 type fieldChecker struct{ errs []error }
 
 func (c *fieldChecker) malformed(field, format string, args ...any) {
 	c.errs = append(c.errs, malformedField(field, format, args...))
 }
 
-// amount is a number that is required, from 0 to most.
+// amount checks a required number between 0 and limit.
 func (c *fieldChecker) amount(field string, v *float64, limit float64) float64 {
 	switch {
 	case v == nil:
@@ -31,7 +32,7 @@
 	return *v
 }
 
-// text is a text that is required.
+// text checks a required string.
 func (c *fieldChecker) text(field string, v *string) string {
 	if v == nil || *v == "" || len(*v) > maxTextBytes {
 		c.malformed(field, "missing, empty or too long")
@@ -40,7 +41,7 @@
 	return *v
 }
 
-// flag is a truth value that is required.
+// flag checks a required boolean.
 func (c *fieldChecker) flag(field string, v *bool) bool {
 	if v == nil {
 		c.malformed(field, "missing")
@@ -49,7 +50,7 @@
 	return *v
 }
 
-// enumValue is a text that is required and names a value of an enumeration.
+// enumValue checks a required string that names a value of an enumeration.
 func enumValue[T any](c *fieldChecker, field string, v *string, values map[string]T) T {
 	name := c.text(field, v)
 	value, ok := values[name]
@@ -59,7 +60,7 @@
 	return value
 }
 
-// tasks is a job's number of tasks.
+// tasks checks the number of tasks in a job.
 func (c *fieldChecker) tasks(field string, v *int) int {
 	if v == nil || *v < 1 || *v > MaxTasks {
 		c.malformed(field, "missing or out of range")
@@ -82,7 +83,7 @@
 	return names
 }
 
-// dependencies are the ids of the jobs that a job depends on; twice the same counts once.
+// dependencies checks the ids of the jobs that a job depends on and removes duplicates.
 func (c *fieldChecker) dependencies(field string, ids []string) []string {
 	var unique []string
 	seen := map[string]bool{}
