--- a/internal/protocol/user_reply.go
+++ b/internal/protocol/user_reply.go
@@ -5,7 +5,7 @@
 	"pipitlatch/internal/workload"
 )
 
-// JobState is the answer to a user who asks for a job.
+// JobState is the reply to a user's request concerning a job.
 type JobState struct {
 	Ref     string `json:"ref"`
 	Phase   string `json:"phase"`
@@ -13,7 +13,7 @@
 	Running int    `json:"running"`
 }
 
-// EncodeJobStatus writes a job's state.
+// EncodeJobStatus encodes a job's state.
 func EncodeJobStatus(job messages.JobStatus) []byte {
 	state := JobState{Ref: job.ID, Phase: phaseQueued, Done: job.Done, Running: job.Running}
 	switch {
@@ -27,7 +27,7 @@
 	return mustJSON(state)
 }
 
-// EncodeError writes why a request was refused.
+// EncodeError encodes the reason why a request was refused.
 func EncodeError(reason string) []byte {
 	return mustJSON(struct {
 		Error string `json:"error"`
