--- a/internal/protocol/user_submission.go
+++ b/internal/protocol/user_submission.go
@@ -12,11 +12,11 @@
 
 var jobIDPattern = regexp.MustCompile(`^wk-[0-9]{1,20}$`)
 
-// ValidJobID reports whether a job id has the one form that ids have.
+// ValidJobID reports whether a job id has the required form.
 func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// submission is the body of a submission. encoding/json names this type in the texts of its errors,
-// which users get: its name is part of the wire.
+// submission is the body of a submission. Errors of encoding/json that are returned to users contain the
+// name of this type, so the name is part of the wire format.
 type submission struct {
 	Ref            *string  `json:"ref"`
 	JobClass       *string  `json:"jobclass"`
@@ -41,9 +41,9 @@
 	WaitsOn        []string `json:"waits_on"`
 }
 
-// ParseSubmission reads a submission. The id is returned even with an error, if it could be read: a
-// job that is known already gets 200 whatever its repetition looks like. The error joins one
-// MalformedError for each fault.
+// ParseSubmission decodes and validates a submission. If the id could be decoded, it is returned even
+// with an error, because a resubmission of a known job gets status 200 whatever its other fields are.
+// The error joins one MalformedError for each invalid field.
 func ParseSubmission(body []byte) (id string, job *workload.Job, err error) {
 	id, err = parseJobID(body)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return id, job, err
 }
 
-// parseJobID reads nothing of a submission but its id.
+// parseJobID decodes only the id of a submission.
 func parseJobID(body []byte) (string, error) {
 	// The prefix is enough: whatever has more white space than that is none of ours.
 	prefix := strings.TrimLeft(string(body[:min(len(body), 64)]), " \t\r\n")
@@ -77,7 +77,7 @@
 	return id, nil
 }
 
-// job checks the fields in the order in which their faults are listed.
+// job checks the fields in the order in which their errors are listed.
 func (s *submission) job() (*workload.Job, error) {
 	c := &fieldChecker{}
 	job := &workload.Job{
