--- a/internal/protocol/vocabulary.go
+++ b/internal/protocol/vocabulary.go
@@ -1,6 +1,6 @@
-// Package protocol is the wire: the JSON of users, agents, cloud and key-value store, and the
-// FlatBuffers messages between controllers. It alone knows the wire's words; everything below and
-// above it uses the terms of the glossary in docs/architecture.md:
+// Package protocol encodes and decodes the wire formats: the JSON of users, agents, cloud and key-value
+// store, and the FlatBuffers messages between controllers. Only this package uses the names on the
+// wire; all other packages use the terms of the glossary in docs/architecture.md:
 //
 //	who            wire                                  term
 //	users          ref, owner, jobclass                  job id, team, class
@@ -37,8 +37,7 @@
 	"pipitlatch/internal/workload"
 )
 
-// What the wire calls the values of an enumeration; its words for fields are in the tags of the
-// messages.
+// The wire names of enumeration values. The wire names of fields are in the struct tags of the messages.
 var (
 	priorities = map[string]workload.Priority{
 		"production": workload.Production,
@@ -71,7 +70,7 @@
 	}
 )
 
-// The phases of a job, as users get them.
+// The phases of a job, as reported to users.
 const (
 	phaseQueued    = "queued"
 	phaseRunning   = "running"
@@ -79,13 +78,14 @@
 	phaseCancelled = "cancelled"
 )
 
-// The phases of an instance, as the cloud lists them; others count as neither.
+// The phases of an instance in the cloud's list. Instances in other phases count as neither running nor
+// failed.
 const (
 	instanceRunning = "running"
 	instanceFailed  = "failed"
 )
 
-// The refusals of cloud and key-value store that have a meaning of their own.
+// The errors of the cloud and the key-value store that are handled separately from other errors.
 const (
 	errorNoCapacity  = "no capacity"
 	errorNoSuchLease = "no such lease"
