--- a/internal/protocol/agent_commands.go
+++ b/internal/protocol/agent_commands.go
@@ -13,8 +13,8 @@
 	WindDownS *float64 `json:"wind_down_s,omitempty"`
 }
 
-// encodeCommands never returns nil, so that an agent receives an empty list rather than null.
-func encodeCommands(commands []messages.Command) []commandMessage {
+// commandMessages never returns nil, so that an agent receives an empty list rather than null.
+func commandMessages(commands []messages.Command) []commandMessage {
 	orders := make([]commandMessage, 0, len(commands))
 	for _, c := range commands {
 		o := commandMessage{Verb: operations[c.Operation], Shard: taskID(c.Job, c.Task), Try: c.Number}
@@ -33,5 +33,5 @@
 		Warrant uint64           `json:"warrant"`
 		Tenure  uint64           `json:"tenure"`
 		Orders  []commandMessage `json:"orders"`
-	}{call.FencingToken, call.AgentEpoch, encodeCommands(call.Commands)})
+	}{call.FencingToken, call.AgentEpoch, commandMessages(call.Commands)})
 }
--- a/internal/protocol/agent_heartbeat.go
+++ b/internal/protocol/agent_heartbeat.go
@@ -95,7 +95,7 @@
 	return mustJSON(struct {
 		Warrant uint64           `json:"warrant"`
 		Orders  []commandMessage `json:"orders"`
-	}{token, encodeCommands(commands)})
+	}{token, commandMessages(commands)})
 }
 
 // DecodeAgent decodes an agent's reply to a call. A reply with status 409 also contains a heartbeat:
