--- a/internal/protocol/agent_commands.go
+++ b/internal/protocol/agent_commands.go
@@ -15,16 +15,16 @@
 
 // commandMessages never returns nil, so that an agent receives an empty list rather than null.
 func commandMessages(commands []messages.Command) []commandMessage {
-	orders := make([]commandMessage, 0, len(commands))
+	list := make([]commandMessage, 0, len(commands))
 	for _, c := range commands {
 		o := commandMessage{Verb: operations[c.Operation], Shard: taskID(c.Job, c.Task), Try: c.Number}
 		if c.Operation == messages.Stop {
 			seconds := micros.Seconds(c.GracePeriod)
 			o.WindDownS = &seconds
 		}
-		orders = append(orders, o)
+		list = append(list, o)
 	}
-	return orders
+	return list
 }
 
 // EncodeCommands encodes a call that sends commands directly to an agent, outside a heartbeat reply.
