--- a/internal/protocol/cloud_reply.go
+++ b/internal/protocol/cloud_reply.go
@@ -11,7 +11,7 @@
 // DecodeCloudReply decodes the cloud's reply. A reply that can't be decoded has an unknown outcome: the
 // operation may have been carried out.
 func DecodeCloudReply(operation messages.CloudOperation, status int, body []byte) (*messages.CloudReply, error) {
-	lost := &messages.CloudReply{Outcome: messages.CloudOutcomeUnknown}
+	unknown := &messages.CloudReply{Outcome: messages.CloudOutcomeUnknown}
 	switch status {
 	case http.StatusOK:
 	case http.StatusTooManyRequests:
@@ -22,7 +22,7 @@
 		}
 		return &messages.CloudReply{Outcome: messages.CloudRejected}, nil
 	default:
-		return lost, fmt.Errorf("cloud: status %d", status)
+		return unknown, fmt.Errorf("cloud: status %d", status)
 	}
 	reply := &messages.CloudReply{Outcome: messages.CloudOK}
 	var err error
@@ -36,7 +36,7 @@
 	case messages.CloudTerminate: // the reply contains nothing else of use
 	}
 	if err != nil {
-		return lost, fmt.Errorf("cloud: %w", err)
+		return unknown, fmt.Errorf("cloud: %w", err)
 	}
 	return reply, nil
 }
