--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestUnreadableAnswersCountAsLost(t *testing.T) {
+func TestMalformedRepliesHaveUnknownOutcome(t *testing.T) {
 	stored, err := DecodeStoreReply(storage.Txn, 200, []byte("<html>"))
 	if stored.Outcome != storage.OutcomeUnknown || err == nil {
 		t.Errorf("store: %v %v", stored.Outcome, err)
