--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestDamagedInput checks that no decoder panics on corrupt or random input.
-func TestDamagedInput(t *testing.T) {
+// TestCorruptInput checks that no decoder panics on corrupt or random input.
+func TestCorruptInput(t *testing.T) {
 	raw := EncodePeerStatus(&messages.PeerStatus{From: storage.Process{Member: "a"},
 		TerminatedMachines: []string{"vm-1", "vm-2"}})
 	rapid.Check(t, func(t *rapid.T) {
