--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -101,9 +101,9 @@
 	}
 }
 
-// TestWaitsOn checks that an absent, null or empty list means no dependencies, and that duplicates are
+// TestDependencies checks that an absent, null or empty list means no dependencies, and that duplicates are
 // removed.
-func TestWaitsOn(t *testing.T) {
+func TestDependencies(t *testing.T) {
 	for from, want := range map[string][]string{`"later":[1]`: nil, `"waits_on":null`: nil, `"waits_on":[]`: nil,
 		`"waits_on":["wk-000398","wk-000405","wk-000398"]`: {"wk-000398", "wk-000405"}} {
 		_, j, err := ParseSubmission([]byte(strings.Replace(validSubmission, `"later":[1]`, from, 1)))
