--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -87,9 +87,9 @@
 }
 
 func TestMalformedRepliesHaveUnknownOutcome(t *testing.T) {
-	stored, err := DecodeStoreReply(storage.Txn, 200, []byte("<html>"))
-	if stored.Outcome != storage.OutcomeUnknown || err == nil {
-		t.Errorf("store: %v %v", stored.Outcome, err)
+	txn, err := DecodeStoreReply(storage.Txn, 200, []byte("<html>"))
+	if txn.Outcome != storage.OutcomeUnknown || err == nil {
+		t.Errorf("store: %v %v", txn.Outcome, err)
 	}
 	requested, err := DecodeCloudReply(messages.CloudRequestInstances, 200, []byte(`{"hosts":[""]}`))
 	if requested.Outcome != messages.CloudOutcomeUnknown || err == nil {
