--- a/internal/protocol/user_submission.go
+++ b/internal/protocol/user_submission.go
@@ -64,13 +64,13 @@
 	if !strings.HasPrefix(prefix, "{") {
 		return "", malformed("", "not a JSON object")
 	}
-	var probe struct {
+	var message struct {
 		Ref any `json:"ref"`
 	}
-	if err := json.Unmarshal(body, &probe); err != nil {
+	if err := json.Unmarshal(body, &message); err != nil {
 		return "", malformedJSON("not JSON", err)
 	}
-	id, ok := probe.Ref.(string)
+	id, ok := message.Ref.(string)
 	if !ok || !ValidJobID(id) {
 		return "", malformedField("ref", "missing or not of the form wk-000000")
 	}
