--- a/internal/protocol/agent_commands.go
+++ b/internal/protocol/agent_commands.go
@@ -17,7 +17,7 @@
 func commandMessages(commands []messages.Command) []commandMessage {
 	list := make([]commandMessage, 0, len(commands))
 	for _, c := range commands {
-		o := commandMessage{Verb: operations[c.Operation], Shard: taskID(c.Job, c.Task), Try: c.Number}
+		o := commandMessage{Verb: operationNames[c.Operation], Shard: taskID(c.Job, c.Task), Try: c.Number}
 		if c.Operation == messages.Stop {
 			seconds := micros.Seconds(c.GracePeriod)
 			o.WindDownS = &seconds
--- a/internal/protocol/vocabulary.go
+++ b/internal/protocol/vocabulary.go
@@ -63,7 +63,7 @@
 		"busy":    messages.ExitDuplicateTask,
 		"unknown": messages.ExitUnknownTask,
 	}
-	operations = map[messages.Operation]string{
+	operationNames = map[messages.Operation]string{
 		messages.Start:  "run",
 		messages.Stop:   "kill",
 		messages.Forget: "forget",
