--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -33,8 +33,8 @@
 // malformedJSON wraps an error of encoding/json and adds a prefix to its text.
 func malformedJSON(prefix string, err error) error {
 	field := ""
-	if wrongType, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
-		field = wrongType.Field
+	if typeError, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
+		field = typeError.Field
 	}
 	return malformed(field, "%s: %w", prefix, err)
 }
