--- a/internal/protocol/encoding.go
+++ b/internal/protocol/encoding.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// MaxBody is the maximum size of a request body in bytes.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the maximum size of a request body in bytes.
+const MaxBodyBytes = 64 << 10
 
 // MaxTasks is the maximum number of tasks in a job.
 const MaxTasks = 100_000
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -25,7 +25,7 @@
 
 // maxHeartbeatBytes bounds an agent's heartbeat; it has no limit of its own in the protocol but that of
 // all bodies.
-const maxHeartbeatBytes = protocol.MaxBody
+const maxHeartbeatBytes = protocol.MaxBodyBytes
 
 // routes maps paths to handlers.
 func (d *driver) routes(listener *boundedListener) http.Handler {
@@ -113,7 +113,7 @@
 }
 
 func (d *driver) submit(w http.ResponseWriter, r *http.Request) {
-	body, ok := readBody(w, r, protocol.MaxBody)
+	body, ok := readBody(w, r, protocol.MaxBodyBytes)
 	if !ok {
 		return
 	}
