--- a/internal/protocol/agent_heartbeat.go
+++ b/internal/protocol/agent_heartbeat.go
@@ -98,10 +98,10 @@
 	}{token, commandMessages(commands)})
 }
 
-// DecodeAgent decodes an agent's reply to a call. A reply with status 409 also contains a heartbeat:
+// DecodeAgentReply decodes an agent's reply to a call. A reply with status 409 also contains a heartbeat:
 // the agent refused the commands and reports the tasks that it runs. A reply without a valid heartbeat
 // is treated as no reply.
-func DecodeAgent(status int, body []byte) *messages.AgentReply {
+func DecodeAgentReply(status int, body []byte) *messages.AgentReply {
 	if status != http.StatusOK && status != http.StatusConflict {
 		return &messages.AgentReply{}
 	}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -78,7 +78,7 @@
 				if r, _ := DecodeCloudReply(messages.CloudList, status, body); r == nil {
 					t.Fatal("no reply")
 				}
-				if DecodeAgent(status, body) == nil {
+				if DecodeAgentReply(status, body) == nil {
 					t.Fatal("no reply")
 				}
 			}
@@ -96,7 +96,7 @@
 		t.Errorf("cloud: %v %v", requested.Outcome, err)
 	}
 	heartbeat := `{"host":"vm-1","tenure":1,"shards":[{"shard":"wk-1/0","try":1,"phase":"dreaming"}]}`
-	if r := DecodeAgent(200, []byte(heartbeat)); r.Heartbeat != nil {
+	if r := DecodeAgentReply(200, []byte(heartbeat)); r.Heartbeat != nil {
 		t.Error("agent: a heartbeat with an unknown task state was accepted")
 	}
 }
--- a/internal/scenario/controller_test.go
+++ b/internal/scenario/controller_test.go
@@ -173,7 +173,7 @@
 		}
 	}, func(status int, body []byte) {
 		n.agentCallsInFlight--
-		n.step(&messages.AgentCompletion{Call: c.Call, Reply: protocol.DecodeAgent(status, body)})
+		n.step(&messages.AgentCompletion{Call: c.Call, Reply: protocol.DecodeAgentReply(status, body)})
 	})
 }
 
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -180,5 +180,5 @@
 		c.log.Debug("agent call failed", "machine", call.Machine, "err", err)
 		return &messages.AgentReply{}
 	}
-	return protocol.DecodeAgent(status, body)
+	return protocol.DecodeAgentReply(status, body)
 }
