--- a/internal/protocol/user_submission.go
+++ b/internal/protocol/user_submission.go
@@ -59,7 +59,7 @@
 
 // parseJobID decodes only the id of a submission.
 func parseJobID(body []byte) (string, error) {
-	// The prefix is enough: whatever has more white space than that is none of ours.
+	// No valid submission begins with 64 or more bytes of white space.
 	prefix := strings.TrimLeft(string(body[:min(len(body), 64)]), " \t\r\n")
 	if !strings.HasPrefix(prefix, "{") {
 		return "", malformed("", "not a JSON object")
