--- a/internal/protocol/agent_heartbeat.go
+++ b/internal/protocol/agent_heartbeat.go
@@ -99,8 +99,8 @@
 }
 
 // DecodeAgentReply decodes an agent's reply to a call. A reply with status 409 also contains a heartbeat:
-// the agent refused the commands and reports the tasks that it runs. A reply without a valid heartbeat
-// is treated as no reply.
+// the agent refused the commands and reports the tasks that it runs. Any other status, or a body that is
+// not a valid heartbeat, gives an empty AgentReply.
 func DecodeAgentReply(status int, body []byte) *messages.AgentReply {
 	if status != http.StatusOK && status != http.StatusConflict {
 		return &messages.AgentReply{}
