--- a/internal/protocol/user_submission.go
+++ b/internal/protocol/user_submission.go
@@ -59,7 +59,7 @@
 
 // parseJobID decodes only the id of a submission.
 func parseJobID(body []byte) (string, error) {
-	// No valid submission begins with 64 or more bytes of white space.
+	// Only the first 64 bytes are searched: a body with more leading white space is rejected.
 	prefix := strings.TrimLeft(string(body[:min(len(body), 64)]), " \t\r\n")
 	if !strings.HasPrefix(prefix, "{") {
 		return "", malformed("", "not a JSON object")
