--- a/internal/protocol/store_reply.go
+++ b/internal/protocol/store_reply.go
@@ -35,7 +35,7 @@
 	outcome, err := storeOutcome(kind, status, body)
 	reply := &storage.Reply{Outcome: outcome}
 	if outcome != storage.OK && outcome != storage.NotFound && outcome != storage.Conflict {
-		return reply, err // the body contains no data
+		return reply, err // the body contains no data for other outcomes
 	}
 	var b storeReply
 	if len(body) > 0 {
