--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -33,7 +33,8 @@
 
 func TestMalformedSubmissions(t *testing.T) {
 	for _, c := range []struct{ from, to, id string }{
-		{validSubmission, "", ""}, {validSubmission, "null", ""}, {validSubmission, "[1]", ""}, {validSubmission, `"x"`, ""}, {validSubmission, "{", ""}, {validSubmission, validSubmission + "x", ""},
+		{validSubmission, "", ""}, {validSubmission, "null", ""}, {validSubmission, "[1]", ""},
+		{validSubmission, `"x"`, ""}, {validSubmission, "{", ""}, {validSubmission, validSubmission + "x", ""},
 		{`"wk-000412"`, `"job-1"`, ""}, {`"wk-000412"`, `12`, ""}, {`"ref":"wk-000412",`, ``, ""},
 		{`"shards":16`, `"shards":0`, "wk-000412"}, {`"shards":16`, `"shards":100001`, "wk-000412"},
 		{`"shards":16`, `"shards":1.5`, "wk-000412"}, {`"shards":16`, `"shards":"16"`, "wk-000412"},
@@ -95,7 +96,7 @@
 	if requested.Outcome != messages.CloudOutcomeUnknown || err == nil {
 		t.Errorf("cloud: %v %v", requested.Outcome, err)
 	}
-	heartbeat := `{"host":"vm-1","tenure":1,"shards":[{"shard":"wk-1/0","try":1,"phase":"dreaming"}]}`
+	heartbeat := `{"host":"vm-1","tenure":1,"shards":[{"shard":"wk-1/0","try":1,"phase":"suspended"}]}`
 	if r := DecodeAgentReply(200, []byte(heartbeat)); r.Heartbeat != nil {
 		t.Error("agent: a heartbeat with an unknown task state was accepted")
 	}
