--- a/internal/protocol/errors_test.go
+++ b/internal/protocol/errors_test.go
@@ -76,9 +76,9 @@
 			"report: task id: \"x\""},
 		{"heartbeat with a task number out of range", `{"host":"h","tenure":1,"shards":[{"shard":"x/-1"}]}`, "shards.shard",
 			"report: task id: \"x/-1\""},
-		{"heartbeat with an unknown task state", `{"host":"h","tenure":1,"shards":[{"shard":"x/1","phase":"dreaming"}]}`,
+		{"heartbeat with an unknown task state", `{"host":"h","tenure":1,"shards":[{"shard":"x/1","phase":"suspended"}]}`,
 			"shards.phase",
-			"report: task x/1 in an unknown state \"dreaming\""},
+			"report: task x/1 in an unknown state \"suspended\""},
 		{"heartbeat with a task's field of the wrong type", `{"host":"h","tenure":1,"shards":[{"try":"x"}]}`, "shards.try",
 			"report: json: cannot unmarshal string into Go struct field .shards.try of type uint64"},
 	} {
