--- a/internal/protocol/agent_commands.go
+++ b/internal/protocol/agent_commands.go
@@ -17,12 +17,12 @@
 func commandMessages(commands []messages.Command) []commandMessage {
 	list := make([]commandMessage, 0, len(commands))
 	for _, c := range commands {
-		o := commandMessage{Verb: operationNames[c.Operation], Shard: taskID(c.Job, c.Task), Try: c.Number}
+		message := commandMessage{Verb: operationNames[c.Operation], Shard: taskID(c.Job, c.Task), Try: c.Number}
 		if c.Operation == messages.Stop {
 			seconds := micros.Seconds(c.GracePeriod)
-			o.WindDownS = &seconds
+			message.WindDownS = &seconds
 		}
-		list = append(list, o)
+		list = append(list, message)
 	}
 	return list
 }
