--- a/internal/protocol/agent_commands.go
+++ b/internal/protocol/agent_commands.go
@@ -5,33 +5,33 @@
 	"pipitlatch/internal/micros"
 )
 
-// order is a command on the wire.
-type order struct {
+// commandMessage is the JSON form of a command to an agent.
+type commandMessage struct {
 	Verb      string   `json:"verb"`
 	Shard     string   `json:"shard"`
 	Try       uint64   `json:"try"`
 	WindDownS *float64 `json:"wind_down_s,omitempty"`
 }
 
-// encodeOrders never returns nil: an agent gets an empty list, not null.
-func encodeOrders(commands []messages.Command) []order {
-	orders := make([]order, 0, len(commands))
+// commandMessages never returns nil, so that an agent receives an empty list rather than null.
+func commandMessages(commands []messages.Command) []commandMessage {
+	list := make([]commandMessage, 0, len(commands))
 	for _, c := range commands {
-		o := order{Verb: operations[c.Operation], Shard: taskID(c.Job, c.Task), Try: c.Number}
+		message := commandMessage{Verb: operationNames[c.Operation], Shard: taskID(c.Job, c.Task), Try: c.Number}
 		if c.Operation == messages.Stop {
 			seconds := micros.Seconds(c.GracePeriod)
-			o.WindDownS = &seconds
+			message.WindDownS = &seconds
 		}
-		orders = append(orders, o)
+		list = append(list, message)
 	}
-	return orders
+	return list
 }
 
-// EncodeCommands writes commands that go straight to an agent.
+// EncodeCommands encodes a call that sends commands directly to an agent, outside a heartbeat reply.
 func EncodeCommands(call *messages.AgentCall) []byte {
 	return mustJSON(struct {
-		Warrant uint64  `json:"warrant"`
-		Tenure  uint64  `json:"tenure"`
-		Orders  []order `json:"orders"`
-	}{call.FencingToken, call.AgentEpoch, encodeOrders(call.Commands)})
+		Warrant uint64           `json:"warrant"`
+		Tenure  uint64           `json:"tenure"`
+		Orders  []commandMessage `json:"orders"`
+	}{call.FencingToken, call.AgentEpoch, commandMessages(call.Commands)})
 }
--- a/internal/protocol/cloud_reply.go
+++ b/internal/protocol/cloud_reply.go
@@ -8,21 +8,21 @@
 	"pipitlatch/internal/coordination/messages"
 )
 
-// DecodeCloudReply reads the cloud's answer. One that cannot be read counts as lost: what it was about
-// may have happened.
+// DecodeCloudReply decodes the cloud's reply. A reply that can't be decoded has an unknown outcome: the
+// operation may have been carried out.
 func DecodeCloudReply(operation messages.CloudOperation, status int, body []byte) (*messages.CloudReply, error) {
-	lost := &messages.CloudReply{Outcome: messages.CloudOutcomeUnknown}
+	unknown := &messages.CloudReply{Outcome: messages.CloudOutcomeUnknown}
 	switch status {
 	case http.StatusOK:
 	case http.StatusTooManyRequests:
 		return &messages.CloudReply{Outcome: messages.CloudRejected}, nil
 	case http.StatusServiceUnavailable:
-		if operation == messages.CloudRequestInstances && refusedWith(body, errorNoCapacity) {
+		if operation == messages.CloudRequestInstances && bodyHasError(body, errorNoCapacity) {
 			return &messages.CloudReply{Outcome: messages.CloudInsufficientCapacity}, nil
 		}
 		return &messages.CloudReply{Outcome: messages.CloudRejected}, nil
 	default:
-		return lost, fmt.Errorf("cloud: status %d", status)
+		return unknown, fmt.Errorf("cloud: status %d", status)
 	}
 	reply := &messages.CloudReply{Outcome: messages.CloudOK}
 	var err error
@@ -33,16 +33,16 @@
 		reply.Names, err = decodeInstanceNames(body)
 	case messages.CloudList:
 		reply.Instances, reply.More, err = decodeInstances(body)
-	case messages.CloudTerminate: // its answer says nothing more
+	case messages.CloudTerminate: // the reply contains nothing else of use
 	}
 	if err != nil {
-		return lost, fmt.Errorf("cloud: %w", err)
+		return unknown, fmt.Errorf("cloud: %w", err)
 	}
 	return reply, nil
 }
 
-// refusedWith reports whether the body of a refusal names this error.
-func refusedWith(body []byte, name string) bool {
+// bodyHasError reports whether the body of an error reply contains the error with this name.
+func bodyHasError(body []byte, name string) bool {
 	var refusal struct {
 		Error string `json:"error"`
 	}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -13,12 +13,12 @@
 	"pipitlatch/internal/workload"
 )
 
-const good = `{"ref":"wk-000412","jobclass":"train","owner":"vision","shape":"array","rank":"urgent","shards":16,
+const validSubmission = `{"ref":"wk-000412","jobclass":"train","owner":"vision","shape":"array","rank":"urgent","shards":16,
  "cores":8.0,"gpus":1.0,"ram_gb":64.0,"bundle":"img-07","size_gb":6.2,"hulls":["g8"],"berth":null,"one_zone":true,
  "apart":false,"loaners":true,"expect_s":240.0,"snapshot_every_s":30.0,"snapshot_s":4.0,"due_s":900.0,"later":[1]}`
 
 func TestParseSubmission(t *testing.T) {
-	id, j, err := ParseSubmission([]byte(good))
+	id, j, err := ParseSubmission([]byte(validSubmission))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,8 @@
 
 func TestMalformedSubmissions(t *testing.T) {
 	for _, c := range []struct{ from, to, id string }{
-		{good, "", ""}, {good, "null", ""}, {good, "[1]", ""}, {good, `"x"`, ""}, {good, "{", ""}, {good, good + "x", ""},
+		{validSubmission, "", ""}, {validSubmission, "null", ""}, {validSubmission, "[1]", ""},
+		{validSubmission, `"x"`, ""}, {validSubmission, "{", ""}, {validSubmission, validSubmission + "x", ""},
 		{`"wk-000412"`, `"job-1"`, ""}, {`"wk-000412"`, `12`, ""}, {`"ref":"wk-000412",`, ``, ""},
 		{`"shards":16`, `"shards":0`, "wk-000412"}, {`"shards":16`, `"shards":100001`, "wk-000412"},
 		{`"shards":16`, `"shards":1.5`, "wk-000412"}, {`"shards":16`, `"shards":"16"`, "wk-000412"},
@@ -49,7 +50,7 @@
 		{`"later":[1]`, `"waits_on":["wk-000001",7]`, "wk-000412"}, {`"later":[1]`, `"waits_on":[null]`, "wk-000412"},
 		{`"later":[1]`, `"waits_on":{}`, "wk-000412"},
 	} {
-		body := strings.Replace(good, c.from, c.to, 1)
+		body := strings.Replace(validSubmission, c.from, c.to, 1)
 		id, j, err := ParseSubmission([]byte(body))
 		if err == nil || j != nil || id != c.id {
 			t.Errorf("%s -> %s: id %q, job %v, err %v", c.from[:min(30, len(c.from))], c.to[:min(30, len(c.to))], id, j, err)
@@ -57,8 +58,8 @@
 	}
 }
 
-// TestDamagedInput feeds noise to every decoder: none may panic.
-func TestDamagedInput(t *testing.T) {
+// TestCorruptInput checks that no decoder panics on corrupt or random input.
+func TestCorruptInput(t *testing.T) {
 	raw := EncodePeerStatus(&messages.PeerStatus{From: storage.Process{Member: "a"},
 		TerminatedMachines: []string{"vm-1", "vm-2"}})
 	rapid.Check(t, func(t *rapid.T) {
@@ -78,7 +79,7 @@
 				if r, _ := DecodeCloudReply(messages.CloudList, status, body); r == nil {
 					t.Fatal("no reply")
 				}
-				if DecodeAgent(status, body) == nil {
+				if DecodeAgentReply(status, body) == nil {
 					t.Fatal("no reply")
 				}
 			}
@@ -86,26 +87,27 @@
 	})
 }
 
-func TestUnreadableAnswersCountAsLost(t *testing.T) {
-	stored, err := DecodeStoreReply(storage.Txn, 200, []byte("<html>"))
-	if stored.Outcome != storage.OutcomeUnknown || err == nil {
-		t.Errorf("store: %v %v", stored.Outcome, err)
+func TestMalformedRepliesHaveUnknownOutcome(t *testing.T) {
+	txn, err := DecodeStoreReply(storage.Txn, 200, []byte("<html>"))
+	if txn.Outcome != storage.OutcomeUnknown || err == nil {
+		t.Errorf("store: %v %v", txn.Outcome, err)
 	}
 	requested, err := DecodeCloudReply(messages.CloudRequestInstances, 200, []byte(`{"hosts":[""]}`))
 	if requested.Outcome != messages.CloudOutcomeUnknown || err == nil {
 		t.Errorf("cloud: %v %v", requested.Outcome, err)
 	}
-	heartbeat := `{"host":"vm-1","tenure":1,"shards":[{"shard":"wk-1/0","try":1,"phase":"dreaming"}]}`
-	if r := DecodeAgent(200, []byte(heartbeat)); r.Heartbeat != nil {
-		t.Error("agent: an unknown state was believed")
+	heartbeat := `{"host":"vm-1","tenure":1,"shards":[{"shard":"wk-1/0","try":1,"phase":"suspended"}]}`
+	if r := DecodeAgentReply(200, []byte(heartbeat)); r.Heartbeat != nil {
+		t.Error("agent: a heartbeat with an unknown task state was accepted")
 	}
 }
 
-// TestWaitsOn: absent and null mean none, twice the same counts once.
-func TestWaitsOn(t *testing.T) {
+// TestDependencies checks that an absent, null or empty list means no dependencies, and that duplicates are
+// removed.
+func TestDependencies(t *testing.T) {
 	for from, want := range map[string][]string{`"later":[1]`: nil, `"waits_on":null`: nil, `"waits_on":[]`: nil,
 		`"waits_on":["wk-000398","wk-000405","wk-000398"]`: {"wk-000398", "wk-000405"}} {
-		_, j, err := ParseSubmission([]byte(strings.Replace(good, `"later":[1]`, from, 1)))
+		_, j, err := ParseSubmission([]byte(strings.Replace(validSubmission, `"later":[1]`, from, 1)))
 		if err != nil || !reflect.DeepEqual(j.DependsOn, want) {
 			t.Errorf("%s: %v, %v", from, j, err)
 		}
--- a/internal/protocol/store_reply.go
+++ b/internal/protocol/store_reply.go
@@ -8,8 +8,8 @@
 	"pipitlatch/internal/storage"
 )
 
-// stateBody is what the key-value store answers, whatever the request.
-type stateBody struct {
+// storeReply has the fields of the key-value store's replies to all kinds of request.
+type storeReply struct {
 	Key    string          `json:"key"`
 	V      json.RawMessage `json:"v"`
 	Stamp  uint64          `json:"stamp"`
@@ -29,14 +29,15 @@
 	} `json:"log"`
 }
 
-// DecodeStoreReply reads the key-value store's answer. One that cannot be read counts as lost.
+// DecodeStoreReply decodes the key-value store's reply. A reply that can't be decoded has an unknown
+// outcome.
 func DecodeStoreReply(kind storage.RequestKind, status int, body []byte) (*storage.Reply, error) {
 	outcome, err := storeOutcome(kind, status, body)
 	reply := &storage.Reply{Outcome: outcome}
 	if outcome != storage.OK && outcome != storage.NotFound && outcome != storage.Conflict {
-		return reply, err // the rest of the answer says nothing
+		return reply, err // the body contains no data for other outcomes
 	}
-	var b stateBody
+	var b storeReply
 	if len(body) > 0 {
 		if err := json.Unmarshal(body, &b); err != nil {
 			reply.Outcome = storage.OutcomeUnknown
@@ -57,12 +58,12 @@
 			reply.Outcome = storage.OutcomeUnknown
 			return reply, malformed("ledger", "state: changes without a revision")
 		}
-	case storage.Txn, storage.LeaseGrant, storage.LeaseKeepAlive: // they bring no items
+	case storage.Txn, storage.LeaseGrant, storage.LeaseKeepAlive: // their replies contain no items
 	}
 	return reply, nil
 }
 
-// storeOutcome is what a status means.
+// storeOutcome maps an HTTP status to an outcome.
 func storeOutcome(kind storage.RequestKind, status int, body []byte) (storage.Outcome, error) {
 	switch status {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
@@ -77,7 +78,7 @@
 		return storage.Unavailable, nil
 	case http.StatusBadRequest:
 		usesLease := kind == storage.Txn || kind == storage.LeaseKeepAlive
-		if usesLease && refusedWith(body, errorNoSuchLease) {
+		if usesLease && bodyHasError(body, errorNoSuchLease) {
 			return storage.LeaseNotFound, nil
 		}
 		return storage.Invalid, fmt.Errorf("state: rejected as malformed or too large: %.200s", body)
@@ -85,8 +86,8 @@
 	return storage.OutcomeUnknown, fmt.Errorf("state: status %d", status)
 }
 
-// rows are the items of a list.
-func (b *stateBody) rows() []storage.Item {
+// rows returns the items in the reply to a List.
+func (b *storeReply) rows() []storage.Item {
 	var items []storage.Item
 	for _, r := range b.Rows {
 		items = append(items, storage.Item{Key: r.Key, Value: r.V, ModRevision: r.Stamp})
@@ -94,8 +95,8 @@
 	return items
 }
 
-// changes are the items of a watch.
-func (b *stateBody) changes() []storage.Item {
+// changes returns the items in the reply to a Watch.
+func (b *storeReply) changes() []storage.Item {
 	var items []storage.Item
 	for _, e := range b.Log {
 		item := storage.Item{Key: e.Set, Value: e.V, ModRevision: e.Stamp}
--- a/internal/protocol/user_submission.go
+++ b/internal/protocol/user_submission.go
@@ -12,11 +12,11 @@
 
 var jobIDPattern = regexp.MustCompile(`^wk-[0-9]{1,20}$`)
 
-// ValidJobID reports whether a job id has the one form that ids have.
+// ValidJobID reports whether a job id has the required form.
 func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// submission is the body of a submission. encoding/json names this type in the texts of its errors,
-// which users get: its name is part of the wire.
+// submission is the body of a submission. Errors of encoding/json that are returned to users contain the
+// name of this type, so the name is part of the wire format.
 type submission struct {
 	Ref            *string  `json:"ref"`
 	JobClass       *string  `json:"jobclass"`
@@ -41,9 +41,9 @@
 	WaitsOn        []string `json:"waits_on"`
 }
 
-// ParseSubmission reads a submission. The id is returned even with an error, if it could be read: a
-// job that is known already gets 200 whatever its repetition looks like. The error joins one
-// MalformedError for each fault.
+// ParseSubmission decodes and validates a submission. If the id could be decoded, it is returned even
+// with an error, because a resubmission of a known job gets status 200 whatever its other fields are.
+// The error joins one MalformedError for each invalid field.
 func ParseSubmission(body []byte) (id string, job *workload.Job, err error) {
 	id, err = parseJobID(body)
 	if err != nil {
@@ -57,27 +57,27 @@
 	return id, job, err
 }
 
-// parseJobID reads nothing of a submission but its id.
+// parseJobID decodes only the id of a submission.
 func parseJobID(body []byte) (string, error) {
-	// The beginning is enough: whatever has more white space than that is none of ours.
-	beginning := strings.TrimLeft(string(body[:min(len(body), 64)]), " \t\r\n")
-	if !strings.HasPrefix(beginning, "{") {
+	// Only the first 64 bytes are searched: a body with more leading white space is rejected.
+	prefix := strings.TrimLeft(string(body[:min(len(body), 64)]), " \t\r\n")
+	if !strings.HasPrefix(prefix, "{") {
 		return "", malformed("", "not a JSON object")
 	}
-	var probe struct {
+	var message struct {
 		Ref any `json:"ref"`
 	}
-	if err := json.Unmarshal(body, &probe); err != nil {
+	if err := json.Unmarshal(body, &message); err != nil {
 		return "", malformedJSON("not JSON", err)
 	}
-	id, ok := probe.Ref.(string)
+	id, ok := message.Ref.(string)
 	if !ok || !ValidJobID(id) {
 		return "", malformedField("ref", "missing or not of the form wk-000000")
 	}
 	return id, nil
 }
 
-// job checks the fields in the order in which their faults are listed.
+// job checks the fields in the order in which their errors are listed.
 func (s *submission) job() (*workload.Job, error) {
 	c := &fieldChecker{}
 	job := &workload.Job{
@@ -98,8 +98,8 @@
 		CheckpointInterval: micros.FromSeconds(c.amount("snapshot_every_s", s.SnapshotEveryS, maxSeconds)),
 		CheckpointDuration: micros.FromSeconds(c.amount("snapshot_s", s.SnapshotS, maxSeconds)),
 	}
-	job.Kind = word(c, "shape", s.Shape, jobKinds)
-	job.Priority = word(c, "rank", s.Rank, priorities)
+	job.Kind = enumValue(c, "shape", s.Shape, jobKinds)
+	job.Priority = enumValue(c, "rank", s.Rank, priorities)
 	job.Tasks = c.tasks("shards", s.Shards)
 	job.InstanceTypes = c.instanceTypes("hulls", s.Hulls)
 	if s.Berth != nil {
