--- a/internal/scenario/rules_test.go
+++ b/internal/scenario/rules_test.go
@@ -9,7 +9,7 @@
 	"pipitlatch/internal/protocol"
 )
 
-// receiveStatus holds what a user is told against what it was told before and the truth.
+// receiveStatus checks a job status response against earlier responses and the simulated state.
 func (u *users) receiveStatus(j *userJob, body []byte) {
 	var s protocol.JobState
 	if json.Unmarshal(body, &s) != nil || s.Ref != j.ref {
@@ -58,12 +58,13 @@
 	}
 }
 
-// cancelTimeout is within how long a cancelled job's tasks have to be off their machines.
+// cancelTimeout is the time within which the tasks of a cancelled job must have left their machines.
 func (w *World) cancelTimeout() micros.Time {
 	return micros.FromSeconds(w.config.Settings.Workers.CancelS)
 }
 
-// checkStart checks the rules for a start.
+// checkStart checks the invariants that apply when a task starts: dependencies, cancellation,
+// placement and quota.
 func (u *users) checkStart(m *machine, t *agentTask) {
 	u.startCount++
 	j := t.job
@@ -86,14 +87,15 @@
 	u.checkQuota(j.spec.team)
 }
 
-// allows tells whether a machine is of the kind and in the zone that the job asks for.
+// allows reports whether a machine satisfies the job's constraints on spot capacity, zone and
+// instance type.
 func (s *jobSpec) allows(m *machine) bool {
 	return (!m.spot || s.spotAllowed) && (s.zone == "" || s.zone == m.zone) &&
 		(s.instanceTypes == nil || slices.Contains(s.instanceTypes, m.instanceType.name))
 }
 
-// checkPlacement checks a start against the job's other tasks: that no task runs twice, and where
-// they are.
+// checkPlacement checks a starting task against the other tasks of its job: no task may run twice,
+// and the zone constraints (one_zone, apart) must hold.
 func (u *users) checkPlacement(m *machine, t *agentTask) {
 	j, inZone := t.job, 0
 	for _, o := range u.w.cloud.sorted() {
@@ -119,7 +121,7 @@
 	}
 }
 
-// checkQuota checks that a team uses no more cores than its limit.
+// checkQuota checks that a team does not exceed its core limit.
 func (u *users) checkQuota(team string) {
 	use := 0.0
 	for _, m := range u.w.cloud.sorted() {
@@ -139,14 +141,15 @@
 	}
 }
 
-// answerTimeout is how long after all faults a job may go without an answer.
+// answerTimeout is how long status requests for an accepted job may stay unanswered after the last
+// fault has ended.
 const answerTimeout = 75 * micros.Second
 
-// checkInterval is how often rules are checked that hold all the time.
+// checkInterval is the period of the checks for invariants that must hold at any time.
 const checkInterval = 100 * micros.Millisecond
 
-// checkContinuously checks, ten times a second, that cancelled tasks are gone in time, and
-// counts replicas; once a second, what takes longer to check.
+// checkContinuously checks cancelled tasks and unanswered requests and accumulates replica time,
+// every checkInterval. The more expensive checks run once a second.
 func (u *users) checkContinuously() {
 	if u.w.cloud != nil {
 		for _, m := range u.w.cloud.sorted() {
@@ -163,7 +166,8 @@
 	u.w.after(checkInterval, u.checkContinuously)
 }
 
-// checkTasks checks that no task of a job that was cancelled is on a machine for too long.
+// checkTasks checks that no task of a cancelled job stays on a machine beyond cancelTimeout, and
+// accumulates the replica time of its job.
 func (u *users) checkTasks(m *machine) {
 	for _, key := range m.sortedTaskKeys() {
 		t := m.tasks[key]
@@ -180,7 +184,7 @@
 	}
 }
 
-// checkAnswers checks that questions about jobs that were accepted are answered in the end.
+// checkAnswers checks that status requests for accepted jobs are answered within answerTimeout.
 func (u *users) checkAnswers() {
 	for _, ref := range u.order {
 		j := u.jobs[ref]
@@ -195,7 +199,7 @@
 	}
 }
 
-// checkUnknownLookup checks the answer to a question for a job that nobody submitted.
+// checkUnknownLookup checks the response to a lookup of a job that was never submitted.
 func (u *users) checkUnknownLookup(ref string, status int) {
 	u.unknownLookups++
 	if status == 200 && u.jobs[ref] == nil {
@@ -203,8 +207,8 @@
 	}
 }
 
-// checkBlocks checks that no machine is in two blocks: what one record says of it would
-// hide what the other says.
+// checkBlocks checks that no machine is listed in two block records, since the entry in one would
+// hide the entry in the other.
 func (u *users) checkBlocks() {
 	in := map[string]string{}
 	for key, v := range u.w.store.keys {
