--- a/internal/scenario/starvation_rule_test.go
+++ b/internal/scenario/starvation_rule_test.go
@@ -2,11 +2,11 @@
 
 import "pipitlatch/internal/micros"
 
-// starvationTimeout is how long after all faults a job may wait while there is room.
+// starvationTimeout is how long a job may wait despite free capacity after the last fault has ended.
 const starvationTimeout = 90 * micros.Second
 
-// checkStarvation checks, once a second, that no job is left waiting while a machine that
-// fits has room and its team is under its limit.
+// checkStarvation checks that no job waits beyond starvationTimeout while a suitable machine has
+// free capacity and the job's team is below its limit. It runs once a second.
 func (u *users) checkStarvation() {
 	if u.w.cloud == nil {
 		return
@@ -28,7 +28,7 @@
 	}
 }
 
-// coresByTeam are the cores in use.
+// coresByTeam returns the cores in use by each team.
 func (u *users) coresByTeam() map[string]float64 {
 	use := map[string]float64{}
 	for _, m := range u.w.cloud.sorted() {
@@ -44,7 +44,7 @@
 	return use
 }
 
-// isWaiting tells whether a job could run and has a task that does not.
+// isWaiting reports whether a job is runnable and has a pending task.
 func (u *users) isWaiting(j *userJob) bool {
 	if j.told.accepted == 0 || j.told.done || j.told.cancelled != 0 || j.cancelRequested || j.execution.alwaysFails {
 		return false
@@ -52,7 +52,7 @@
 	return u.hasPendingTask(j) && !u.isBlocked(j)
 }
 
-// hasPendingTask tells whether a job has a task that is neither done nor on a machine.
+// hasPendingTask reports whether a job has a task that is neither done nor on a machine.
 func (u *users) hasPendingTask(j *userJob) bool {
 	on := len(j.observed.done)
 	for _, m := range u.w.cloud.machines {
@@ -68,8 +68,8 @@
 	return on < j.spec.taskCount
 }
 
-// isBlocked tells whether a job's user knows that it has to wait for others, or is cancelled
-// with one.
+// isBlocked reports whether the user has not been told that all dependencies of the job are done,
+// so that the job may still have to wait for one or be cancelled with it.
 func (u *users) isBlocked(j *userJob) bool {
 	for _, ref := range j.spec.dependencies {
 		if n := u.jobs[ref]; n == nil || !n.told.done {
@@ -79,7 +79,8 @@
 	return false
 }
 
-// hasCapacity tells whether some machine could take a task of the job now.
+// hasCapacity reports whether some machine could run a task of the job now, given the cores that
+// the job's team uses.
 func (u *users) hasCapacity(j *userJob, use float64) bool {
 	for _, t := range u.w.config.Settings.Teams {
 		if t.Name == j.spec.team && t.CPUsMax > 0 && use+j.spec.cores > t.CPUsMax {
@@ -102,7 +103,7 @@
 	return false
 }
 
-// tasksByZone are the tasks of a job on machines.
+// tasksByZone returns the number of tasks of a job on machines in each zone.
 func (u *users) tasksByZone(j *userJob) map[string]int {
 	inZone := map[string]int{}
 	for _, m := range u.w.cloud.machines {
@@ -115,13 +116,13 @@
 	return inZone
 }
 
-// healthy tells whether a machine runs and nothing is known against it.
+// healthy reports whether a machine is running and has no fault and no pending preemption.
 func (m *machine) healthy() bool {
 	return m.lifecycle.booted && !m.lifecycle.gone && !m.faults.hung && !m.faults.faulty && !m.agent.down &&
 		m.faults.preemptedAt == 0
 }
 
-// fits tells whether a machine has room for a task.
+// fits reports whether a machine has enough free cores and memory for a task.
 func (m *machine) fits(s *jobSpec) bool {
 	cores, ram := m.instanceType.cores-s.cores, m.instanceType.ramGB-s.ram
 	for _, t := range m.tasks {
