--- a/internal/scenario/checks_test.go
+++ b/internal/scenario/checks_test.go
@@ -11,7 +11,7 @@
 	"pipitlatch/internal/protocol"
 )
 
-// checkWorld is a world with two machines and a job of three tasks, and no controller.
+// checkWorld is a simulated deployment with two machines, a job of three tasks and no controllers.
 type checkWorld struct {
 	*World
 	first, second *machine
@@ -37,7 +37,7 @@
 	return j
 }
 
-// provocations bring about what each check is there to find, by rule.
+// provocations cause a violation of each rule, by the name of the rule.
 var provocations = map[string]func(w checkWorld){
 	"ran_twice": func(w checkWorld) {
 		w.task(w.first, 0)
@@ -56,7 +56,7 @@
 		w.job.cancelRequested = true
 		w.answer("cancelled")
 		w.task(w.first, 0)
-		w.first.agent.acknowledgedAt = w.now + 60*micros.Second // somebody goes on answering it
+		w.first.agent.acknowledgedAt = w.now + 60*micros.Second // as if a controller still acknowledged its heartbeats
 		w.run(40 * micros.Second)
 	},
 	"forgotten": func(w checkWorld) {
@@ -108,8 +108,8 @@
 	},
 }
 
-// TestChecksCanFail brings about what each check of the stand-ins is there to find, with
-// no controller running: a check that cannot fail would show nothing.
+// TestChecksCanFail causes a violation of each rule, without controllers, and verifies that the
+// check reports it: a check that cannot fail proves nothing.
 func TestChecksCanFail(t *testing.T) {
 	for rule, provoke := range provocations {
 		t.Run(rule, func(t *testing.T) {
@@ -129,14 +129,14 @@
 					return
 				}
 			}
-			t.Errorf("not noticed; broken: %v", w.broken)
+			t.Errorf("violation not reported; reported: %v", w.broken)
 		})
 	}
 }
 
-// TestMessagesOfEarlierVersions reads what earlier versions sent to their peers: the
-// fields that came later are absent from the messages of the one in production, and there,
-// as they were, in those of the first that serves pipelines.
+// TestMessagesOfEarlierVersions decodes peer status messages recorded from earlier versions. The
+// cancellation fields are absent from the messages of the production version, and present from the
+// first version that serves pipelines on.
 func TestMessagesOfEarlierVersions(t *testing.T) {
 	for version, want := range map[string]struct{ cancelled, heard bool }{
 		"production":     {},
@@ -161,7 +161,7 @@
 			heard = heard || len(s.CancellationAcks) > 0
 		}
 		if cancelled != want.cancelled || heard != want.heard {
-			t.Errorf("%s: tells of cancellations: %v, of those heard: %v", version, cancelled, heard)
+			t.Errorf("%s: cancellations present: %v, acknowledgements present: %v", version, cancelled, heard)
 		}
 	}
 }
