--- a/internal/scenario/expectations_test.go
+++ b/internal/scenario/expectations_test.go
@@ -8,13 +8,13 @@
 	"pipitlatch/internal/micros"
 )
 
-// An expectation says why it is not met, or nothing.
+// An expectation returns the reason why it is not met, or an empty string if it is met.
 type (
 	jobExpectation        func(*userJob, *line) string
 	deploymentExpectation func(*World, *line) string
 )
 
-// jobExpectations are what may be expected of a job, by the word after "expect".
+// jobExpectations holds the expectations about a single job, by the word after "expect".
 var jobExpectations = map[string]jobExpectation{
 	"done":            expectDone,
 	"cancelled":       expectCancelled,
@@ -30,7 +30,7 @@
 	"phase":           expectPhase,
 }
 
-// deploymentExpectations are what may be expected of everything else.
+// deploymentExpectations holds the expectations about the deployment, by the word after "expect".
 var deploymentExpectations = map[string]deploymentExpectation{
 	"starts-into-cuts": expectStartsIntoCuts,
 	"machines":         expectMachines,
@@ -48,7 +48,8 @@
 	"behind":           expectBehind,
 }
 
-// amounts are expectations of how much or how long, which is a matter of luck.
+// amounts names the expectations about counts and durations. These vary with the seed, so with
+// several seeds the median is compared with the bound.
 var amounts = map[string]bool{
 	"done-within":      true,
 	"extra-starts":     true,
@@ -60,14 +61,14 @@
 	"behind":           true,
 }
 
-// allJobs in the place of a job's id stands for every job.
+// allJobs stands for every job where a job reference is expected.
 const allJobs = "all"
 
 func knownExpectation(l *line) bool {
 	return jobExpectations[l.word(1)] != nil || deploymentExpectations[l.word(1)] != nil
 }
 
-// expect says why an expectation is not met, or nothing.
+// expect evaluates an expectation. It returns the reason why it is not met, or an empty string.
 func (w *World) expect(l *line) string {
 	if check := deploymentExpectations[l.word(1)]; check != nil {
 		return check(w, l)
@@ -82,7 +83,7 @@
 	return jobExpectations[l.word(1)](j, l)
 }
 
-// bounds are those of an amount, from least= and most=.
+// bounds is an inclusive range, given by least= and most=.
 type bounds struct{ least, most float64 }
 
 func (l *line) bounds(least, most float64) bounds {
@@ -91,33 +92,34 @@
 
 func (b bounds) contain(amount float64) bool { return amount >= b.least && amount <= b.most }
 
-// within is how long something may take.
+// within returns the time limit given by within=, with a default in seconds.
 func (l *line) within(otherwise float64) micros.Time { return l.seconds("within", otherwise) }
 
 func expectAllDone(w *World) string {
 	if open := w.users.unfinished(); len(open) > 0 {
-		return fmt.Sprintf("%d are not: %v", len(open), open[:min(5, len(open))])
+		return fmt.Sprintf("%d jobs are not done: %v", len(open), open[:min(5, len(open))])
 	}
 	return ""
 }
 
 func expectDone(j *userJob, _ *line) string {
 	if !j.told.done {
-		return fmt.Sprintf("%d of %d tasks done, told %q", len(j.observed.done), j.spec.taskCount, j.told.lastPhase)
+		done, tasks := len(j.observed.done), j.spec.taskCount
+		return fmt.Sprintf("%d of %d tasks done, last reported phase: %q", done, tasks, j.told.lastPhase)
 	}
 	return ""
 }
 
 func expectCancelled(j *userJob, _ *line) string {
 	if j.told.cancelled == 0 {
-		return "not cancelled, told " + j.told.lastPhase
+		return "not cancelled, last reported phase: " + j.told.lastPhase
 	}
 	return ""
 }
 
 func expectRefused(j *userJob, l *line) string {
 	if strconv.Itoa(j.told.refused) != l.word(3) {
-		return fmt.Sprintf("answered %d", j.told.refused)
+		return fmt.Sprintf("refusal status is %d", j.told.refused)
 	}
 	return ""
 }
@@ -136,10 +138,12 @@
 	return ""
 }
 
-// expectStopped: no task on a machine any more, after its user was told.
+// expectStopped checks that the tasks of a cancelled job left their machines in time after its user
+// was told of the cancellation.
 func expectStopped(j *userJob, l *line) string {
 	if j.told.cancelled == 0 || j.observed.onMachineAfterCancel > l.within(5) {
-		return fmt.Sprintf("its last task was on a machine %v s after", micros.Seconds(j.observed.onMachineAfterCancel))
+		after := micros.Seconds(j.observed.onMachineAfterCancel)
+		return fmt.Sprintf("not cancelled, or a task was still on a machine %v s after the cancellation", after)
 	}
 	return ""
 }
@@ -161,7 +165,7 @@
 	return ""
 }
 
-// expectReplicaSeconds: how long replicas ran, all together.
+// expectReplicaSeconds checks the total run time of the job's replicas.
 func expectReplicaSeconds(j *userJob, l *line) string {
 	if got := micros.Seconds(j.observed.replicaTime); !l.bounds(0, math.Inf(1)).contain(got) {
 		return fmt.Sprintf("%.1f s", got)
@@ -178,7 +182,7 @@
 
 func expectPhase(j *userJob, l *line) string {
 	if j.told.lastPhase != l.word(3) {
-		return "told " + j.told.lastPhase
+		return "last reported phase: " + j.told.lastPhase
 	}
 	return ""
 }
