--- a/internal/scenario/deployment_expectations_test.go
+++ b/internal/scenario/deployment_expectations_test.go
@@ -8,7 +8,7 @@
 	"pipitlatch/internal/micros"
 )
 
-// expectStartsIntoCuts: starts sent to machines that nothing reaches.
+// expectStartsIntoCuts checks the number of start commands sent to unreachable machines.
 func expectStartsIntoCuts(w *World, l *line) string {
 	if !l.bounds(0, 0).contain(float64(w.observed.startsIntoCuts)) {
 		return fmt.Sprintf("%d starts", w.observed.startsIntoCuts)
@@ -16,7 +16,7 @@
 	return ""
 }
 
-// expectMachines: those that there are at the end.
+// expectMachines checks the number of machines at the end.
 func expectMachines(w *World, l *line) string {
 	n := 0
 	for _, m := range w.cloud.sorted() {
@@ -30,7 +30,7 @@
 	return ""
 }
 
-// expectReconciled: all machines, by every new partition leader.
+// expectReconciled checks that every new partition leader reconciled all its machines in time.
 func expectReconciled(w *World, l *line) string {
 	if w.observed.longestReconciliation == 0 || w.observed.longestReconciliation > l.within(5) {
 		return fmt.Sprintf("after %v s", micros.Seconds(w.observed.longestReconciliation))
@@ -38,7 +38,7 @@
 	return ""
 }
 
-// expectMachinesCreated: those that there ever were.
+// expectMachinesCreated checks the total number of machines created during the run.
 func expectMachinesCreated(w *World, l *line) string {
 	if n := len(w.cloud.machines); !l.bounds(0, math.Inf(1)).contain(float64(n)) {
 		return fmt.Sprintf("%v machines", n)
@@ -46,15 +46,15 @@
 	return ""
 }
 
-// expectTerminated: a machine.
+// expectTerminated checks that a machine was terminated.
 func expectTerminated(w *World, l *line) string {
 	if m := w.cloud.machines[l.word(2)]; m == nil || !m.lifecycle.terminated {
-		return "it is there"
+		return "unknown machine, or not terminated"
 	}
 	return ""
 }
 
-// expectFailovers: how often a partition got a leader.
+// expectFailovers checks how often a partition got a leader.
 func expectFailovers(w *World, l *line) string {
 	if !l.bounds(0, math.Inf(1)).contain(float64(w.observed.failovers)) {
 		return strconv.Itoa(w.observed.failovers)
@@ -62,7 +62,8 @@
 	return ""
 }
 
-// expectExtraStarts: starts beyond one a task, of all jobs that were not cancelled.
+// expectExtraStarts checks the number of starts in excess of the completed tasks, over all jobs that
+// were not cancelled.
 func expectExtraStarts(w *World, l *line) string {
 	n := 0
 	for _, j := range w.users.jobs {
@@ -76,17 +77,17 @@
 	return ""
 }
 
-// expectCachedJobs: jobs in the memory of any controller.
+// expectCachedJobs checks the number of jobs that each running controller holds in memory.
 func expectCachedJobs(w *World, l *line) string {
 	for _, n := range w.nodes {
 		if n.up() && !l.bounds(0, 0).contain(float64(n.core.CachedJobs())) {
-			return fmt.Sprintf("%s keeps %d", n.name, n.core.CachedJobs())
+			return fmt.Sprintf("%s holds %d jobs", n.name, n.core.CachedJobs())
 		}
 	}
 	return ""
 }
 
-// expectTooLarge: requests to the store that were refused for their size.
+// expectTooLarge checks the number of store requests rejected because of their size.
 func expectTooLarge(w *World, l *line) string {
 	if !l.bounds(0, 0).contain(float64(w.store.tooLarge)) {
 		return fmt.Sprintf("%d requests", w.store.tooLarge)
@@ -94,7 +95,7 @@
 	return ""
 }
 
-// expectControllers: to how many different ones agents send their heartbeats.
+// expectControllers checks the number of controllers that receive heartbeats from agents.
 func expectControllers(w *World, l *line) string {
 	got := map[string]bool{}
 	for _, m := range w.cloud.sorted() {
@@ -108,7 +109,7 @@
 	return ""
 }
 
-// expectAcceptedShare: the share of a class's jobs that were accepted.
+// expectAcceptedShare checks the fraction of the jobs of a class that were accepted.
 func expectAcceptedShare(w *World, l *line) string {
 	jobs, accepted := w.users.jobsOfClass(l.word(2)), 0
 	for _, j := range jobs {
@@ -125,7 +126,8 @@
 	return ""
 }
 
-// expectBegunInTime: every job of a class that was accepted long enough ago began in time.
+// expectBegunInTime checks that each job of a class started in time after it was accepted. Cancelled
+// jobs and those accepted too recently are ignored.
 func expectBegunInTime(w *World, l *line) string {
 	within := l.within(60)
 	for _, j := range w.users.jobsOfClass(l.word(2)) {
@@ -140,7 +142,7 @@
 	return ""
 }
 
-// expectBehind: how often a class was told to be behind its fair share by more than the bound.
+// expectBehind checks how often a class was reported to lag its fair share by more than the bound.
 func expectBehind(w *World, l *line) string {
 	if n := w.observed.verdicts.behind[l.word(2)]; !l.bounds(0, math.Inf(1)).contain(float64(n)) {
 		return fmt.Sprintf("%v times", n)
@@ -148,7 +150,7 @@
 	return ""
 }
 
-// expectEpochs: under which submissions were judged.
+// expectEpochs checks the number of admission epochs in which verdicts on submissions were observed.
 func expectEpochs(w *World, l *line) string {
 	if n := len(w.observed.verdicts.byEpoch); !l.bounds(0, math.Inf(1)).contain(float64(n)) {
 		return fmt.Sprintf("%v", n)
