--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of drawn tests, so that every run has the same verdict;
-// -rapid.seed on the command line draws others.
+// TestMain fixes the seed of the property-based tests, so that their result is reproducible. Another
+// seed can be set with -rapid.seed.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20"); err != nil {
 		panic(err)
@@ -21,8 +21,8 @@
 	os.Exit(m.Run())
 }
 
-// TestScenarios plays every file of testdata: no rule may be broken, and each
-// expectation has to be met.
+// TestScenarios runs every scenario in testdata. No rule may be broken, and every expectation must
+// be met.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -61,7 +61,7 @@
 	}
 }
 
-// faults a drawn scenario may have; %d is a length or a delay in seconds.
+// faults are the faults that a generated scenario may contain; %d is a duration or a delay in seconds.
 var faults = []string{
 	"store down for=%d",
 	"store refuse partition-leader for=%d",
@@ -137,8 +137,8 @@
 	"cloud full for=%d",
 }
 
-// TestDrawnFaults draws two or three faults at once; whatever happens, no rule
-// may be broken and, in the end, every accepted job is done.
+// TestDrawnFaults runs randomly generated deployments with one to three faults. No rule may be
+// broken, and every accepted job must be done in the end.
 func TestDrawnFaults(t *testing.T) {
 	t.Log("seed", flag.Lookup("rapid.seed").Value)
 	rapid.Check(t, func(t *rapid.T) {
@@ -153,8 +153,8 @@
 	})
 }
 
-// drawDeployment draws a deployment with its jobs: with zones that have nothing but machines in
-// them, or with controllers in the zones and a distance.
+// drawDeployment generates a deployment and its jobs. The zones either contain only machines, or also
+// controllers, with a network latency between zones.
 func drawDeployment(t *rapid.T) string {
 	var b strings.Builder
 	zones, more := "a,b", ""
@@ -181,7 +181,7 @@
 	return b.String()
 }
 
-// drawFaults draws one to three faults.
+// drawFaults generates one to three faults.
 func drawFaults(t *rapid.T) string {
 	var b strings.Builder
 	for range rapid.IntRange(1, 3).Draw(t, "faults") {
