--- a/internal/scenario/play_test.go
+++ b/internal/scenario/play_test.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// Result is what a scenario came to.
+// Result is the result of a scenario.
 type Result struct {
-	Broken []string // rules
-	Failed []string // expectations
+	Broken []string // violations of rules
+	Failed []string // expectations that were not met
 	Starts int
 }
 
-// Play plays a scenario. The same text gives the same result every time. With
-// `seeds=5` on the cluster line it is played with five seeds in a row: the rules and
-// expectations hold with each, but for amounts, which are a matter of luck from draw to
-// draw: there the median is held against the bound.
+// Play runs a scenario. Runs are deterministic: the same text always gives the same result. With
+// `seeds=5` on the cluster line, the scenario is run with five consecutive seeds. The rules and
+// expectations must hold with each seed, except for amounts, which vary between seeds: for these,
+// the median is compared with the bound.
 func Play(text string, logf func(string, ...any)) (*Result, error) {
 	return playNamed("", text, logf)
 }
 
-// playNamed plays a scenario whose digests, if they are asked for, have this name.
+// playNamed runs a scenario. Its digests, if enabled, are recorded under the given name.
 func playNamed(name, text string, logf func(string, ...any)) (*Result, error) {
 	s, err := parseScript(text)
 	if err != nil {
@@ -42,7 +42,7 @@
 		}
 	}
 	for _, l := range s.expectations {
-		// More than half of the seeds within a bound is the median within it.
+		// The median is within the bound unless more than half of the seeds miss it.
 		if n := len(missed[l]); n > 0 && (!amounts[l.word(1)] || 2*n > seeds) {
 			what, why := strings.Join(l.words[1:], " "), strings.Join(missed[l], "; ")
 			r.Failed = append(r.Failed, fmt.Sprintf("line %d: expected %s: %s", l.lineNumber, what, why))
@@ -51,7 +51,7 @@
 	return r, nil
 }
 
-// play plays the scenario with one seed.
+// play runs the scenario with one seed.
 func (s *script) play(name string, seed uint64, logf func(string, ...any)) (*World, error) {
 	w, err := newWorld(s.cluster, seed, logf)
 	if err != nil {
