--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -15,23 +15,23 @@
 	cloud      *cloud
 	users      *users
 	network    network
-	faultsOver micros.Time // when the last fault so far is over
+	faultsOver micros.Time // end of the last fault injected so far
 	observed   observations
-	digest     *digest // of what leaves the nodes; nil: none
+	digest     *digest // records the output of the nodes; nil if disabled
 	loopback   loopbackHooks
 }
 
-// observations are what was seen of controllers from outside, in their logs and calls.
+// observations holds what was observed of the controllers from their logs and requests.
 type observations struct {
-	startsIntoCuts        int         // starts sent to machines that nothing reaches
+	startsIntoCuts        int         // start commands sent to unreachable machines
 	longestReconciliation micros.Time // until a new partition leader had reconciled all its machines
 	failovers             int         // how often a partition got a leader
 	verdicts              verdicts
-	replayedHeartbeats    [][]byte // come again when a partition gets a new leader
+	replayedHeartbeats    [][]byte // sent again when a partition gets a new leader
 }
 
-// loopbackHooks are set with controllers that are real processes: how an agent's heartbeat is
-// sent, and the address it listens at.
+// loopbackHooks are set when the controllers are real processes. They send an agent's heartbeat and
+// return the address that the agent listens on.
 type loopbackHooks struct {
 	sendHeartbeat func(m *machine, heartbeat []byte, end replyFunc)
 	listenAddress func(*machine) string
@@ -46,7 +46,8 @@
 	return nil
 }
 
-// partitionLeader is the node that some machines obey now, for scenarios that aim at it.
+// partitionLeader returns the running node to which most machines send their heartbeats, as the
+// target of faults.
 func (w *World) partitionLeader() *node {
 	best, most := w.nodes[0], -1
 	for _, n := range w.nodes {
