--- a/internal/scenario/simulation_test.go
+++ b/internal/scenario/simulation_test.go
@@ -8,14 +8,15 @@
 	"pipitlatch/internal/micros"
 )
 
-// event is something that happens at a time; of two at one time, the first that was scheduled.
+// event is a callback scheduled at a time. Events at the same time run in the order in which they
+// were scheduled.
 type event struct {
 	at       micros.Time
 	sequence int
 	run      func()
 }
 
-// events are a heap, the earliest on top.
+// events is a min-heap ordered by time.
 type events []*event
 
 // Len is part of heap.Interface, like the methods that follow.
@@ -38,14 +39,14 @@
 	return x
 }
 
-// simulation is what the stand-ins have in common: time, chance and the rules that were broken.
-// It knows none of them.
+// simulation is the discrete-event simulator shared by the fakes: the clock, the event queue, the
+// random source and the violations found. It does not depend on any of the fakes.
 type simulation struct {
 	now           micros.Time
 	queue         events
 	eventSequence int
 	random        *rand.Rand
-	broken        []string // rules
+	broken        []string // violations of rules
 	logf          func(string, ...any)
 }
 
@@ -53,13 +54,13 @@
 	return &simulation{random: rand.New(rand.NewPCG(seed, 7)), logf: logf}
 }
 
-// after schedules something.
+// after schedules a callback to run after a delay.
 func (s *simulation) after(d micros.Time, run func()) {
 	s.eventSequence++
 	heap.Push(&s.queue, &event{s.now + d, s.eventSequence, run})
 }
 
-// run plays until a time.
+// run processes events until a time.
 func (s *simulation) run(until micros.Time) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		e := heap.Pop(&s.queue).(*event)
@@ -69,7 +70,7 @@
 	s.now = until
 }
 
-// breakRule notes that a rule was broken; the first twenty are kept.
+// breakRule records a violation of a rule. Only the first twenty are kept.
 func (s *simulation) breakRule(rule, format string, args ...any) {
 	text := fmt.Sprintf("%.3f %s: %s", micros.Seconds(s.now), rule, fmt.Sprintf(format, args...))
 	if len(s.broken) < 20 {
