--- a/internal/admission/demand.go
+++ b/internal/admission/demand.go
@@ -62,7 +62,9 @@
 	generations [generationCount]map[Flow]*flowCount // newest first
 	rotatedAt   micros.Time
 	// pendingRetries holds the refused jobs by requested retry time, rounded down to a multiple of
-	// generationLength. They count as demand until then, although their clients send nothing meanwhile.
+	// generationLength. Their clients send nothing until they retry, so the jobs count as demand until
+	// generationLength plus retryGracePeriod after the rounded time. That is 3 to 8 s after the
+	// requested time.
 	pendingRetries map[micros.Time]map[Flow]*hyperloglog.Sketch
 	refused        recentCounter
 	accepted       recentCounter
@@ -178,7 +180,9 @@
 // RecentRefusals returns the number of submissions refused for lack of capacity in the recent period.
 func (t *Tracker) RecentRefusals(now micros.Time) int64 { return t.refused.total(now) }
 
-// Demand returns the recent demand.
+// Demand returns the recent demand. Submitted and accepted jobs are counted over all generations, and
+// refused jobs as long as their retries are expected. Refusals, admissions and the acceptance rate
+// cover the recent period.
 func (t *Tracker) Demand(now micros.Time) Demand {
 	t.rotate(now)
 	d := Demand{
