--- a/internal/coordination/fair_shares.go
+++ b/internal/coordination/fair_shares.go
@@ -65,7 +65,8 @@
 	return s.queue.Lag(flow).Beyond(s.bound)
 }
 
-// lags returns the lags of all flows that are behind, to be sent to the peers.
+// lags returns the lags to be sent to the peers: those of the waiting flows that are behind, limited to
+// the largest ones by admission.FairQueue.Lags.
 func (s *fairShares) lags() []admission.FlowLag {
 	if s == nil {
 		return nil
