--- a/internal/coordination/responses.go
+++ b/internal/coordination/responses.go
@@ -15,7 +15,8 @@
 const (
 	// storeUnavailable: the key-value store did not answer or is known to be unreachable.
 	storeUnavailable unavailableReason = "the state service does not answer"
-	// olderVersionRunning: a member that cannot read the record might become partition leader.
+	// olderVersionRunning: a member whose version ignores dependencies is registered and might become
+	// partition leader, or the record format does not support dependencies yet.
 	olderVersionRunning unavailableReason = "an older version is still running"
 	// concurrentChange: the job's record was changed concurrently.
 	concurrentChange unavailableReason = "try again"
