--- a/internal/coordination/submission_dependencies.go
+++ b/internal/coordination/submission_dependencies.go
@@ -42,8 +42,9 @@
 	s.startDependencyCheck()
 }
 
-// startDependencyCheck looks up the job's dependencies, provided that every member can read the records
-// of jobs with dependencies.
+// startDependencyCheck looks up the job's dependencies. A new job is refused while the record format does
+// not support dependencies yet, or while a member of an older version is registered, which would start
+// the job without regard to them if it became the partition's leader.
 func (s *submission) startDependencyCheck() {
 	c := s.core
 	if c.cache.Format < storage.Format || c.olderMemberRegistered() {
