--- a/internal/coordination/admission_demand.go
+++ b/internal/coordination/admission_demand.go
@@ -56,7 +56,8 @@
 	return &demand
 }
 
-// receiveDemand stores the demand in the status of a controller, which may be this one.
+// receiveDemand stores the demand contained in a status received from a controller, which may be this
+// one. A status without demand leaves the stored demand unchanged.
 func (c *Core) receiveDemand(status *messages.PeerStatus) {
 	if c.fairAdmission != nil && status.Demand != nil {
 		c.fairAdmission.peerDemands[status.From.Member] = peerDemand{c.now, status.Demand}
