--- a/internal/coordination/provisioning/choose.go
+++ b/internal/coordination/provisioning/choose.go
@@ -118,7 +118,10 @@
 	return kinds
 }
 
-// cost returns the weighted cost of an instance over boot and use, per task that it would run.
+// cost returns the cost of an instance over boot and use, per task that it would run. For a service, it
+// is multiplied by a factor that grows with the share of the replicas that fit on the instance, because
+// headroom must be kept for the replicas of one lost machine. For an urgent service, it is also
+// multiplied by a factor that grows with the boot time (urgentBootScale).
 func (r *CapacityRequest) cost(instanceType *workload.InstanceType, spot bool, slots, unassigned int64) float64 {
 	price := instanceType.Price
 	if spot {
