--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -19,7 +19,10 @@
 )
 
 // routeHeartbeat passes a heartbeat to the leader of its machine's partition if that leader runs in
-// this process, and otherwise redirects the agent to the controller that leads the partition.
+// this process, and otherwise redirects the agent to the controller that leads the partition. It
+// answers that the service is unavailable if this process has not read the store yet, or if it
+// knows no leader to redirect the agent to. The heartbeat of a machine without a record goes to
+// handleUnmanagedHeartbeat.
 func (c *Core) routeHeartbeat(in *messages.HeartbeatRequest) {
 	if !c.replica.Synced() {
 		c.respondUnavailable(in.Request, starting)
