--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -39,7 +39,7 @@
 }
 
 // addUnresolved records a dependency to be looked up. If it is already recorded, the time of its next
-// lookup stays the same.
+// lookup stays the same. Otherwise that time is 1, which has passed, so the lookup is due immediately.
 func (s *dependencyState) addUnresolved(id string) { s.unresolved[id] = max(s.unresolved[id], 1) }
 
 // lookupAvailable reports whether another lookup may be started.
@@ -172,9 +172,11 @@
 }
 
 // resolveDependencies reads the archived records of a job's unresolved dependencies, direct or
-// transitive, and calls callback when it is known whether the job is cancelled with one of them.
-// Otherwise a controller that started after they were archived would report a job as queued that other
-// controllers report as cancelled.
+// transitive, and then calls callback(true). Without these reads, a controller that started after the
+// records were archived would report a job as queued that other controllers report as cancelled.
+// It calls callback(false) if a record could not be read or the cache was replaced meanwhile: then it is
+// not known whether the job is cancelled with a dependency. A dependency without an archived record
+// stays unresolved and does not prevent callback(true).
 func (c *Core) resolveDependencies(id string, callback func(ok bool)) {
 	c.readArchivedDependencies(c.cache, c.cache.UnresolvedDependencies(id), callback)
 }
