--- a/internal/coordination/completion.go
+++ b/internal/coordination/completion.go
@@ -194,7 +194,8 @@
 	})
 }
 
-// putJobDone adds to a transaction the writes that mark a job as done and delete its completed segments.
+// putJobDone adds to a transaction the writes that mark a job as done and delete its
+// stored segments of completed tasks.
 func (p *partitionLeader) putJobDone(r *storage.Request, j *job) {
 	done := j.Tombstone(workload.Done)
 	done.CompletedAt = p.core.wall
@@ -202,8 +203,9 @@
 	r.Deletes = append(r.Deletes, p.core.completedSegmentKeys(j.ID, j.record)...)
 }
 
-// completedSegmentKeys returns the keys of a job's stored segments, which are deleted in the transaction
-// that ends the job. It returns no more than fit into one transaction along with the job's record.
+// completedSegmentKeys returns the keys of a job's stored segments of completed tasks, which are deleted
+// in the transaction that ends the job. It returns no more than fit into one transaction along with the
+// job's record.
 func (c *Core) completedSegmentKeys(id string, record *storage.JobEntry) []string {
 	var keys []string
 	for _, segment := range sortedKeys(record.CompletedRevisions) {
@@ -214,7 +216,8 @@
 	return keys
 }
 
-// putCompletedSegments adds the writes of completed segments to a transaction.
+// putCompletedSegments adds the writes of segments of completed tasks to a transaction. The other tasks
+// of such a segment need not be completed.
 func (p *partitionLeader) putCompletedSegments(r *storage.Request, j *job, write completedWrite) {
 	for _, segment := range write.segments {
 		key := p.core.keys.CompletedSegment(j.ID, segment)
