--- a/internal/coordination/replication/read_barrier_test.go
+++ b/internal/coordination/replication/read_barrier_test.go
@@ -92,7 +92,8 @@
 }
 
 // TestReadsShareRequests checks that pending reads share one request. A read that begins while a
-// request is in flight needs the next one, as the revision in the reply may predate the read.
+// request is in flight needs the next one, as the revision in the reply may predate the read. The test
+// also checks that the next request is sent no earlier than readInterval after the previous one.
 func TestReadsShareRequests(t *testing.T) {
 	b := newBarrierTest()
 	b.begin("a")
