--- a/internal/coordination/clusterleader/orphans_test.go
+++ b/internal/coordination/clusterleader/orphans_test.go
@@ -98,6 +98,11 @@
 		nil, []string{"x", "y"}},
 }
 
+// TestOrphanAdoptionWritesABlock checks that a tick writes one new block with orphans of one kind, up to
+// the maximum size of a block, in the partition that lacks capacity for the most tasks. Orphans that were
+// recorded or terminated meanwhile are left out. Nothing is written before the next adoption is due,
+// or while an instance request for the kind is in flight, is recorded, or may have become a block that is
+// not cached yet.
 func TestOrphanAdoptionWritesABlock(t *testing.T) {
 	for _, test := range adoptionCases {
 		t.Run(test.name, func(t *testing.T) {
